--- a/crates/gladekeel-controller/src/world.rs
+++ b/crates/gladekeel-controller/src/world.rs
@@ -41,7 +41,7 @@
     /// and when: it ends work, starts nothing and makes no user's answer.
     pub called_off: HashMap<JobId, f64>,
     /// Finished and running tasks as the leader last told, for display.
-    pub counts: HashMap<JobId, Counts>,
+    pub counts: BTreeMap<JobId, Counts>,
     /// Whether the store holds assignments in a layout that this version cannot read.
     pub old_layout: bool,
     /// Keys of jobs and final states whose values cannot be read. As long as there are any,
--- a/crates/gladekeel-testkit/src/scenario.rs
+++ b/crates/gladekeel-testkit/src/scenario.rs
@@ -18,14 +18,16 @@
 
 mod examples;
 mod expectations;
+mod files;
 mod steps;
 mod targets;
 mod words;
 mod world;
 
 pub use examples::{example_job, example_settings, example_type, settings_with};
+pub use files::{FileResult, run_files};
 
-use crate::sim::Sim;
+use crate::sim::{Sim, TraceDigest};
 use expectations::expect;
 use steps::step;
 use words::{number, split};
@@ -42,17 +44,19 @@
     Unmet(Vec<String>),
 }
 
-/// Runs a scenario; one whose world names `seeds=1..4` runs with each of them.
-pub fn run(text: &str) -> Result<(), Failure> {
+/// Runs a scenario; one whose world names `seeds=1..4` runs with each of them. Returns the
+/// digest of what the nodes did in each run.
+pub fn run(text: &str) -> Result<Vec<TraceDigest>, Failure> {
     let seeds = text
         .lines()
         .find(|line| line.starts_with("world "))
         .and_then(|line| line.split_whitespace().find_map(|word| word.strip_prefix("seeds=")));
-    let Some(range) = seeds else { return run_once(text) };
+    let Some(range) = seeds else { return Ok(vec![run_once(text)?]) };
     let bounds = range
         .split_once("..")
         .and_then(|(from, to)| Some((from.parse::<u64>().ok()?, to.parse::<u64>().ok()?)));
     let (first, last) = bounds.ok_or_else(|| Failure::Line(1, format!("no seeds: {range}")))?;
+    let mut digests = Vec::new();
     let mut unmet = Vec::new();
     for seed in first..=last {
         let one = text.replacen(&format!("seeds={range}"), &format!("seed={seed}"), 1);
@@ -60,13 +64,13 @@
             Err(Failure::Unmet(what)) => {
                 unmet.extend(what.into_iter().map(|what| format!("seed {seed}: {what}")));
             }
-            other => other?,
+            other => digests.push(other?),
         }
     }
-    if unmet.is_empty() { Ok(()) } else { Err(Failure::Unmet(unmet)) }
+    if unmet.is_empty() { Ok(digests) } else { Err(Failure::Unmet(unmet)) }
 }
 
-fn run_once(text: &str) -> Result<(), Failure> {
+fn run_once(text: &str) -> Result<TraceDigest, Failure> {
     let mut sim: Option<Sim> = None;
     let mut unmet = Vec::new();
     let mut may_break = Vec::new();
@@ -104,15 +108,14 @@
             other => return Err(fail(format!("no line begins with {other}"))),
         }
     }
-    if let Some(sim) = &sim {
-        for (rule, what) in &sim.rules.broken {
-            if !may_break.iter().any(|allowed| allowed == rule) {
-                unmet.push(format!("rule {rule} broken: {what}"));
-            }
-        }
-        for abuse in sim.state.abuses.iter().chain(&sim.cloud.abuses) {
-            unmet.push(format!("protocol: {abuse}"));
+    let sim = sim.ok_or_else(|| Failure::Line(1, "no world".to_owned()))?;
+    for (rule, what) in &sim.rules.broken {
+        if !may_break.iter().any(|allowed| allowed == rule) {
+            unmet.push(format!("rule {rule} broken: {what}"));
         }
     }
-    if unmet.is_empty() { Ok(()) } else { Err(Failure::Unmet(unmet)) }
+    for abuse in sim.state.abuses.iter().chain(&sim.cloud.abuses) {
+        unmet.push(format!("protocol: {abuse}"));
+    }
+    if unmet.is_empty() { Ok(sim.trace_digest()) } else { Err(Failure::Unmet(unmet)) }
 }
--- a/crates/gladekeel-testkit/src/sim.rs
+++ b/crates/gladekeel-testkit/src/sim.rs
@@ -2,6 +2,7 @@
 //! of participant does is in a module of its own.
 
 mod close_looks;
+mod decision_trace;
 mod machines;
 mod message_faults;
 mod network;
@@ -13,15 +14,17 @@
 mod waiting;
 
 pub use close_looks::CloseLooks;
+pub use decision_trace::TraceDigest;
 pub use message_faults::MessageFaults;
 pub use network::{Cut, End, From};
 
 use crate::{cloud::Cloud, gang::Gangs, rules::Rules, state::State, worker::Worker};
+use decision_trace::DecisionTrace;
 use gladekeel_controller::node::{Node, Reply, RequestId};
 use gladekeel_wire::{JobId, settings::Settings};
 use network::ActiveCut;
 use rand::{SeedableRng, rngs::StdRng};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 
 /// What happens at a time.
 type Job = Box<dyn FnOnce(&mut Sim)>;
@@ -41,7 +44,7 @@
     started: f64,
     /// It stands still until then, while its clock runs on.
     frozen_until: f64,
-    replies: HashMap<RequestId, Then>,
+    replies: BTreeMap<RequestId, Then>,
     next_request: RequestId,
 }
 
@@ -104,6 +107,7 @@
     odd_requests: u64,
     lease_s: f64,
     report_s: f64,
+    trace: DecisionTrace,
 }
 
 impl Sim {
@@ -123,7 +127,7 @@
                     incarnation: 0,
                     started: 0.0,
                     frozen_until: 0.0,
-                    replies: HashMap::new(),
+                    replies: BTreeMap::new(),
                     next_request: 0,
                 })
                 .collect(),
@@ -154,6 +158,7 @@
             reigns: BTreeMap::new(),
             given_up: 0,
             followed: Vec::new(),
+            trace: DecisionTrace::default(),
         };
         sim.rules.types.clone_from(&sim.cloud.types);
         for node in 0..sim.nodes.len() {
@@ -170,6 +175,11 @@
         self.queue.insert((at, self.count), Box::new(job));
     }
 
+    /// The digest of all that the nodes have sent so far.
+    pub fn trace_digest(&self) -> TraceDigest {
+        self.trace.digest()
+    }
+
     /// Runs until a time.
     pub fn run(&mut self, until: f64) {
         while let Some(((at, count), job)) = self.queue.pop_first() {
--- a/crates/gladekeel-testkit/src/sim/nodes.rs
+++ b/crates/gladekeel-testkit/src/sim/nodes.rs
@@ -29,7 +29,7 @@
     pub fn crash(&mut self, node: usize) {
         let slot = &mut self.nodes[node];
         slot.node = None;
-        let lost: Vec<Then> = slot.replies.drain().map(|(_, then)| then).collect();
+        let lost: Vec<Then> = std::mem::take(&mut slot.replies).into_values().collect();
         for then in lost {
             then(self, None);
         }
@@ -115,6 +115,7 @@
     }
 
     fn act(&mut self, node: usize, incarnation: u64, action: Action) {
+        self.trace.record(self.now, node, &action);
         match action {
             Action::Reply { id, reply } => {
                 if let Some(then) = self.nodes[node].replies.remove(&id) {
--- a/crates/gladekeel-testkit/tests/scenarios.rs
+++ b/crates/gladekeel-testkit/tests/scenarios.rs
@@ -48,20 +48,10 @@
     }
     let files = fs::read_dir(dir).unwrap().map(|entry| entry.unwrap().path()).collect();
     let files = select(files, &only, &skipped).unwrap();
-    let threads: Vec<_> = files
-        .into_iter()
-        .map(|path| {
-            std::thread::spawn(move || {
-                let result = scenario::run(&fs::read_to_string(&path).unwrap());
-                (name(&path), result.err().map(|failure| failure.to_string()))
-            })
-        })
-        .collect();
     let mut failed = Vec::new();
-    for thread in threads {
-        let (name, failure) = thread.join().expect("a scenario does not panic");
-        if let Some(failure) = failure {
-            failed.push(format!("{name}:\n{failure}"));
+    for result in scenario::run_files(files) {
+        if let Err(failure) = result.outcome {
+            failed.push(format!("{}:\n{failure}", result.name));
         }
     }
     assert!(failed.is_empty(), "{}", failed.join("\n\n"));
