--- a/crates/gladekeel-controller/src/admin.rs
+++ b/crates/gladekeel-controller/src/admin.rs
@@ -9,12 +9,12 @@
     node::{Node, RequestId, Then},
     world::Counts,
 };
-use gladekeel_store::Outcome;
+use gladekeel_store::StoreOutcome;
 use gladekeel_wire::{
     admin::{
         DrainStatus, Machines, NodeStatus, SettingsChange, Status, TeamStatus, VersionedSettings,
     },
-    state::{Guard, Txn, Write},
+    store::{Precondition, Transaction, Write},
 };
 use std::collections::BTreeMap;
 
@@ -136,7 +136,8 @@
         } else {
             Write::Delete { key: key.clone() }
         };
-        let txn = Txn { guards: vec![Guard { key, version }], writes: vec![write] };
+        let txn =
+            Transaction { preconditions: vec![Precondition { key, version }], writes: vec![write] };
         self.admin_write(now, id, txn, AdminChange::Drain { machine, draining });
     }
 
@@ -166,8 +167,8 @@
         let values = options.values();
         let value = serde_json::to_value(&values).expect("numbers always serialise");
         let key = keys::OPTIONS.to_owned();
-        let txn = Txn {
-            guards: vec![Guard { key: key.clone(), version: wanted.version }],
+        let txn = Transaction {
+            preconditions: vec![Precondition { key: key.clone(), version: wanted.version }],
             writes: vec![Write::Put { key, value, lease: None }],
         };
         self.admin_write(now, id, txn, AdminChange::Settings(values));
@@ -179,12 +180,12 @@
         now: f64,
         id: RequestId,
         change: AdminChange,
-        outcome: &Outcome,
+        outcome: &StoreOutcome,
     ) {
         let reply = match outcome {
-            Outcome::Committed(revision) => change_made(*revision, change),
-            Outcome::Conflict(_) => Reply::error(409, CHANGED_MEANWHILE),
-            Outcome::Unknown => {
+            StoreOutcome::Committed(revision) => change_made(*revision, change),
+            StoreOutcome::Conflict(_) => Reply::error(409, CHANGED_MEANWHILE),
+            StoreOutcome::Unknown => {
                 Reply::later(503, 1, "no answer: it may or may not be made; read it again")
             }
             _ => Reply::later(503, 1, "the state service refuses"),
--- a/crates/gladekeel-controller/src/api.rs
+++ b/crates/gladekeel-controller/src/api.rs
@@ -4,12 +4,12 @@
     admin::{AdminRoute, NoRoute},
     world::{Counts, World},
 };
-use gladekeel_sched::Room;
+use gladekeel_sched::Resources;
 use gladekeel_wire::{
     JobId,
     cloud::{MachineType, MachineTypes},
-    job::{ErrorBody, JobSpec, JobState, JobStatus, Kind},
-    settings::Params,
+    job::{ErrorBody, JobKind, JobSpec, JobState, JobStatus},
+    settings::Deployment,
 };
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -127,16 +127,16 @@
 }
 
 /// Judges a well-formed submission.
-pub fn judge(params: &Params, world: &World, spec: &JobSpec) -> Verdict {
+pub fn judge(params: &Deployment, world: &World, spec: &JobSpec) -> Verdict {
     let Some(team) = params.teams.iter().find(|team| team.name == spec.team) else {
         return Verdict::Never(format!("no team {:?}", spec.team));
     };
     // Tasks of an array can run one after the other; a gang or a service needs all.
-    let at_once = if spec.kind == Kind::Array { 1 } else { spec.tasks };
-    let task = Room::taken(spec.cpus, spec.gpus, spec.memory_gb);
+    let at_once = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
+    let task = Resources::requested(spec.cpus, spec.gpus, spec.memory_gb);
     // In the amounts that placing counts in: whatever is accepted here can be placed.
     let needed = task * i64::from(at_once);
-    let limit = Room::offered(team.cpus_max, team.gpus_max, 0.0);
+    let limit = Resources::allocatable(team.cpus_max, team.gpus_max, 0.0);
     if needed.cpus > limit.cpus || needed.gpus > limit.gpus {
         return Verdict::Never("the job needs more than the team's limit".into());
     }
@@ -145,19 +145,23 @@
     if allowed.is_empty() {
         return Verdict::Never("a task fits no allowed machine type".into());
     }
-    if spec.spread && at_once > 1 && (spec.one_zone || zones_of(&allowed, spec).len() == 1) {
+    if spec.spread && at_once > 1 && (spec.single_zone || zones_of(&allowed, spec).len() == 1) {
         return Verdict::Never("all tasks are in one zone, and at most half of them may be".into());
     }
     Verdict::Fine
 }
 
 /// The machine types that a task may run on and fits, whatever the cloud has of them now.
-fn allowed_types<'a>(types: &'a MachineTypes, spec: &JobSpec, task: Room) -> Vec<&'a MachineType> {
+fn allowed_types<'a>(
+    types: &'a MachineTypes,
+    spec: &JobSpec,
+    task: Resources,
+) -> Vec<&'a MachineType> {
     let allowed = types.types.iter().filter(|t| {
-        spec.types.as_ref().is_none_or(|names| names.contains(&t.name))
+        spec.machine_types.as_ref().is_none_or(|names| names.contains(&t.name))
             && spec.zone.as_ref().is_none_or(|zone| t.zones.contains(zone))
     });
-    allowed.filter(|t| task.fits(Room::offered(t.cpus, t.gpus, t.memory_gb))).collect()
+    allowed.filter(|t| task.fits_in(Resources::allocatable(t.cpus, t.gpus, t.memory_gb))).collect()
 }
 
 /// The zones in which a job's tasks may be.
--- a/crates/gladekeel-controller/src/checkin.rs
+++ b/crates/gladekeel-controller/src/checkin.rs
@@ -1,7 +1,7 @@
 //! Reports that reach a node: the leader's own, and those that must be sent on.
 
 use crate::{leader::Leader, world::World};
-use gladekeel_wire::worker::{Command, Redirect, Report, ReportAnswer, TaskState};
+use gladekeel_wire::worker::{Command, Heartbeat, HeartbeatResponse, Redirect, TaskState};
 use std::collections::{HashMap, VecDeque};
 
 /// A worker that comes back within this time after being sent to the leader
@@ -15,13 +15,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// 200.
-    Commands(ReportAnswer),
+    Commands(HeartbeatResponse),
     /// The worker cannot reach the leader: pass its report on, and answer with
     /// this, which keeps its lease, if the leader cannot be reached either.
-    Keep(ReportAnswer),
+    Keep(HeartbeatResponse),
     /// The leader shares the work of hearing workers: pass the report on. If the leader does
     /// not answer, this keeps the worker's lease; without it this node may not keep it.
-    PassOn(Option<ReportAnswer>),
+    PassOn(Option<HeartbeatResponse>),
     /// 421: report to that node.
     Elsewhere(Redirect),
     /// 503: this node is not entitled to act.
@@ -78,7 +78,7 @@
         &mut self,
         context: &ReportContext<'_>,
         leader: Option<&mut Leader>,
-        report: &Report,
+        report: &Heartbeat,
     ) -> Answer {
         let now = context.now;
         if let Some(leader) = leader {
@@ -108,7 +108,7 @@
 
 /// The answer of a node that does not lead and cannot ask the leader, if it is entitled to
 /// one: it keeps the worker's tasks alive, except those that were cancelled.
-fn keep_lease(context: &ReportContext<'_>, report: &Report) -> Option<ReportAnswer> {
+fn keep_lease(context: &ReportContext<'_>, report: &Heartbeat) -> Option<HeartbeatResponse> {
     let token = context.world.token;
     if !context.may_renew_leases || token == 0 || report.token > token {
         return None;
@@ -119,5 +119,5 @@
     let commands = cancelled
         .map(|task| Command::Stop { task: task.task.clone(), attempt: task.attempt, grace_s: 0.0 })
         .collect();
-    Some(ReportAnswer { token, commands })
+    Some(HeartbeatResponse { token, commands })
 }
--- a/crates/gladekeel-controller/src/cloud.rs
+++ b/crates/gladekeel-controller/src/cloud.rs
@@ -1,6 +1,8 @@
 //! Requests to the cloud and what comes of them.
 
-use gladekeel_wire::cloud::{MAX_LIST, MachineList, MachineNames, MachineTypes, Rent};
+use gladekeel_wire::cloud::{
+    MAX_MACHINES_PER_PAGE, MachineNames, MachinePage, MachineTypes, RentRequest,
+};
 use gladekeel_wire::job::ErrorBody;
 
 /// A request to the cloud.
@@ -9,7 +11,7 @@
     /// Read the machine types and their prices.
     Types,
     /// Rent machines.
-    Rent(Rent),
+    Rent(RentRequest),
     /// Delete machines.
     Delete(Vec<String>),
     /// Read a page of the machine list.
@@ -31,7 +33,7 @@
     /// The machines are gone.
     Deleted,
     /// A page of the list.
-    List(MachineList),
+    List(MachinePage),
     /// Over the budget; nothing was done.
     Busy,
     /// The cloud refused; nothing was done.
@@ -55,7 +57,7 @@
             }
             CloudCall::List { after } => {
                 let since = after.as_ref().map(|a| format!("since={a}&")).unwrap_or_default();
-                ("GET", format!("/machines?{since}limit={MAX_LIST}"), Vec::new())
+                ("GET", format!("/machines?{since}limit={MAX_MACHINES_PER_PAGE}"), Vec::new())
             }
         }
     }
--- a/crates/gladekeel-controller/src/election.rs
+++ b/crates/gladekeel-controller/src/election.rs
@@ -1,8 +1,8 @@
 //! Who leads: a key under a lease, whose version is the fencing token.
 
 use crate::keys::{self, LeaderRecord};
-use gladekeel_store::{Call, Outcome};
-use gladekeel_wire::state::{Guard, Txn, Write};
+use gladekeel_store::{StoreOutcome, StoreRequest};
+use gladekeel_wire::store::{Precondition, Transaction, Write};
 
 /// How long the leader's key outlives its last renewal.
 const TTL_MS: u64 = 3000;
@@ -46,7 +46,7 @@
         seen: Seen,
         record: &LeaderRecord,
         renew_token: Option<u64>,
-    ) -> Option<Call> {
+    ) -> Option<StoreRequest> {
         if self.flying || now < self.not_before {
             return None;
         }
@@ -57,14 +57,14 @@
                     self.not_before = now + 0.3;
                     commit(record, token, lease.id)
                 }
-                None if now - lease.touched >= TOUCH_S => Call::Touch(lease.id),
+                None if now - lease.touched >= TOUCH_S => StoreRequest::RenewLease(lease.id),
                 None => return None,
             },
             // The key hangs on a lease that this incarnation does not know: it runs out.
             (Seen::Me | Seen::Other, None) => return None,
-            (Seen::Other, Some(lease)) => Call::Revoke(lease.id),
+            (Seen::Other, Some(lease)) => StoreRequest::RevokeLease(lease.id),
             (Seen::Nobody | Seen::Ghost(_), _) if now < self.stand_after => return None,
-            (Seen::Nobody | Seen::Ghost(_), None) => Call::Grant { ttl_ms: TTL_MS },
+            (Seen::Nobody | Seen::Ghost(_), None) => StoreRequest::GrantLease { ttl_ms: TTL_MS },
             (Seen::Nobody, Some(lease)) => commit(record, 0, lease.id),
             (Seen::Ghost(version), Some(lease)) => commit(record, version, lease.id),
         };
@@ -74,29 +74,35 @@
 
     /// Takes in what came of a request that was sent at `sent_at`. Tells whether
     /// the store should be looked at at once.
-    pub fn answered(&mut self, now: f64, sent_at: f64, call: &Call, outcome: &Outcome) -> bool {
+    pub fn answered(
+        &mut self,
+        now: f64,
+        sent_at: f64,
+        call: &StoreRequest,
+        outcome: &StoreOutcome,
+    ) -> bool {
         self.flying = false;
         match (call, outcome) {
-            (Call::Grant { .. }, Outcome::Granted(id)) => {
+            (StoreRequest::GrantLease { .. }, StoreOutcome::LeaseGranted(id)) => {
                 self.lease = Some(Lease { id: *id, touched: sent_at });
                 false
             }
-            (Call::Touch(_), Outcome::Done) => {
+            (StoreRequest::RenewLease(_), StoreOutcome::Acknowledged) => {
                 if let Some(lease) = &mut self.lease {
                     lease.touched = sent_at;
                 }
                 false
             }
-            (Call::Commit(_), Outcome::Committed(_)) => {
+            (StoreRequest::Commit(_), StoreOutcome::Committed(_)) => {
                 // Whether this node leads is read from the store, not from this answer.
                 self.not_before = now + 0.2;
                 true
             }
-            (Call::Revoke(_), _) | (_, Outcome::NoLease) => {
+            (StoreRequest::RevokeLease(_), _) | (_, StoreOutcome::LeaseNotFound) => {
                 self.lease = None;
                 true
             }
-            (_, Outcome::Busy | Outcome::Refused) => {
+            (_, StoreOutcome::RateLimited | StoreOutcome::Unavailable) => {
                 self.not_before = now + 0.2;
                 false
             }
@@ -108,17 +114,17 @@
     }
 
     /// Gives up the lease: the key goes with it, and another node can lead at once.
-    pub fn resign(&mut self, now: f64, pause_s: f64) -> Option<Call> {
+    pub fn resign(&mut self, now: f64, pause_s: f64) -> Option<StoreRequest> {
         self.stand_after = now + pause_s;
         let lease = self.lease.take()?;
-        Some(Call::Revoke(lease.id))
+        Some(StoreRequest::RevokeLease(lease.id))
     }
 }
 
-fn commit(record: &LeaderRecord, version: u64, lease: u64) -> Call {
+fn commit(record: &LeaderRecord, version: u64, lease: u64) -> StoreRequest {
     let value = serde_json::to_value(record).expect("stored types always serialise");
-    Call::Commit(Txn {
-        guards: vec![Guard { key: keys::LEADER.into(), version }],
+    StoreRequest::Commit(Transaction {
+        preconditions: vec![Precondition { key: keys::LEADER.into(), version }],
         writes: vec![Write::Put { key: keys::LEADER.into(), value, lease: Some(lease) }],
     })
 }
--- a/crates/gladekeel-controller/src/keys.rs
+++ b/crates/gladekeel-controller/src/keys.rs
@@ -77,6 +77,7 @@
     /// The node's name.
     pub node: String,
     /// Its incarnation: a node that was restarted is another candidate.
+    #[serde(rename = "run")]
     pub run: u64,
 }
 
--- a/crates/gladekeel-controller/src/leader/attempt.rs
+++ b/crates/gladekeel-controller/src/leader/attempt.rs
@@ -1,7 +1,7 @@
 //! A task on a machine, from its proposal to the commit of its release.
 
 pub use crate::log::End as Outcome;
-use gladekeel_sched::Room;
+use gladekeel_sched::Resources;
 use gladekeel_wire::worker::TaskState;
 
 /// How far an attempt's assignment is.
@@ -59,7 +59,7 @@
     /// Whether its start was sent directly.
     pub sent: bool,
     /// What it takes.
-    pub room: Room,
+    pub room: Resources,
     /// Its image.
     pub image: u32,
     /// Whether an earlier token placed it: how long it has run is not known then.
--- a/crates/gladekeel-controller/src/leader/catalog.rs
+++ b/crates/gladekeel-controller/src/leader/catalog.rs
@@ -1,9 +1,9 @@
 //! Names of teams, zones, machine types and images, as indices.
 
-use gladekeel_sched::{Interner, Room};
+use gladekeel_sched::{Interner, Resources};
 use gladekeel_wire::{
     cloud::{MachineType, MachineTypes},
-    settings::Params,
+    settings::Deployment,
 };
 /// Names of teams, zones, types and images, as indices.
 #[derive(Debug, Default)]
@@ -19,7 +19,7 @@
 impl Catalog {
     /// Gets ready for a new token. Names keep their indices, since what is known of machines
     /// goes on and speaks of kinds, zones and images by them.
-    pub fn renew(&mut self, params: &Params, types: Option<&MachineTypes>) {
+    pub fn renew(&mut self, params: &Deployment, types: Option<&MachineTypes>) {
         for team in &params.teams {
             self.teams.intern(&team.name);
         }
@@ -56,7 +56,7 @@
     }
 
     /// What a machine of this kind offers.
-    pub fn room(&self, kind: u32) -> Option<Room> {
-        self.machine_type(kind).map(|t| Room::offered(t.cpus, t.gpus, t.memory_gb))
+    pub fn room(&self, kind: u32) -> Option<Resources> {
+        self.machine_type(kind).map(|t| Resources::allocatable(t.cpus, t.gpus, t.memory_gb))
     }
 }
--- a/crates/gladekeel-controller/src/leader/cloud_calls.rs
+++ b/crates/gladekeel-controller/src/leader/cloud_calls.rs
@@ -5,7 +5,8 @@
 use super::{Leader, Machine, machine::DeletionReason};
 use crate::cloud::{CloudCall, CloudOutcome};
 use gladekeel_wire::cloud::{
-    MAX_DELETE, MAX_LIST, MAX_RENT, MachineList, MachineRow, MachineState, MachineTypes, Rent,
+    ListedMachine, MAX_MACHINES_PER_DELETE_REQUEST, MAX_MACHINES_PER_PAGE,
+    MAX_MACHINES_PER_RENT_REQUEST, MachinePage, MachineState, MachineTypes, RentRequest,
 };
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -30,7 +31,7 @@
 /// A rental that has no final answer yet.
 #[derive(Debug)]
 struct Rental {
-    rent: Rent,
+    rent: RentRequest,
     pool: Pool,
     in_flight: bool,
     /// Not repeated before this time.
@@ -55,7 +56,7 @@
     /// Pages of the last list.
     pages: u32,
     list_at: Option<f64>,
-    list: Vec<MachineRow>,
+    list: Vec<ListedMachine>,
     counter: u64,
     not_before: f64,
 }
@@ -158,7 +159,7 @@
         let mut wanted: Vec<(bool, u32)> = self.cluster.leaving.iter().filter_map(wanted).collect();
         wanted.sort_unstable();
         let mut names = Vec::new();
-        for (_, ix) in wanted.into_iter().take(MAX_DELETE) {
+        for (_, ix) in wanted.into_iter().take(MAX_MACHINES_PER_DELETE_REQUEST) {
             if let Some(machine) = self.cluster.machines.get_mut(&ix) {
                 machine.delete_sent = true;
                 names.push(machine.name.clone());
@@ -167,7 +168,7 @@
         (!names.is_empty()).then_some(names)
     }
 
-    fn next_rent(&mut self, now: f64) -> Option<Rent> {
+    fn next_rent(&mut self, now: f64) -> Option<RentRequest> {
         let cloud = &mut self.cluster.cloud;
         // Without an answer the very same request is repeated: it may have been
         // carried out, and then the repeat gets the same machines.
@@ -181,17 +182,17 @@
             if count == 0 || !cloud.may_have_capacity(pool, now) {
                 continue;
             }
-            if count > MAX_RENT {
-                cloud.want(pool, count - MAX_RENT);
+            if count > MAX_MACHINES_PER_RENT_REQUEST {
+                cloud.want(pool, count - MAX_MACHINES_PER_RENT_REQUEST);
             }
             cloud.counter += 1;
-            let rent = Rent {
+            let rent = RentRequest {
                 // Token, counter and the node's own random number: never used twice.
-                request: format!("gk-{}-{}-{:08x}", self.token, cloud.counter, self.salt as u32),
+                request_id: format!("gk-{}-{}-{:08x}", self.token, cloud.counter, self.salt as u32),
                 machine_type: self.catalog.kinds.name(pool.kind).clone(),
                 zone: self.catalog.zones.name(pool.zone).clone(),
                 spot: pool.spot,
-                count: count.min(MAX_RENT),
+                count: count.min(MAX_MACHINES_PER_RENT_REQUEST),
             };
             cloud.rents.push(Rental { rent: rent.clone(), pool, in_flight: true, not_before: 0.0 });
             return Some(rent);
@@ -200,9 +201,9 @@
     }
 
     /// Takes a rental off the list of those that have no final answer.
-    fn rental(&mut self, rent: &Rent) -> Option<Rental> {
+    fn rental(&mut self, rent: &RentRequest) -> Option<Rental> {
         let rents = &mut self.cluster.cloud.rents;
-        let at = rents.iter().position(|rental| rental.rent.request == rent.request)?;
+        let at = rents.iter().position(|rental| rental.rent.request_id == rent.request_id)?;
         Some(rents.swap_remove(at))
     }
 
@@ -223,9 +224,9 @@
             (CloudCall::Rent(rent), outcome) => {
                 let wait_s = if outcome == CloudOutcome::Busy { 0.5 } else { 1.0 };
                 self.cluster.cloud.not_before = now + wait_s;
-                let request = &rent.request;
+                let request = &rent.request_id;
                 let rents = &mut self.cluster.cloud.rents;
-                if let Some(rental) = rents.iter_mut().find(|r| r.rent.request == *request) {
+                if let Some(rental) = rents.iter_mut().find(|r| r.rent.request_id == *request) {
                     rental.in_flight = false;
                     rental.not_before = now + wait_s;
                 }
@@ -265,7 +266,7 @@
         self.timers.request_round();
     }
 
-    fn on_rented(&mut self, now: f64, rent: &Rent, names: Vec<String>) {
+    fn on_rented(&mut self, now: f64, rent: &RentRequest, names: Vec<String>) {
         let Some(Rental { pool, .. }) = self.rental(rent) else { return };
         tracing::info!(
             kind = rent.machine_type,
@@ -303,13 +304,14 @@
         self.watch_machines(now);
     }
 
-    fn on_list(&mut self, now: f64, page: MachineList) {
+    fn on_list(&mut self, now: f64, page: MachinePage) {
         self.cluster.cloud.list.extend(page.machines);
-        if page.more {
+        if page.truncated {
             return;
         }
         self.cluster.cloud.list_at = Some(now);
-        self.cluster.cloud.pages = self.cluster.cloud.list.len().div_ceil(MAX_LIST) as u32;
+        self.cluster.cloud.pages =
+            self.cluster.cloud.list.len().div_ceil(MAX_MACHINES_PER_PAGE) as u32;
         let rows = std::mem::take(&mut self.cluster.cloud.list);
         let mut listed = BTreeSet::new();
         for row in rows {
@@ -340,7 +342,7 @@
             let zone = self.catalog.zones.intern(&row.zone);
             self.set_zone(ix, zone);
         }
-        let late_s = self.params.workers.late_s();
+        let late_s = self.params.workers.heartbeat_timeout_s();
         for (ix, machine) in &mut self.cluster.machines {
             // One that only the log tells of was up before this leader began.
             let was_listed = machine.listed || machine.rented_at == f64::NEG_INFINITY;
--- a/crates/gladekeel-controller/src/leader/commit.rs
+++ b/crates/gladekeel-controller/src/leader/commit.rs
@@ -14,8 +14,10 @@
 use super::{AttemptId, Job, Leader, Phase, StopReason};
 use crate::{keys, log, world::World};
 use draft::Draft;
-use gladekeel_store::{Bucket, Outcome};
-use gladekeel_wire::{cloud::MachineTypes, job::JobState, settings::Params, state::Txn};
+use gladekeel_store::{StoreOutcome, TokenBucket};
+use gladekeel_wire::{
+    cloud::MachineTypes, job::JobState, settings::Deployment, store::Transaction,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Time between transactions: what comes in meanwhile goes together.
@@ -119,14 +121,14 @@
 }
 
 impl Commits {
-    pub fn new(params: &Params, world: &World) -> Commits {
-        let value_bytes = (params.state.value_kb * 1024.0) as usize;
+    pub fn new(params: &Deployment, world: &World) -> Commits {
+        let value_bytes = (params.store.value_kb * 1024.0) as usize;
         Commits {
             types_versions: world.types.versions(),
             drain_versions: world.drains.clone(),
             capacity: log::capacity(value_bytes),
             value_bytes,
-            max_ops: params.state.txn_ops,
+            max_ops: params.store.txn_ops,
             ..Commits::default()
         }
     }
@@ -164,9 +166,9 @@
 
     /// How many more assignments a round should decide: about what can be written
     /// in a second.
-    pub fn batch(&self, params: &Params) -> usize {
+    pub fn batch(&self, params: &Deployment) -> usize {
         let row = 48.0;
-        let bytes = (self.capacity as f64) * params.state.write_rps * 0.6;
+        let bytes = (self.capacity as f64) * params.store.write_rps * 0.6;
         ((bytes / row) as usize).clamp(200, 4000).saturating_sub(self.proposed.len())
     }
 
@@ -194,7 +196,11 @@
 }
 
 impl Leader {
-    pub(super) fn build_commit(&mut self, now: f64, budget: &mut Bucket) -> Option<Txn> {
+    pub(super) fn build_commit(
+        &mut self,
+        now: f64,
+        budget: &mut TokenBucket,
+    ) -> Option<Transaction> {
         if self.commits.sent.is_some()
             || self.fence
             || now < self.commits.not_before
@@ -203,7 +209,7 @@
             return None;
         }
         // Short of budget, wait: what gathers meanwhile makes the next one wider.
-        let level = budget.level(now);
+        let level = budget.available(now);
         if level < 1.0 {
             return None;
         }
@@ -227,7 +233,7 @@
         if whole {
             self.draft_cleaning(&mut draft);
             // Clearing away waits until the budget is plainly not needed.
-            if draft.allows(2) && budget.has(now, 4.0 + draft.ops() as f64) {
+            if draft.allows(2) && budget.can_take(now, 4.0 + draft.ops() as f64) {
                 self.draft_clearing(&mut draft);
             }
         }
@@ -235,7 +241,7 @@
             return None;
         }
         self.seal(&mut draft);
-        budget.take(now, draft.sent.writes as f64);
+        budget.try_take(now, draft.sent.writes as f64);
         self.commits.not_before = now + GAP_S;
         self.commits.sent = Some(draft.sent);
         Some(draft.txn)
@@ -274,14 +280,14 @@
 
     /// Applies the outcome of the transaction under way. Returns whether the store
     /// should be read at once.
-    pub fn commit_answered(&mut self, now: f64, outcome: &Outcome) -> bool {
+    pub fn commit_answered(&mut self, now: f64, outcome: &StoreOutcome) -> bool {
         let Some(sent) = self.commits.sent.take() else { return false };
         match outcome {
-            Outcome::Committed(revision) => {
+            StoreOutcome::Committed(revision) => {
                 self.committed(now, sent, *revision);
                 false
             }
-            Outcome::Busy | Outcome::Refused => {
+            StoreOutcome::RateLimited | StoreOutcome::Unavailable => {
                 // Not executed: the same changes go into the next transaction.
                 self.undo(sent);
                 self.commits.not_before = now + 0.25;
@@ -289,13 +295,13 @@
             }
             // A commit puts nothing on a lease, so what was refused is its size: the limits
             // are lower than the settings say. Nothing was done.
-            Outcome::NoLease => {
+            StoreOutcome::LeaseNotFound => {
                 self.commits.shrink(sent.writes);
                 self.undo(sent);
                 self.commits.not_before = now + 0.25;
                 false
             }
-            Outcome::Conflict(failed) => {
+            StoreOutcome::Conflict(failed) => {
                 let theirs = |key: &String| {
                     [keys::FINAL_STATE, keys::JOB, keys::DRAIN]
                         .iter()
--- a/crates/gladekeel-controller/src/leader/commit/draft.rs
+++ b/crates/gladekeel-controller/src/leader/commit/draft.rs
@@ -9,7 +9,7 @@
 };
 use gladekeel_wire::{
     job::JobState,
-    state::{Guard, Txn, Write},
+    store::{Precondition, Transaction, Write},
 };
 use serde::Serialize;
 
@@ -22,7 +22,7 @@
 
 /// A transaction in the making.
 pub(super) struct Draft {
-    pub txn: Txn,
+    pub txn: Transaction,
     pub sent: Sent,
     segments: Vec<(Writer, SentSegment)>,
     bytes: usize,
@@ -36,7 +36,7 @@
     /// An empty one, for so many operations and segments of so many bytes.
     pub fn new(max_ops: usize, capacity: usize) -> Draft {
         Draft {
-            txn: Txn::default(),
+            txn: Transaction::default(),
             sent: Sent::default(),
             segments: Vec::new(),
             bytes: 0,
@@ -88,7 +88,7 @@
 
     pub fn guard(&mut self, key: String, version: u64) {
         self.bytes += key.len() + 40;
-        self.txn.guards.push(Guard { key, version });
+        self.txn.preconditions.push(Precondition { key, version });
     }
 
     fn put<T: Serialize>(&mut self, key: String, version: u64, value: &T) {
--- a/crates/gladekeel-controller/src/leader/contact.rs
+++ b/crates/gladekeel-controller/src/leader/contact.rs
@@ -1,6 +1,6 @@
 //! Which machines and zones the leader hears.
 
-use gladekeel_wire::settings::Workers;
+use gladekeel_wire::settings::WorkerTimings;
 use std::collections::BTreeMap;
 
 /// A zone of which so many reports in a row are missing is out of reach.
@@ -29,13 +29,13 @@
 
 impl Contact {
     /// Nothing was heard yet; silence counts from now.
-    pub fn new(now: f64, workers: &Workers) -> Contact {
+    pub fn new(now: f64, workers: &WorkerTimings) -> Contact {
         Contact {
             heard_at: now,
             reporting: 0,
             zones: BTreeMap::new(),
-            report_s: workers.report_s,
-            late_s: workers.late_s(),
+            report_s: workers.heartbeat_interval_s,
+            late_s: workers.heartbeat_timeout_s(),
         }
     }
 
--- a/crates/gladekeel-controller/src/leader/direct.rs
+++ b/crates/gladekeel-controller/src/leader/direct.rs
@@ -7,7 +7,7 @@
 use super::{Attempt, AttemptId, Leader, Machine, StopReason, machine::DeletionReason};
 use gladekeel_wire::{
     TaskId,
-    worker::{Command, Direct, Report, TaskState},
+    worker::{Command, DirectCommands, Heartbeat, TaskState},
 };
 use std::collections::BTreeSet;
 
@@ -65,7 +65,7 @@
     /// The worker's address.
     pub addr: String,
     /// Commands, or none to ask for a report only.
-    pub body: Option<Direct>,
+    pub body: Option<DirectCommands>,
     token: u64,
     machine: u32,
     starts: Vec<AttemptId>,
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectOutcome {
     /// Executed; the report was made afterwards.
-    Done(Report),
+    Done(Heartbeat),
     /// The worker refused it: another session, or a higher token.
     NotExecuted,
     /// The worker was not reached.
@@ -123,7 +123,7 @@
 
     /// The commands that a machine should hear now, if there are any.
     fn direct_for(&mut self, now: f64, ix: u32, may_start: bool) -> Option<DirectCall> {
-        let heard_s = self.params.workers.late_s();
+        let heard_s = self.params.workers.heartbeat_timeout_s();
         let machine = self.cluster.machines.get(&ix)?;
         if machine.direct_in_flight || machine.gone || now - machine.quiet_since > heard_s {
             return None;
@@ -154,7 +154,7 @@
         machine.direct_in_flight = true;
         commands.sort_by_key(|command| matches!(command, Command::Start { .. }));
         let token = self.token;
-        let body = Some(Direct { token, session, commands });
+        let body = Some(DirectCommands { token, incarnation: session, commands });
         Some(DirectCall { addr, body, token, machine: ix, starts })
     }
 
@@ -251,7 +251,7 @@
         }
     }
 
-    fn on_direct_report(&mut self, now: f64, call: &DirectCall, report: &Report) {
+    fn on_direct_report(&mut self, now: f64, call: &DirectCall, report: &Heartbeat) {
         // An address may by now be another machine's.
         let ours = self.cluster.machine_names.get(report.machine.as_str()) == Some(call.machine);
         if !ours {
@@ -263,7 +263,7 @@
         machine.answered_at = Some(now);
         machine.answers_since.get_or_insert(now);
         if machine.reported.1 == 0 {
-            machine.reported.1 = report.session;
+            machine.reported.1 = report.incarnation;
         }
         machine.mute_since = None;
         machine.suspect_since = None;
@@ -279,7 +279,7 @@
             let id = self.attempt_id(reported);
             let known = self.attempts.get(id).is_some_and(|attempt| {
                 attempt.machine == call.machine
-                    && attempt.session == report.session
+                    && attempt.session == report.incarnation
                     && attempt.index == reported.task.index
                     && self.job_names.name(attempt.job) == &reported.task.job
             });
--- a/crates/gladekeel-controller/src/leader/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/evacuation.rs
@@ -72,14 +72,14 @@
         };
         let Some(left_s) = machine.leaves_at.map(|at| at - now) else {
             return machine.drained
-                && job.spec.checkpoint_s > 0.0
+                && job.spec.checkpoint_interval_s > 0.0
                 && attempt.seen.is_some()
                 && (!job.is_gang() || self.all_heard(attempt.job, now, heard));
         };
         let run_s = job.median().unwrap_or_else(|| self.expected_run(job));
         let ran = attempt.run_since.map_or(0.0, |since| now - since);
         let too_long = run_s - ran > left_s - 0.5;
-        if !job.is_gang() || job.spec.checkpoint_s == 0.0 {
+        if !job.is_gang() || job.spec.checkpoint_interval_s == 0.0 {
             return too_long;
         }
         // A gang with too little time to save would fall back to its last checkpoint by
@@ -92,7 +92,7 @@
     /// Whether all machines of a gang are heard, so that a stop reaches all its tasks.
     /// `heard` keeps the answers that were worked out at the same time already.
     pub(super) fn all_heard(&self, job_ix: u32, now: f64, heard: &mut BTreeMap<u32, bool>) -> bool {
-        let late_s = self.params.workers.late_s();
+        let late_s = self.params.workers.heartbeat_timeout_s();
         *heard.entry(job_ix).or_insert_with(|| {
             self.attempts.of_job(job_ix).machines().all(|ix| {
                 let machine = self.cluster.machines.get(&ix);
--- a/crates/gladekeel-controller/src/leader/exits.rs
+++ b/crates/gladekeel-controller/src/leader/exits.rs
@@ -1,8 +1,8 @@
 //! What the end of a task means for its job, its machine and its gang.
 
 use super::{AttemptId, Leader, StopReason, attempt::Outcome, machine::DeletionReason};
-use gladekeel_wire::job::Kind;
-use gladekeel_wire::worker::{Cause, TaskReport};
+use gladekeel_wire::job::JobKind;
+use gladekeel_wire::worker::{ExitCause, TaskStatus};
 
 /// A job whose service ended by itself waits this long before it starts again.
 const SERVICE_AGAIN_S: f64 = 1.0;
@@ -38,7 +38,7 @@
 
 impl Leader {
     /// Applies the end of a task that its machine has reported.
-    pub(super) fn on_exit(&mut self, now: f64, id: AttemptId, reported: &TaskReport) {
+    pub(super) fn on_exit(&mut self, now: f64, id: AttemptId, reported: &TaskStatus) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let ended = Ended {
             job: attempt.job,
@@ -66,18 +66,24 @@
     }
 
     /// What comes of an end, after its cause has been dealt with.
-    fn outcome_of(&mut self, now: f64, ended: Ended, reported: &TaskReport) -> Outcome {
+    fn outcome_of(&mut self, now: f64, ended: Ended, reported: &TaskStatus) -> Outcome {
         match reported.cause {
-            Some(Cause::Done) => return self.on_done(now, ended),
-            Some(Cause::Stopped) if ended.stop == Some(StopReason::Slow) => {
+            Some(ExitCause::Done) => return self.on_done(now, ended),
+            Some(ExitCause::Stopped) if ended.stop == Some(StopReason::Slow) => {
                 self.cluster.counts.restarts += 1;
                 return Outcome::Restart;
             }
-            Some(Cause::Stopped) => {}
-            Some(Cause::PeersGone) => self.stop_gang(ended.job, StopReason::Regroup),
-            Some(Cause::Alone) => self.stop_gang(ended.job, StopReason::Incomplete),
-            Some(Cause::Error) => self.on_error(now, ended),
-            Some(Cause::NoRoom | Cause::Busy | Cause::Unknown | Cause::Other) | None => {
+            Some(ExitCause::Stopped) => {}
+            Some(ExitCause::GangMemberLost) => self.stop_gang(ended.job, StopReason::Regroup),
+            Some(ExitCause::GangIncomplete) => self.stop_gang(ended.job, StopReason::Incomplete),
+            Some(ExitCause::Error) => self.on_error(now, ended),
+            Some(
+                ExitCause::InsufficientResources
+                | ExitCause::Busy
+                | ExitCause::Unknown
+                | ExitCause::Other,
+            )
+            | None => {
                 self.on_refusal(now, ended, reported);
             }
         }
@@ -86,7 +92,7 @@
 
     fn on_done(&mut self, now: f64, ended: Ended) -> Outcome {
         let Some(job) = self.jobs.get_mut(&ended.job) else { return Outcome::Again };
-        if job.spec.kind == Kind::Service {
+        if job.spec.kind == JobKind::Service {
             // A service is done when it is cancelled, and not before.
             job.hold_until = now + SERVICE_AGAIN_S;
             return Outcome::Again;
@@ -154,7 +160,7 @@
         }
     }
 
-    fn on_refusal(&mut self, now: f64, ended: Ended, reported: &TaskReport) {
+    fn on_refusal(&mut self, now: f64, ended: Ended, reported: &TaskStatus) {
         let Some(machine) = self.cluster.machines.get_mut(&ended.machine) else { return };
         machine.hold_until = now + AFTER_REFUSAL_S;
         tracing::warn!(
--- a/crates/gladekeel-controller/src/leader/gangs.rs
+++ b/crates/gladekeel-controller/src/leader/gangs.rs
@@ -1,7 +1,7 @@
 //! Gangs: their tasks share an attempt number, and are stopped together.
 
 use super::{AttemptId, Job, Leader, StopReason};
-use gladekeel_wire::worker::TaskReport;
+use gladekeel_wire::worker::TaskStatus;
 
 /// How long a place is looked for to replace a task of a gang that waits.
 const REPLACE_S: f64 = 5.0;
@@ -55,7 +55,7 @@
     }
 
     /// The attempt that a worker speaks of.
-    pub(super) fn attempt_id(&self, reported: &TaskReport) -> AttemptId {
+    pub(super) fn attempt_id(&self, reported: &TaskStatus) -> AttemptId {
         let job = self.job_names.get(&reported.task.job).and_then(|ix| self.jobs.get(&ix));
         match job {
             Some(job) if job.is_gang() => {
--- a/crates/gladekeel-controller/src/leader/job.rs
+++ b/crates/gladekeel-controller/src/leader/job.rs
@@ -2,11 +2,11 @@
 
 use super::{attempt::StopReason, catalog::Catalog};
 use crate::{keys::Bits, world::StoredJob};
-use gladekeel_sched::{Room, restart};
+use gladekeel_sched::{Resources, straggler};
 use gladekeel_wire::{
     JobId,
-    job::{JobSpec, JobState, Kind},
-    settings::Params,
+    job::{JobKind, JobSpec, JobState},
+    settings::Deployment,
 };
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -28,7 +28,7 @@
     /// Its team.
     pub team: u32,
     /// What a task takes.
-    pub room: Room,
+    pub room: Resources,
     /// Its image.
     pub image: u32,
     /// Allowed kinds.
@@ -88,9 +88,12 @@
             id,
             version: stored.version,
             team,
-            room: Room::taken(spec.cpus, spec.gpus, spec.memory_gb),
+            room: Resources::requested(spec.cpus, spec.gpus, spec.memory_gb),
             image: catalog.images.intern(&spec.image),
-            kinds: spec.types.as_ref().map(|types| types.iter().map(|t| catalog.kind(t)).collect()),
+            kinds: spec
+                .machine_types
+                .as_ref()
+                .map(|types| types.iter().map(|t| catalog.kind(t)).collect()),
             zone: spec.zone.as_ref().map(|zone| catalog.zones.intern(zone)),
             final_state: None,
             called_off: false,
@@ -122,7 +125,7 @@
 
     /// Whether its tasks run together or not at all.
     pub fn is_gang(&self) -> bool {
-        self.spec.kind == Kind::Gang
+        self.spec.kind == JobKind::Gang
     }
 
     /// Whether it needs nothing more: final, or all of its tasks done.
@@ -182,8 +185,8 @@
 
     /// How long after its submission the job should be complete: its deadline, the
     /// users' aim for its class, or else a few times what it runs.
-    pub fn due_s(&self, params: &Params, run_s: f64) -> f64 {
-        if self.spec.kind != Kind::Array {
+    pub fn due_s(&self, params: &Deployment, run_s: f64) -> f64 {
+        if self.spec.kind != JobKind::Array {
             // All of its tasks are wanted at once.
             return 0.0;
         }
@@ -197,7 +200,7 @@
 
     /// Whether it should start sooner than its image can be fetched, by the users'
     /// aim for its class, and still may if a machine that has the image takes it.
-    pub fn hurried(&self, params: &Params, fetch_s: f64, now: f64) -> bool {
+    pub fn hurried(&self, params: &Deployment, fetch_s: f64, now: f64) -> bool {
         let aims = params
             .objectives
             .iter()
@@ -209,7 +212,7 @@
     }
 
     /// Whether its users want its tasks to start within a time.
-    pub fn has_start_aim(&self, params: &Params) -> bool {
+    pub fn has_start_aim(&self, params: &Deployment) -> bool {
         let mut aims = params.objectives.iter();
         aims.any(|aim| aim.kind == "wait" && aim.class.as_deref() == Some(&self.spec.class))
     }
@@ -219,17 +222,17 @@
         let at_once = match why {
             // Room made for others is wanted at once, and the victim was chosen for how
             // little it loses since its last checkpoint. A gang is stopped last.
-            StopReason::Preempted => self.spec.kind != Kind::Gang,
+            StopReason::Preempted => self.spec.kind != JobKind::Gang,
             StopReason::Cancelled | StopReason::Regroup | StopReason::Incomplete => true,
             StopReason::Slow | StopReason::Drained => false,
         };
-        let saves = self.spec.checkpoint_s > 0.0 && !at_once;
+        let saves = self.spec.checkpoint_interval_s > 0.0 && !at_once;
         // More than the task asks for, so that a slower save is not cut off.
-        if saves { self.spec.save_s * 1.5 + 1.0 } else { 0.0 }
+        if saves { self.spec.checkpoint_write_s * 1.5 + 1.0 } else { 0.0 }
     }
 
     /// Median of its finished runs.
     pub fn median(&self) -> Option<f64> {
-        restart::median(&mut self.runs.clone())
+        straggler::median(&mut self.runs.clone())
     }
 }
--- a/crates/gladekeel-controller/src/leader/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/liveness.rs
@@ -39,13 +39,13 @@
         let workers = &self.params.workers;
         // A new leader may not know when the user was told; the machines that it hears
         // are given time to say that they have stopped.
-        let known_by = self.since + workers.late_s() + 2.0;
+        let known_by = self.since + workers.heartbeat_timeout_s() + 2.0;
         let mut over = Vec::new();
         self.ending.retain(|ix| {
             let Some(job) = self.jobs.get(ix) else { return false };
             let until = match job.cancelled_after {
                 f64::NEG_INFINITY => known_by,
-                after => after + workers.cancel_s - DELETE_S,
+                after => after + workers.cancellation_deadline_s - DELETE_S,
             };
             if now >= until {
                 let ids = self.attempts.of_job(*ix).ids();
@@ -137,17 +137,19 @@
 
     fn silence_limits(&self, now: f64, options: &Options) -> SilenceLimits {
         let workers = &self.params.workers;
-        let late_s = workers.late_s();
+        let late_s = workers.heartbeat_timeout_s();
         SilenceLimits {
-            ask_s: workers.ask_s(),
+            ask_s: workers.probe_after_s(),
             asks_unknown: self.cluster.machines.len() as f64
                 <= ASKED_A_CORE * self.params.limits.cpu_share,
             late_s,
             lease_s: workers.lease_s,
             silent_s: options.silent_s,
             mute_s: MUTE_REPORTS * late_s + MUTE_MARGIN_S,
-            cut_s: (workers.lease_s + 2.0 * options.silent_s).min(workers.cancel_s - GIVE_UP_S),
-            cancellations_due: now >= self.store_contact_at + workers.cancel_s - DELETE_S,
+            cut_s: (workers.lease_s + 2.0 * options.silent_s)
+                .min(workers.cancellation_deadline_s - GIVE_UP_S),
+            cancellations_due: now
+                >= self.store_contact_at + workers.cancellation_deadline_s - DELETE_S,
         }
     }
 }
--- a/crates/gladekeel-controller/src/leader/machine.rs
+++ b/crates/gladekeel-controller/src/leader/machine.rs
@@ -1,7 +1,7 @@
 //! A machine: what the cloud, its worker and the log say of it.
 
 use super::AttemptId;
-use gladekeel_sched::Room;
+use gladekeel_sched::Resources;
 use gladekeel_wire::{cloud::MachineState, worker::Command};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -115,7 +115,7 @@
     /// Attempts on it.
     pub attempts: BTreeSet<AttemptId>,
     /// What they take.
-    pub used: Room,
+    pub used: Resources,
     /// What the last answer to its report was to bring about.
     pub awaited: Awaited,
     /// Reports in a row that show nothing of what the answers before them said.
@@ -169,7 +169,7 @@
             hold_until: 0.0,
             idle_since: now,
             attempts: BTreeSet::new(),
-            used: Room::default(),
+            used: Resources::default(),
             awaited: Awaited::default(),
             unheard_answers: 0,
             unanswered: 0,
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -52,8 +52,10 @@
 pub use commit::LogRow;
 use contact::Contact;
 use direct::DirectQueue;
-use gladekeel_sched::{Interner, Room, place::Team};
-use gladekeel_wire::{JobId, cloud::MachineTypes, job::MAX_TASKS, settings::Params, state::Txn};
+use gladekeel_sched::{Interner, Resources, cycle::TeamQuota};
+use gladekeel_wire::{
+    JobId, cloud::MachineTypes, job::MAX_TASKS, settings::Deployment, store::Transaction,
+};
 use sizing::Demand;
 use standby::Standby;
 use std::{
@@ -141,7 +143,7 @@
     /// Time of day at time 0.
     pub epoch: f64,
     /// The deployment.
-    pub params: Rc<Params>,
+    pub params: Rc<Deployment>,
     /// A random number of its own.
     pub salt: u64,
 }
@@ -155,13 +157,13 @@
     since: f64,
     /// Time of day at time 0.
     epoch: f64,
-    params: Rc<Params>,
+    params: Rc<Deployment>,
     catalog: Catalog,
     cluster: ClusterState,
     jobs: BTreeMap<u32, Job>,
     job_names: Interner<JobId>,
     attempts: Attempts,
-    teams: Vec<Team>,
+    teams: Vec<TeamQuota>,
     commits: Commits,
     next_attempt: u64,
     timers: Timers,
@@ -203,10 +205,10 @@
         let teams = params
             .teams
             .iter()
-            .map(|team| Team {
-                guarantee: Room::offered(team.cpus, team.gpus, 0.0),
-                limit: Room::offered(team.cpus_max, team.gpus_max, 0.0),
-                used: Room::default(),
+            .map(|team| TeamQuota {
+                guaranteed: Resources::allocatable(team.cpus, team.gpus, 0.0),
+                limit: Resources::allocatable(team.cpus_max, team.gpus_max, 0.0),
+                used: Resources::default(),
             })
             .collect();
         let mut segments = rows
@@ -315,7 +317,11 @@
     }
 
     /// The next transaction, if one is due.
-    pub fn next_commit(&mut self, now: f64, budget: &mut gladekeel_store::Bucket) -> Option<Txn> {
+    pub fn next_commit(
+        &mut self,
+        now: f64,
+        budget: &mut gladekeel_store::TokenBucket,
+    ) -> Option<Transaction> {
         self.build_commit(now, budget)
     }
 
--- a/crates/gladekeel-controller/src/leader/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/preemption.rs
@@ -3,10 +3,10 @@
 use super::{Attempt, AttemptId, Job, Leader, Phase, StopReason, rounds::RoundInput};
 use crate::options::Options;
 use gladekeel_sched::{
-    preempt::{Victim, Victims},
-    restart,
+    preemption::{PreemptionCandidate, PreemptionCandidates},
+    straggler,
 };
-use gladekeel_wire::{job::Kind, worker::TaskState};
+use gladekeel_wire::{job::JobKind, worker::TaskState};
 use std::collections::{BTreeMap, HashMap};
 
 /// One in so many machines may have tasks stopped for others in a round.
@@ -35,17 +35,17 @@
             let Some(job) = self.jobs.get(&attempt.job) else { continue };
             let median = *medians.entry(attempt.job).or_insert_with(|| job.median());
             ids.push(*id);
-            runs.push(restart::Run {
+            runs.push(straggler::RunningTask {
                 machine: attempt.machine,
                 ran_s: now - since,
                 median_s: median,
-                may_restart: job.spec.kind == Kind::Array
+                may_restart: job.spec.kind == JobKind::Array
                     && attempt.stop.is_none()
                     && !job.restarted.has(attempt.index)
                     && attempt.seen == Some(TaskState::Running),
             });
         }
-        for slow in restart::slow(&runs, options.restart_multiple) {
+        for slow in straggler::find_stragglers(&runs, options.restart_multiple) {
             let id = ids[slow];
             self.attempts.update(id, |attempt| attempt.stop = Some(StopReason::Slow));
             if let Some(attempt) = self.attempts.get(id) {
@@ -67,7 +67,7 @@
         // What is being stopped already counts as free: it will be.
         let mut input = self.round_input(now, true);
         let (tasks, gangs) = self.preemptible(now, &mut input);
-        input.round.place(&options.hopper);
+        input.round.run(&options.hopper);
         let stopped = self.choose_victims(now, options, &mut input, tasks);
         if stopped.is_empty() {
             // Gangs are stopped last, one at a time, and each as a whole.
@@ -99,13 +99,17 @@
         open.any(|(ix, job)| {
             let team = &self.teams[job.team as usize];
             self.may_preempt(*ix, now, options)
-                && (Some(job.spec.priority as u8) > lowest || team.guarantees(job.room))
+                && (Some(job.spec.priority as u8) > lowest || team.within_guarantee(job.room))
         })
     }
 
     /// What could be stopped: single tasks, and gangs by the machines that they are on.
     /// Counts the room of what is being stopped as free.
-    fn preemptible(&self, now: f64, input: &mut RoundInput) -> (Vec<Victim>, Vec<Victim>) {
+    fn preemptible(
+        &self,
+        now: f64,
+        input: &mut RoundInput,
+    ) -> (Vec<PreemptionCandidate>, Vec<PreemptionCandidate>) {
         let index: HashMap<u32, usize> =
             input.machines.iter().enumerate().map(|(at, ix)| (*ix, at)).collect();
         let (mut tasks, mut gangs) = (Vec::new(), BTreeMap::new());
@@ -127,11 +131,11 @@
                 tasks.push(victim);
             } else if job.pending.is_empty() && self.all_heard(attempt.job, now, &mut heard) {
                 // One task of a gang cannot be stopped without all.
-                let loss = victim.loss * f64::from(job.spec.tasks);
+                let loss = victim.lost_work * f64::from(job.spec.tasks);
                 gangs
                     .entry((attempt.job, machine))
-                    .and_modify(|all: &mut Victim| all.task += attempt.room)
-                    .or_insert(Victim { loss, ..victim });
+                    .and_modify(|all: &mut PreemptionCandidate| all.resources += attempt.room)
+                    .or_insert(PreemptionCandidate { lost_work: loss, ..victim });
             }
         }
         (tasks, gangs.into_values().collect())
@@ -143,12 +147,12 @@
         now: f64,
         options: &Options,
         input: &mut RoundInput,
-        tasks: Vec<Victim>,
+        tasks: Vec<PreemptionCandidate>,
     ) -> Vec<AttemptId> {
         let most = (input.machines.len() / STOPPING).max(LEAST_STOPPED);
-        let mut victims = Victims::new(input.machines.len(), tasks);
+        let mut victims = PreemptionCandidates::new(input.machines.len(), tasks);
         let (mut stopped, mut gangs) = (Vec::new(), 0);
-        for at in input.round.order() {
+        for at in input.round.job_order() {
             let ix = input.jobs[at];
             let job = &input.round.jobs[at];
             let left = most.saturating_sub(stopped.len());
@@ -161,12 +165,12 @@
             if job.gang {
                 if job.pending == job.remaining && gangs < GANGS_AT_ONCE {
                     gangs += 1;
-                    stopped.extend(victims.stop_for_gang(&mut input.round, at, left, saving));
+                    stopped.extend(victims.preempt_for_gang(&mut input.round, at, left, saving));
                 }
                 continue;
             }
-            let hurried = job.hurried;
-            stopped.extend(victims.stop_for(&mut input.round, at, left, saving));
+            let hurried = job.requires_cached_image;
+            stopped.extend(victims.preempt_for(&mut input.round, at, left, saving));
             if hurried
                 && input.round.jobs[at].pending > 0
                 && stopped.len() < most
@@ -185,16 +189,16 @@
         now: f64,
         options: &Options,
         input: &mut RoundInput,
-        gangs: Vec<Victim>,
+        gangs: Vec<PreemptionCandidate>,
     ) {
-        let mut victims = Victims::new(input.machines.len(), gangs);
-        let claimant = input.round.order().into_iter().find(|at| {
+        let mut victims = PreemptionCandidates::new(input.machines.len(), gangs);
+        let claimant = input.round.job_order().into_iter().find(|at| {
             let waited_s = self.waited_for_room(input.jobs[*at], now).unwrap_or(0.0);
             let job = &input.round.jobs[*at];
             job.pending > 0 && !job.gang && waited_s >= options.preempt_after_s
         });
         let Some(claimant) = claimant else { return };
-        let stopped = victims.stop_for(&mut input.round, claimant, 1, false);
+        let stopped = victims.preempt_for(&mut input.round, claimant, 1, false);
         let stopped = stopped.first().copied().map(AttemptId::from_logged);
         let attempt = stopped.and_then(|id| self.attempts.get(id));
         let Some(ix) = attempt.map(|attempt| attempt.job) else { return };
@@ -221,18 +225,24 @@
 
 /// A task as one that could be stopped. What it has saved is not lost; work counts by the
 /// CPUs that it takes.
-fn victim(now: f64, id: AttemptId, attempt: &Attempt, job: &Job, machine: usize) -> Victim {
+fn victim(
+    now: f64,
+    id: AttemptId,
+    attempt: &Attempt,
+    job: &Job,
+    machine: usize,
+) -> PreemptionCandidate {
     let ran_s = attempt.run_since.map_or(0.0, |since| now - since);
-    let checkpoint_s = job.spec.checkpoint_s;
+    let checkpoint_s = job.spec.checkpoint_interval_s;
     let saves = checkpoint_s > 0.0;
     let lost_s = if saves { ran_s % checkpoint_s } else { ran_s };
-    Victim {
+    PreemptionCandidate {
         id: id.logged(),
         machine,
         team: job.team,
         priority: job.spec.priority as u8,
-        task: attempt.room,
-        loss: lost_s * job.spec.cpus,
-        saves,
+        resources: attempt.room,
+        lost_work: lost_s * job.spec.cpus,
+        checkpoints: saves,
     }
 }
--- a/crates/gladekeel-controller/src/leader/report.rs
+++ b/crates/gladekeel-controller/src/leader/report.rs
@@ -4,7 +4,7 @@
     AttemptId, Job, Leader, Machine, Phase, StopReason, attempt::Outcome, machine::Awaited,
 };
 use gladekeel_wire::TaskId;
-use gladekeel_wire::worker::{Command, Report, ReportAnswer, TaskReport, TaskState};
+use gladekeel_wire::worker::{Command, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Commands in one answer; a line must stay below 64 KiB.
@@ -17,7 +17,7 @@
 impl Leader {
     /// Applies what a report says of its machine. Returns the machine if the report is
     /// newer than all that were received from it.
-    pub(super) fn apply_report(&mut self, now: f64, report: &Report) -> Option<u32> {
+    pub(super) fn apply_report(&mut self, now: f64, report: &Heartbeat) -> Option<u32> {
         if self.cluster.cloud.is_gone(&report.machine) {
             return None;
         }
@@ -29,20 +29,20 @@
             Machine::new(&report.machine, now)
         });
         // Reports may come late and out of order; only a newer one says anything.
-        if (report.session, report.seq) <= machine.newest {
+        if (report.incarnation, report.sequence) <= machine.newest {
             return None;
         }
         if machine.heard_at.is_none() {
             self.timers.request_round();
         }
-        if report.session > machine.newest.0 {
+        if report.incarnation > machine.newest.0 {
             machine.open_starts.clear();
             if machine.heard_at.is_some() {
                 // It reported all the while and its lease ran out: it does not hear.
                 machine.unheard_answers = machine.unheard_answers.max(MAX_UNHEARD_ANSWERS);
             }
         }
-        machine.newest = (report.session, report.seq);
+        machine.newest = (report.incarnation, report.sequence);
         machine.token = machine.token.max(report.token);
         machine.heard_at = Some(now);
         self.contact.heard(zone, now);
@@ -54,7 +54,7 @@
         machine.spot = report.spot;
         machine.addr = Some(report.addr.clone());
         machine.confirmed |= report.token == self.token;
-        if let Some(notice) = report.notice_s {
+        if let Some(notice) = report.termination_notice_s {
             if machine.leaves_at.is_none() {
                 tracing::info!(machine = machine.name, notice, "notice: the cloud takes a machine");
                 self.timers.request_round();
@@ -63,7 +63,7 @@
             self.cluster.leaving.insert(ix);
         }
         for id in machine.attempts.clone() {
-            if self.attempts.get(id).is_some_and(|attempt| attempt.session < report.session) {
+            if self.attempts.get(id).is_some_and(|attempt| attempt.session < report.incarnation) {
                 // A newer session: the worker has killed and forgotten everything before it.
                 self.release(id, Outcome::Again);
             }
@@ -74,37 +74,42 @@
 
     /// Records that a report came, whatever is answered to it: its machine reaches a
     /// controller. While leases may not be renewed, that is all that is known.
-    pub fn note_report(&mut self, now: f64, report: &Report) {
+    pub fn note_report(&mut self, now: f64, report: &Heartbeat) {
         let ix = self.cluster.machine_names.get(report.machine.as_str());
         if let Some(machine) = ix.and_then(|ix| self.cluster.machines.get_mut(&ix)) {
-            machine.reported = (now, report.session.max(machine.reported.1));
+            machine.reported = (now, report.incarnation.max(machine.reported.1));
             machine.answers_since = None;
         }
     }
 
     /// Applies a report and answers it. `may_start` is false while nothing new
     /// may be started, since the store was not heard of for too long.
-    pub fn on_report(&mut self, now: f64, report: &Report, may_start: bool) -> ReportAnswer {
-        let mut answer = ReportAnswer { token: self.token, commands: Vec::new() };
+    pub fn on_report(
+        &mut self,
+        now: f64,
+        report: &Heartbeat,
+        may_start: bool,
+    ) -> HeartbeatResponse {
+        let mut answer = HeartbeatResponse { token: self.token, commands: Vec::new() };
         let Some(ix) = self.apply_report(now, report) else { return answer };
         self.note_report(now, report);
         // A report under our token was made after the worker saw it, so commands
         // of older tokens are dead; and since the worker has one report in flight
         // and takes answers in turn, so are our own earlier answers.
         let settled = report.token == self.token;
-        let mut reported: BTreeMap<AttemptId, &TaskReport> =
+        let mut reported: BTreeMap<AttemptId, &TaskStatus> =
             report.tasks.iter().map(|task| (self.attempt_id(task), task)).collect();
         self.check_answer_was_heard(ix, settled, &reported);
         let here = self.cluster.machines.get(&ix).map(|m| m.attempts.clone()).unwrap_or_default();
         for id in here {
             let Some(attempt) = self.attempts.get(id) else { continue };
-            if attempt.session != report.session {
+            if attempt.session != report.incarnation {
                 // Of an earlier session, and released; or the report was held back since
                 // before the session in which it was placed.
                 reported.remove(&id);
                 continue;
             }
-            let is_own = |task: &&TaskReport| {
+            let is_own = |task: &&TaskStatus| {
                 task.task.index == attempt.index
                     && self.job_names.name(attempt.job) == &task.task.job
             };
@@ -135,7 +140,7 @@
         &mut self,
         ix: u32,
         settled: bool,
-        reported: &BTreeMap<AttemptId, &TaskReport>,
+        reported: &BTreeMap<AttemptId, &TaskStatus>,
     ) {
         let Some(machine) = self.cluster.machines.get_mut(&ix) else { return };
         let awaited = std::mem::take(&mut machine.awaited);
@@ -235,7 +240,7 @@
     }
 
     /// Applies a task's reported state; returns whether the task has ended.
-    pub(super) fn on_reported(&mut self, now: f64, id: AttemptId, reported: &TaskReport) -> bool {
+    pub(super) fn on_reported(&mut self, now: f64, id: AttemptId, reported: &TaskStatus) -> bool {
         let live = self.attempts.update(id, |attempt| {
             let live = attempt.phase == Phase::Live;
             if live {
@@ -279,7 +284,7 @@
         &mut self,
         machine: u32,
         attempt: AttemptId,
-        task: &TaskReport,
+        task: &TaskStatus,
         settled: bool,
         commands: &mut Vec<Command>,
     ) {
@@ -302,7 +307,7 @@
 #[derive(Debug, Clone, Copy)]
 struct TaskSeen<'a> {
     /// The task, if it is on the machine.
-    reported: Option<&'a TaskReport>,
+    reported: Option<&'a TaskStatus>,
     /// The report was made under this leader's token, after every earlier answer.
     settled: bool,
     /// New tasks may be started.
--- a/crates/gladekeel-controller/src/leader/rounds.rs
+++ b/crates/gladekeel-controller/src/leader/rounds.rs
@@ -2,8 +2,8 @@
 
 use super::{Attempt, AttemptId, Job, Leader, Phase};
 use crate::options::Options;
-use gladekeel_sched::place;
-use gladekeel_wire::job::Kind;
+use gladekeel_sched::cycle;
+use gladekeel_wire::job::JobKind;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A job that has waited for longer with nothing on any machine goes first.
@@ -14,7 +14,7 @@
 
 /// A round with the leader's indices beside its own.
 pub(super) struct RoundInput {
-    pub round: place::Round,
+    pub round: cycle::SchedulingCycle,
     pub jobs: Vec<u32>,
     pub machines: Vec<u32>,
 }
@@ -32,13 +32,13 @@
         let mut input = self.round_input(now, overdue_gang);
         let mut gangs: BTreeMap<u32, u64> = BTreeMap::new();
         let pending: u32 = input.round.jobs.iter().map(|job| job.pending).sum();
-        let placements = input.round.place(&options.hopper);
-        self.cluster.counts.looked += input.round.looked;
+        let placements = input.round.run(&options.hopper);
+        self.cluster.counts.looked += input.round.machines_examined;
         tracing::debug!(
             machines = input.machines.len(),
             pending,
             placed = placements.len(),
-            most = input.round.most,
+            most = input.round.max_bindings,
             "round"
         );
         for placement in placements {
@@ -66,7 +66,11 @@
     pub(super) fn round_input(&self, now: f64, full: bool) -> RoundInput {
         let most = self.commits.batch(&self.params);
         let mut input = RoundInput {
-            round: place::Round { most, teams: self.teams.clone(), ..Default::default() },
+            round: cycle::SchedulingCycle {
+                max_bindings: most,
+                teams: self.teams.clone(),
+                ..Default::default()
+            },
             jobs: Vec::new(),
             machines: Vec::new(),
         };
@@ -79,7 +83,7 @@
     }
 
     fn add_machines(&self, input: &mut RoundInput, now: f64, full: bool) {
-        let late_s = self.params.workers.late_s();
+        let late_s = self.params.workers.heartbeat_timeout_s();
         let quiet: BTreeSet<u32> = self.contact.quiet_zones(now).collect();
         // What is kept for gangs is given up before anybody has waited too long for it.
         let keeps_standby = !self.is_any_array_starved(now);
@@ -89,7 +93,7 @@
             if machine.leaving() || machine.heard_at.is_none() {
                 continue;
             }
-            input.round.whole += whole;
+            input.round.total_capacity += whole;
             let free = whole - machine.used;
             // One that answers and does not report will lose its tasks with its lease.
             let open = now - machine.quiet_since.min(machine.reported.0) < late_s
@@ -100,21 +104,21 @@
                 continue;
             }
             input.machines.push(*ix);
-            input.round.machines.push(place::Machine {
-                whole,
+            input.round.machines.push(cycle::SchedulableMachine {
+                capacity: whole,
                 free,
-                kind,
+                machine_type: kind,
                 zone,
                 spot: machine.spot,
-                images: machine.images.iter().map(|(image, _)| *image).collect(),
-                ready: machine.ready.iter().copied().collect(),
+                cached_or_fetching: machine.images.iter().map(|(image, _)| *image).collect(),
+                cached_images: machine.ready.iter().copied().collect(),
                 // Whether one of its tasks waits for an image, as far as known.
                 fetching: self
                     .attempts
                     .images_not_run(*ix)
                     .any(|image| !machine.ready.contains(&image)),
-                open,
-                standby: machine.standby && keeps_standby,
+                schedulable: open,
+                warm_pool: machine.standby && keeps_standby,
             });
         }
     }
@@ -130,36 +134,37 @@
         })
     }
 
-    fn round_job(&self, ix: u32, job: &Job, now: f64) -> place::Job {
+    fn round_job(&self, ix: u32, job: &Job, now: f64) -> cycle::SchedulableJob {
         // After a takeover the zone of a machine may not be known yet; jobs whose
         // tasks must be in certain zones relative to one another wait for it.
-        let zones_matter = job.spec.one_zone || job.spec.spread;
+        let zones_matter = job.spec.single_zone || job.spec.spread;
         let held = now < job.hold_until || (zones_matter && job.zone_unknown > 0);
-        let array = job.spec.kind == Kind::Array;
+        let array = job.spec.kind == JobKind::Array;
         // A gang that waits has nothing on any machine; of an array that is so as
         // long as its share rounds down to nothing or room comes in small pieces.
         let nowhere = self.attempts.of_job(ix).is_empty();
-        let idle = (!array || nowhere) && job.spec.kind != Kind::Service;
+        let idle = (!array || nowhere) && job.spec.kind != JobKind::Service;
         let waited = job.waits_since.filter(|_| idle).map_or(0.0, |since| now - since);
-        place::Job {
+        cycle::SchedulableJob {
             team: job.team,
             priority: job.spec.priority as u8,
-            task: job.room,
+            task_request: job.room,
             remaining: job.remaining(),
             pending: if held { 0 } else { job.pending.len() as u32 },
-            restarts: if held { 0 } else { job.restarts },
+            speculative_restarts: if held { 0 } else { job.restarts },
             image: job.image,
-            kinds: job.kinds.clone(),
+            machine_types: job.kinds.clone(),
             zone: job.zone,
-            one_zone: job.spec.one_zone,
-            zone_cap: if job.spec.spread { job.spec.tasks.div_ceil(2) } else { u32::MAX },
+            single_zone: job.spec.single_zone,
+            max_tasks_per_zone: if job.spec.spread { job.spec.tasks.div_ceil(2) } else { u32::MAX },
             spot: job.spec.spot,
-            by_zone: job.by_zone.clone(),
+            tasks_by_zone: job.by_zone.clone(),
             gang: job.is_gang(),
-            completes: !nowhere && self.still_waits(ix),
+            replaces_gang_members: !nowhere && self.still_waits(ix),
             // A gang looks for the image before all else, in any case.
-            hurried: !job.is_gang() && job.hurried(&self.params, self.fetch_s(job), now),
-            overdue: (waited - PATIENCE_S).max(0.0).ceil() as u32,
+            requires_cached_image: !job.is_gang()
+                && job.hurried(&self.params, self.fetch_s(job), now),
+            overdue_s: (waited - PATIENCE_S).max(0.0).ceil() as u32,
         }
     }
 
--- a/crates/gladekeel-controller/src/leader/sizing.rs
+++ b/crates/gladekeel-controller/src/leader/sizing.rs
@@ -3,8 +3,8 @@
 use super::{Job, Leader, cloud_calls::Pool, machine::DeletionReason};
 use crate::options::Options;
 use gladekeel_sched::{
-    Room,
-    fleet::{Flow, Need, Plan, Sizer, Supply},
+    Resources,
+    autoscaling::{ArrivalRate, Autoscaler, JobDemand, ScalingPlan, Supply},
 };
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,9 +15,9 @@
 #[derive(Debug, Default)]
 pub(super) struct Demand {
     /// By type, for all its machines and for its ordinary ones alone.
-    sizers: HashMap<(u32, bool), Sizer>,
+    sizers: HashMap<(u32, bool), Autoscaler>,
     /// Work that came lately, by type and class, and as of when.
-    arrived: BTreeMap<(u32, String), Flow>,
+    arrived: BTreeMap<(u32, String), ArrivalRate>,
     arrived_at: f64,
 }
 
@@ -30,9 +30,11 @@
     }
 
     /// Work of each class that goes on coming, for a type.
-    fn flows(&self, kind: u32) -> Vec<Flow> {
+    fn flows(&self, kind: u32) -> Vec<ArrivalRate> {
         let of_kind = self.arrived.iter().filter(|((of, _), _)| *of == kind);
-        of_kind.map(|(_, flow)| Flow { machines: flow.machines / ARRIVALS_S, ..*flow }).collect()
+        of_kind
+            .map(|(_, flow)| ArrivalRate { machines: flow.machines / ARRIVALS_S, ..*flow })
+            .collect()
     }
 }
 
@@ -40,9 +42,9 @@
 #[derive(Debug, Default)]
 struct KindPlans {
     /// For all work, on machines of any kind.
-    any: Plan,
+    any: ScalingPlan,
     /// For work that may not use spot machines, on ordinary ones.
-    ordinary: Plan,
+    ordinary: ScalingPlan,
 }
 
 /// How many idle machines may go back.
@@ -59,8 +61,9 @@
             let have = supply.up + supply.booting.len() as f64;
             (have - bound.round()).max(0.0) as usize
         };
-        let spare_ordinary = over(ordinary, self.ordinary.need).min(over(any, self.any.need));
-        let spare_spot = over(any, self.any.keep).saturating_sub(spare_ordinary);
+        let spare_ordinary =
+            over(ordinary, self.ordinary.required).min(over(any, self.any.required));
+        let spare_spot = over(any, self.any.retain).saturating_sub(spare_ordinary);
         Spare { ordinary: spare_ordinary, spot: spare_spot }
     }
 }
@@ -104,25 +107,25 @@
 
     /// What unfinished jobs need, by machine type; with it whether they may use
     /// spot machines.
-    fn needs(&self, now: f64) -> BTreeMap<u32, Vec<(bool, Need)>> {
-        let mut needs: BTreeMap<u32, Vec<(bool, Need)>> = BTreeMap::new();
+    fn needs(&self, now: f64) -> BTreeMap<u32, Vec<(bool, JobDemand)>> {
+        let mut needs: BTreeMap<u32, Vec<(bool, JobDemand)>> = BTreeMap::new();
         let mut left: Vec<_> = self.teams.iter().map(|team| team.limit).collect();
         for (ix, job) in self.jobs.iter().filter(|(_, job)| !job.over()) {
             let Some((kind, fits)) = self.kind_for(job) else { continue };
             let allowed = job.room.times_in(
-                Room { memory: i64::MAX / 4, ..left[job.team as usize] },
+                Resources { memory: i64::MAX / 4, ..left[job.team as usize] },
                 job.remaining(),
             );
             left[job.team as usize] -= job.room * i64::from(allowed);
             let running = (self.attempts.of_job(*ix).len() as u32).min(allowed);
             let pending = if now < job.hold_until { 0 } else { allowed - running };
             let run_s = self.expected_run(job);
-            let need = Need {
+            let need = JobDemand {
                 pending: f64::from(pending) / f64::from(fits),
                 running: f64::from(running) / f64::from(fits),
                 run_s,
-                left_s: job.due_s(&self.params, run_s) - (now - job.known_at),
-                together: job.is_gang(),
+                time_left_s: job.due_s(&self.params, run_s) - (now - job.known_at),
+                gang: job.is_gang(),
             };
             needs.entry(kind).or_default().push((job.spec.spot, need));
         }
@@ -199,7 +202,7 @@
         (any, ordinary)
     }
 
-    fn size_kind(&mut self, now: f64, options: &Options, kind: u32, needs: &[(bool, Need)]) {
+    fn size_kind(&mut self, now: f64, options: &Options, kind: u32, needs: &[(bool, JobDemand)]) {
         let Some(machine_type) = self.catalog.machine_type(kind) else { return };
         let boot_s = machine_type.boot_s;
         let (any, ordinary) = self.supply(now, kind, boot_s, options.silent_s);
@@ -208,9 +211,9 @@
             kind,
             up = any.up,
             booting = any.booting.len(),
-            rent = plans.any.rent,
-            need = plans.any.need,
-            keep = plans.any.keep,
+            rent = plans.any.scale_out,
+            need = plans.any.required,
+            keep = plans.any.retain,
             pending = needs.iter().map(|(_, need)| need.pending).sum::<f64>(),
             running = needs.iter().map(|(_, need)| need.running).sum::<f64>(),
             "fleet"
@@ -228,15 +231,15 @@
         now: f64,
         options: &Options,
         kind: u32,
-        needs: &[(bool, Need)],
+        needs: &[(bool, JobDemand)],
         [any, ordinary]: [&Supply; 2],
     ) -> KindPlans {
         let Some(machine_type) = self.catalog.machine_type(kind) else {
             return KindPlans::default();
         };
         let boot_s = machine_type.boot_s;
-        let all: Vec<Need> = needs.iter().map(|(_, need)| *need).collect();
-        let no_spot: Vec<Need> =
+        let all: Vec<JobDemand> = needs.iter().map(|(_, need)| *need).collect();
+        let no_spot: Vec<JobDemand> =
             needs.iter().filter(|(spot, _)| !spot).map(|(_, need)| *need).collect();
         let demand = &mut self.cluster.demand;
         let flows = demand.flows(kind);
@@ -247,7 +250,7 @@
         let ordinary = sizer.plan(now, &no_spot, ordinary, &[], boot_s, sizing);
         let mut plans = KindPlans { any, ordinary };
         let standby = f64::from(self.cluster.standby.wanted(kind));
-        plans.ordinary.need = plans.ordinary.need.max(standby);
+        plans.ordinary.required = plans.ordinary.required.max(standby);
         plans
     }
 
@@ -256,8 +259,8 @@
     fn want_rentals(&mut self, now: f64, kind: u32, plans: &KindPlans) {
         let Some(machine_type) = self.catalog.machine_type(kind) else { return };
         let may_spot = machine_type.spot_price.is_some();
-        let need = plans.any.rent.ceil() as usize;
-        let need_ordinary = (plans.ordinary.rent.ceil() as usize).min(need);
+        let need = plans.any.scale_out.ceil() as usize;
+        let need_ordinary = (plans.ordinary.scale_out.ceil() as usize).min(need);
         let spot_zones =
             if may_spot { self.zones_with_capacity(now, kind, true) } else { Vec::new() };
         self.spread_rentals(kind, true, &spot_zones, need.saturating_sub(need_ordinary));
--- a/crates/gladekeel-controller/src/leader/spend.rs
+++ b/crates/gladekeel-controller/src/leader/spend.rs
@@ -46,7 +46,7 @@
             } else {
                 let (mut running, mut waiting) = (0.0, 0.0);
                 for attempt in machine.attempts.iter().filter_map(|id| self.attempts.get(*id)) {
-                    let part = attempt.room.share_of(whole);
+                    let part = attempt.room.dominant_share_of(whole);
                     match attempt.seen {
                         Some(TaskState::Running) => running += part,
                         _ => waiting += part,
--- a/crates/gladekeel-controller/src/leader/zone_bound.rs
+++ b/crates/gladekeel-controller/src/leader/zone_bound.rs
@@ -46,7 +46,7 @@
             let (Some(kind), Some(zone)) = (machine.kind, machine.zone) else { continue };
             let Some(whole) = self.catalog.room(kind) else { continue };
             if machine.spot == spot && !machine.leaving() {
-                let used = machine.used.share_of(whole).min(1.0);
+                let used = machine.used.dominant_share_of(whole).min(1.0);
                 *room.entry((kind, zone)).or_default() += 1.0 - used;
             }
         }
@@ -75,5 +75,5 @@
 /// The only zone in which further tasks of a job may be, if there is only one.
 fn bound_zone(job: &Job) -> Option<u32> {
     let held = || job.by_zone.iter().position(|tasks| *tasks > 0).map(|zone| zone as u32);
-    job.zone.or_else(|| held().filter(|_| job.spec.one_zone))
+    job.zone.or_else(|| held().filter(|_| job.spec.single_zone))
 }
--- a/crates/gladekeel-controller/src/node/budgets.rs
+++ b/crates/gladekeel-controller/src/node/budgets.rs
@@ -1,7 +1,7 @@
 //! Parts of the services' limits that this node keeps to.
 
-use gladekeel_store::Bucket;
-use gladekeel_wire::settings::{Params, State};
+use gladekeel_store::TokenBucket;
+use gladekeel_wire::settings::{Deployment, StoreLimits};
 
 /// Part of the rate of requests that a node uses; its bursts come to the rest.
 const STEADY_REQUESTS: f64 = 0.6;
@@ -16,27 +16,27 @@
 #[derive(Debug)]
 pub(crate) struct Budgets {
     /// Requests to the state service.
-    pub requests: Bucket,
+    pub requests: TokenBucket,
     /// Writes for users and operators.
-    pub user_writes: Bucket,
+    pub user_writes: TokenBucket,
     /// Writes as the leader.
     pub leader_writes: LeaderWrites,
     /// Requests to the cloud.
-    pub cloud: Bucket,
+    pub cloud: TokenBucket,
 }
 
 impl Budgets {
     /// Budgets by the limits that are kept to in `params`; `today` are the state service's
     /// limits until those that it will have apply.
-    pub fn new(params: &Params, today: &State) -> Budgets {
-        let share = params.state.rps / f64::from(params.count.max(1));
-        let users = params.state.write_rps * USERS_PART;
+    pub fn new(params: &Deployment, today: &StoreLimits) -> Budgets {
+        let share = params.store.rps / f64::from(params.controllers.max(1));
+        let users = params.store.write_rps * USERS_PART;
         let cloud = params.cloud.rps * CLOUD_PART;
         Budgets {
-            requests: Bucket::new(share * STEADY_REQUESTS, share * (1.0 - STEADY_REQUESTS)),
-            user_writes: Bucket::new(users.max(0.5), users.max(1.0)),
-            leader_writes: LeaderWrites::new(params.state.write_rps, today.write_rps),
-            cloud: Bucket::new(cloud, cloud.max(1.0)),
+            requests: TokenBucket::new(share * STEADY_REQUESTS, share * (1.0 - STEADY_REQUESTS)),
+            user_writes: TokenBucket::new(users.max(0.5), users.max(1.0)),
+            leader_writes: LeaderWrites::new(params.store.write_rps, today.write_rps),
+            cloud: TokenBucket::new(cloud, cloud.max(1.0)),
         }
     }
 }
@@ -46,7 +46,7 @@
 /// its limit is only told to slow down: today's rate is used until then.
 #[derive(Debug)]
 pub(crate) struct LeaderWrites {
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// The rate that will come, or today's if none will.
     kept_rate: f64,
     today_rate: f64,
@@ -68,12 +68,12 @@
         LeaderWrites { bucket, kept_rate, today_rate, retry_at: None }
     }
 
-    fn bucket(rate: f64) -> Bucket {
-        Bucket::new(rate * LeaderWrites::PART, rate * LeaderWrites::BURST)
+    fn bucket(rate: f64) -> TokenBucket {
+        TokenBucket::new(rate * LeaderWrites::PART, rate * LeaderWrites::BURST)
     }
 
     /// The bucket to take from now.
-    pub fn bucket_at(&mut self, now: f64) -> &mut Bucket {
+    pub fn bucket_at(&mut self, now: f64) -> &mut TokenBucket {
         if self.retry_at.is_some_and(|at| now >= at) {
             self.retry_at = None;
             self.use_rate(now, self.today_rate);
--- a/crates/gladekeel-controller/src/node/events.rs
+++ b/crates/gladekeel-controller/src/node/events.rs
@@ -5,8 +5,8 @@
     cloud::{CloudCall, CloudOutcome},
     leader::{DirectCall, DirectOutcome},
 };
-use gladekeel_store::{Call, Outcome};
-use gladekeel_wire::mesh::{Header, Kind};
+use gladekeel_store::{StoreOutcome, StoreRequest};
+use gladekeel_wire::mesh::{FrameHeader, FrameKind};
 
 /// Names a request of a user or worker until it is answered.
 pub type RequestId = u64;
@@ -32,7 +32,7 @@
         /// The call.
         call: CallId,
         /// What came of it.
-        outcome: Outcome,
+        outcome: StoreOutcome,
     },
     /// A call to the cloud ended.
     Cloud {
@@ -51,9 +51,9 @@
     /// A frame from another controller.
     Mesh {
         /// Its head.
-        header: Header,
+        header: FrameHeader,
         /// What it is for.
-        kind: Kind,
+        kind: FrameKind,
         /// Its payload.
         payload: Vec<u8>,
     },
@@ -76,7 +76,7 @@
         /// To be named in the event.
         call: CallId,
         /// The call.
-        request: Call,
+        request: StoreRequest,
         /// How long to wait.
         limit_s: f64,
     },
--- a/crates/gladekeel-controller/src/node/mod.rs
+++ b/crates/gladekeel-controller/src/node/mod.rs
@@ -24,11 +24,11 @@
     world::World,
 };
 use budgets::Budgets;
-use gladekeel_store::{Call, Replica};
+use gladekeel_store::{Replica, StoreRequest};
 use gladekeel_wire::{
-    mesh::{Hello, Kind, LEVEL},
-    settings::{Params, Settings},
-    state::Row,
+    mesh::{FrameKind, PROTOCOL_LEVEL, PeerHeartbeat},
+    settings::{Deployment, Settings},
+    store::KeyValue,
 };
 pub(crate) use queue::Then;
 use queue::{UserQueue, UserWrite, Waiter};
@@ -105,7 +105,7 @@
 struct Takeover {
     /// Its token. Nobody else can change the log while it stands.
     token: u64,
-    rows: Vec<Row>,
+    rows: Vec<KeyValue>,
     flying: bool,
     not_before: f64,
     /// What is known from leading under a lower token.
@@ -115,7 +115,7 @@
 /// A controller node.
 pub struct Node {
     pub(crate) settings: Rc<Settings>,
-    pub(crate) params: Rc<Params>,
+    pub(crate) params: Rc<Deployment>,
     record: LeaderRecord,
     place: u32,
     epoch: f64,
@@ -124,7 +124,7 @@
     pub(crate) options: Options,
     pub(crate) replica: Replica,
     pub(crate) world: World,
-    calls: BTreeMap<CallId, (Purpose, Call, f64)>,
+    calls: BTreeMap<CallId, (Purpose, StoreRequest, f64)>,
     cloud_calls: BTreeMap<CallId, (u64, CloudCall)>,
     /// Answers of the cloud that came between two tokens of this node.
     held_answers: Vec<(CloudCall, CloudOutcome)>,
@@ -181,8 +181,8 @@
     /// names the incarnation. `epoch` is the time of day at the start, in seconds.
     pub fn new(settings: Settings, seed: u64, epoch: f64) -> Node {
         let settings = Rc::new(settings);
-        let mut params = settings.params.clone();
-        params.state = params.state.kept();
+        let mut params = settings.deployment.clone();
+        params.store = params.store.lowest();
         let params = Rc::new(params);
         let mut rng = StdRng::seed_from_u64(seed);
         let run = rng.random();
@@ -211,14 +211,14 @@
             contact: None,
             state_down: false,
             readings: Readings::default(),
-            users: UserQueue::new(params.state.txn_ops),
+            users: UserQueue::new(params.store.txn_ops),
             election: Election::default(),
             leader: None,
             takeover: None,
             spent: 0,
             reports: Reports::new(&params, settings.peers.len()),
             max_direct: Sockets::of(&params.limits).calls,
-            budgets: Budgets::new(&params, &settings.params.state),
+            budgets: Budgets::new(&params, &settings.deployment.store),
             resigned: 0,
             hello_at: 0.0,
             counts_at: 0.0,
@@ -277,7 +277,7 @@
     /// Whether leases may be renewed: see `docs/safety.md`, "Keeping leases alive".
     fn may_renew_leases(&self, now: f64) -> bool {
         let workers = &self.params.workers;
-        let bound = workers.cancel_s - workers.lease_s - MARGIN_S;
+        let bound = workers.cancellation_deadline_s - workers.lease_s - MARGIN_S;
         self.contact.is_some_and(|at| now - at < bound)
     }
 
@@ -359,11 +359,12 @@
             self.hello_at = now;
             let contact = self.contact.map_or(u32::MAX, |at| ((now - at) * 1000.0) as u32);
             let leads = self.leader.as_ref().map_or(0, |leader| leader.token);
-            let hello = Hello { contact_ms: contact.into(), leads: leads.into() };
+            let hello =
+                PeerHeartbeat { store_contact_age_ms: contact.into(), leader_token: leads.into() };
             for peer in 0..self.peers.len() {
                 // Versions without a level get no number either.
                 let run = if self.peers[peer].level > 0 { self.record.run } else { 0 };
-                self.send(peer, Kind::Hello, LEVEL, run, hello.as_bytes());
+                self.send(peer, FrameKind::PeerHeartbeat, PROTOCOL_LEVEL, run, hello.as_bytes());
             }
             // The store tells of them in its own time; one that it never tells of was
             // no job of this deployment.
@@ -380,8 +381,8 @@
         let (all, quiet) = leader.silence(now);
         let workers = &self.params.workers;
         // Of many machines some reports are due at any time.
-        let deaf_s = (DEAF_REPORTS * workers.report_s / all.max(1) as f64)
-            .clamp(DEAF_LEAST_S, workers.late_s() + 2.0);
+        let deaf_s = (DEAF_REPORTS * workers.heartbeat_interval_s / all.max(1) as f64)
+            .clamp(DEAF_LEAST_S, workers.heartbeat_timeout_s() + 2.0);
         if quiet < deaf_s {
             self.resigned = 0;
         }
@@ -419,21 +420,21 @@
         {
             takeover.flying = true;
             let (token, after) = (takeover.token, takeover.rows.last().map(|row| row.key.clone()));
-            let call = Call::List { prefix: keys::LOG.into(), after };
+            let call = StoreRequest::List { prefix: keys::LOG.into(), after };
             self.call_state(now, Purpose::Log(token), call);
         }
         self.send_confirmation(now);
         if let Some(leader) = &mut self.leader {
             let token = leader.token;
             if let Some(txn) = leader.next_commit(now, self.budgets.leader_writes.bucket_at(now)) {
-                self.call_state(now, Purpose::Lead(token), Call::Commit(txn));
+                self.call_state(now, Purpose::Lead(token), StoreRequest::Commit(txn));
             }
         }
         while let Some(leader) = &mut self.leader
-            && self.budgets.cloud.has(now, 1.0)
+            && self.budgets.cloud.can_take(now, 1.0)
         {
             let Some(request) = leader.next_cloud(now) else { break };
-            self.budgets.cloud.take(now, 1.0);
+            self.budgets.cloud.try_take(now, 1.0);
             let call = self.next_call;
             self.next_call += 1;
             self.cloud_calls.insert(call, (self.leadership, request.clone()));
--- a/crates/gladekeel-controller/src/node/peers.rs
+++ b/crates/gladekeel-controller/src/node/peers.rs
@@ -4,7 +4,7 @@
 use crate::world::Counts;
 use gladekeel_wire::{
     JobId,
-    mesh::{self, Header, Hello, Kind},
+    mesh::{self, FrameHeader, FrameKind, PeerHeartbeat},
 };
 use zerocopy::{FromBytes, IntoBytes};
 
@@ -19,8 +19,15 @@
         told.or(stored.filter(|node| self.fresh(now) && *node != self.settings.node))
     }
 
-    pub(super) fn send(&mut self, peer: usize, kind: Kind, status: u16, call: u64, payload: &[u8]) {
-        let header = Header::new(kind, status, call, self.place, payload.len());
+    pub(super) fn send(
+        &mut self,
+        peer: usize,
+        kind: FrameKind,
+        status: u16,
+        call: u64,
+        payload: &[u8],
+    ) {
+        let header = FrameHeader::new(kind, status, call, self.place, payload.len());
         let mut frame = header.as_bytes().to_vec();
         frame.extend_from_slice(payload);
         self.actions.push(Action::Mesh { peer, frame });
@@ -30,21 +37,27 @@
         let leader = self.world.leader.as_ref().map(|(record, _)| record.node.clone());
         let peer = leader.and_then(|name| self.peers.iter().position(|peer| peer.name == name));
         if let Some(peer) = peer {
-            self.send(peer, Kind::Nudge, 0, 0, &[]);
+            self.send(peer, FrameKind::StoreChanged, 0, 0, &[]);
         }
     }
 
     /// Applies a frame that another controller has sent.
-    pub(super) fn on_mesh(&mut self, now: f64, header: &Header, kind: Kind, payload: &[u8]) {
-        let Some(name) = self.node_at(header.from.get()) else { return };
+    pub(super) fn on_mesh(
+        &mut self,
+        now: f64,
+        header: &FrameHeader,
+        kind: FrameKind,
+        payload: &[u8],
+    ) {
+        let Some(name) = self.node_at(header.sender.get()) else { return };
         let Some(peer) = self.peers.iter().position(|peer| peer.name == name) else { return };
         match kind {
-            Kind::Nudge => self.readings.wanted = true,
-            Kind::Hello => self.on_hello(now, peer, header, payload),
-            Kind::Relay => self.on_relay(now, peer, header, payload),
-            Kind::Relayed => self.on_relayed(now, header, payload),
-            Kind::Counts => self.on_counts(&name, payload),
-            Kind::Cancelled => self.on_cancellations(payload),
+            FrameKind::StoreChanged => self.readings.wanted = true,
+            FrameKind::PeerHeartbeat => self.on_hello(now, peer, header, payload),
+            FrameKind::RelayedHeartbeat => self.on_relay(now, peer, header, payload),
+            FrameKind::RelayedResponse => self.on_relayed(now, header, payload),
+            FrameKind::JobProgress => self.on_counts(&name, payload),
+            FrameKind::Cancellations => self.on_cancellations(payload),
         }
     }
 
@@ -56,20 +69,20 @@
         names.get(index as usize).map(|name| (*name).to_owned())
     }
 
-    fn on_hello(&mut self, now: f64, peer: usize, header: &Header, payload: &[u8]) {
-        let Ok(hello) = Hello::read_from_bytes(payload) else { return };
+    fn on_hello(&mut self, now: f64, peer: usize, header: &FrameHeader, payload: &[u8]) {
+        let Ok(hello) = PeerHeartbeat::read_from_bytes(payload) else { return };
         let peer = &mut self.peers[peer];
         peer.heard_at = Some(now);
-        peer.contact_ms = hello.contact_ms.get();
-        peer.leads = hello.leads.get();
+        peer.contact_ms = hello.store_contact_age_ms.get();
+        peer.leads = hello.leader_token.get();
         peer.level = header.status.get();
         // It knows no counts, and would show a running job as queued until the job's next
         // change.
-        self.peer_restarted |= peer.run != header.call.get();
-        peer.run = header.call.get();
+        self.peer_restarted |= peer.run != header.correlation_id.get();
+        peer.run = header.correlation_id.get();
         // A leader that the state service no longer answers learns here that another one
         // leads; to stop early is always safe.
-        if self.leader.as_ref().is_some_and(|leader| leader.token < hello.leads.get()) {
+        if self.leader.as_ref().is_some_and(|leader| leader.token < hello.leader_token.get()) {
             tracing::warn!(by = peer.name, "another node leads: no longer leading");
             self.leader = None;
             self.readings.wanted = true;
@@ -81,7 +94,7 @@
         if leader.is_none_or(|(record, _)| record.node != sender) {
             return;
         }
-        for (id, done, running) in mesh::read_counts(payload).unwrap_or_default() {
+        for (id, done, running) in mesh::decode_job_progress(payload).unwrap_or_default() {
             // Jobs that this node has not heard of yet are told again.
             if self.world.jobs.contains_key(&id) {
                 self.world.counts.insert(id, Counts { done, running });
@@ -93,7 +106,7 @@
         // The frame may have been held back, but the last reading that was answered did not
         // tell of it.
         let after = self.contact.unwrap_or(f64::NEG_INFINITY);
-        for id in mesh::read_jobs(payload).unwrap_or_default() {
+        for id in mesh::decode_job_ids(payload).unwrap_or_default() {
             self.call_off(&id, after);
         }
         self.readings.wanted = true;
@@ -118,12 +131,12 @@
         if ids.is_empty() {
             return;
         }
-        let payload = mesh::write_jobs(ids.iter());
+        let payload = mesh::encode_job_ids(ids.iter());
         for peer in 0..self.peers.len() {
             // One that has not been heard of late may come back as the version before.
             let heard = self.peers[peer].heard_at.is_some_and(|at| now - at < HELLO_S);
             if heard && self.peers[peer].level >= 1 {
-                self.send(peer, Kind::Cancelled, 0, 0, &payload);
+                self.send(peer, FrameKind::Cancellations, 0, 0, &payload);
             }
         }
     }
@@ -146,9 +159,9 @@
             changed.iter().map(|(id, counts)| (id, counts)).collect()
         };
         let rows = told.into_iter().map(|(id, counts)| (id, counts.done, counts.running));
-        for payload in mesh::write_counts(rows) {
+        for payload in mesh::encode_job_progress(rows) {
             for peer in 0..self.peers.len() {
-                self.send(peer, Kind::Counts, 0, 0, &payload);
+                self.send(peer, FrameKind::JobProgress, 0, 0, &payload);
             }
         }
     }
--- a/crates/gladekeel-controller/src/node/reports.rs
+++ b/crates/gladekeel-controller/src/node/reports.rs
@@ -7,9 +7,9 @@
     sharing::{Listener, ReportSharing},
 };
 use gladekeel_wire::{
-    mesh::{Header, Kind, SHARES_REPORTS},
-    settings::Params,
-    worker::{Redirect, Report, ReportAnswer},
+    mesh::{FrameHeader, FrameKind, HEARTBEAT_RELAY_LEVEL},
+    settings::Deployment,
+    worker::{Heartbeat, HeartbeatResponse, Redirect},
 };
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     request: RequestId,
     since: f64,
     /// What keeps the worker's lease if the leader does not answer.
-    fallback: Option<ReportAnswer>,
+    fallback: Option<HeartbeatResponse>,
 }
 
 /// Reports on their way between controllers.
@@ -41,7 +41,7 @@
 }
 
 impl Reports {
-    pub fn new(params: &Params, peers: usize) -> Reports {
+    pub fn new(params: &Deployment, peers: usize) -> Reports {
         Reports {
             router: ReportRouter::default(),
             sharing: ReportSharing::new(params, peers),
@@ -55,7 +55,7 @@
 impl Node {
     /// Answers a worker's report, now or when the leader has.
     pub(super) fn on_checkin(&mut self, now: f64, id: RequestId, body: &[u8]) {
-        let report: Report = match serde_json::from_slice(body) {
+        let report: Heartbeat = match serde_json::from_slice(body) {
             Ok(report) => report,
             Err(error) => return self.reply(now, id, Reply::error(400, error.to_string())),
         };
@@ -70,7 +70,8 @@
             Some(&peer.name) == elsewhere.as_ref()
                 && peer.heard_at.is_some_and(|at| now - at < HELLO_S)
         });
-        let leader_shares = leader_peer.is_some_and(|at| self.peers[at].level >= SHARES_REPORTS);
+        let leader_shares =
+            leader_peer.is_some_and(|at| self.peers[at].level >= HEARTBEAT_RELAY_LEVEL);
         let context = ReportContext {
             now,
             world: &self.world,
@@ -101,12 +102,17 @@
     }
 
     /// Where a worker should report instead of where it does, if anywhere. For a leader only.
-    fn listener_for(&mut self, now: f64, report: &Report, listener: Listener) -> Option<Redirect> {
+    fn listener_for(
+        &mut self,
+        now: f64,
+        report: &Heartbeat,
+        listener: Listener,
+    ) -> Option<Redirect> {
         if !self.may_renew_leases(now) {
             return None;
         }
         let passes_on = |peer: &super::PeerView| {
-            peer.level >= SHARES_REPORTS
+            peer.level >= HEARTBEAT_RELAY_LEVEL
                 && peer.heard_at.is_some_and(|at| now - at < HELLO_S)
                 && peer.contact_ms < CONTACT_MS
         };
@@ -125,7 +131,7 @@
         peer: usize,
         request: RequestId,
         body: &[u8],
-        fallback: Option<ReportAnswer>,
+        fallback: Option<HeartbeatResponse>,
     ) {
         let call = self.next_call;
         self.next_call += 1;
@@ -141,7 +147,7 @@
         }
         self.reports.batch_at = now;
         for (peer, call, body) in std::mem::take(&mut self.reports.batch) {
-            self.send(peer, Kind::Relay, 0, call, &body);
+            self.send(peer, FrameKind::RelayedHeartbeat, 0, call, &body);
         }
     }
 
@@ -162,10 +168,10 @@
 
     /// Answers a worker's report that another node has passed on. Only a leader with
     /// something to say does; the other node keeps the worker's lease otherwise.
-    pub(super) fn on_relay(&mut self, now: f64, peer: usize, header: &Header, payload: &[u8]) {
-        let Ok(report) = serde_json::from_slice::<Report>(payload) else { return };
+    pub(super) fn on_relay(&mut self, now: f64, peer: usize, header: &FrameHeader, payload: &[u8]) {
+        let Ok(report) = serde_json::from_slice::<Heartbeat>(payload) else { return };
         let (may_renew_leases, fresh) = (self.may_renew_leases(now), self.fresh(now));
-        let call = header.call.get();
+        let call = header.correlation_id.get();
         let Some(leader) = &mut self.leader else { return };
         if !may_renew_leases || report.token > leader.token {
             return;
@@ -177,15 +183,15 @@
         if !is_needed && let Some(elsewhere) = self.listener_for(now, &report, Listener::Peer(peer))
         {
             let body = serde_json::to_vec(&elsewhere).expect("wire types always serialise");
-            return self.send(peer, Kind::Relayed, 421, call, &body);
+            return self.send(peer, FrameKind::RelayedResponse, 421, call, &body);
         }
         let body = serde_json::to_vec(&answer).expect("wire types always serialise");
-        self.send(peer, Kind::Relayed, 200, call, &body);
+        self.send(peer, FrameKind::RelayedResponse, 200, call, &body);
     }
 
     /// Passes the leader's answer to a worker's report on to the worker.
-    pub(super) fn on_relayed(&mut self, now: f64, header: &Header, payload: &[u8]) {
-        let Some(relay) = self.reports.relays.remove(&header.call.get()) else { return };
+    pub(super) fn on_relayed(&mut self, now: f64, header: &FrameHeader, payload: &[u8]) {
+        let Some(relay) = self.reports.relays.remove(&header.correlation_id.get()) else { return };
         let status = header.status.get();
         let reply = Reply { status, retry_after: None, body: payload.to_vec(), plain: false };
         self.reply(now, relay.request, reply);
--- a/crates/gladekeel-controller/src/node/store.rs
+++ b/crates/gladekeel-controller/src/node/store.rs
@@ -10,23 +10,23 @@
     options::Options,
     world::Topic,
 };
-use gladekeel_store::{Call, Change, Outcome};
-use gladekeel_wire::state::Row;
+use gladekeel_store::{Change, StoreOutcome, StoreRequest};
+use gladekeel_wire::store::KeyValue;
 use rand::Rng;
 
 impl Node {
-    pub(super) fn call_state(&mut self, now: f64, purpose: Purpose, request: Call) {
+    pub(super) fn call_state(&mut self, now: f64, purpose: Purpose, request: StoreRequest) {
         let call = self.next_call;
         self.next_call += 1;
         self.state_requests += 1;
-        self.state_writes += request.writes() as u64;
+        self.state_writes += request.write_count() as u64;
         let changes = matches!(purpose, Purpose::Users(_) | Purpose::Lead(_) | Purpose::Log(_));
         let limit_s = if changes { CHANGE_S } else { STATE_S };
         self.calls.insert(call, (purpose, request.clone(), now));
         self.actions.push(Action::State { call, request, limit_s });
     }
 
-    pub(super) fn on_state(&mut self, now: f64, call: CallId, outcome: Outcome) {
+    pub(super) fn on_state(&mut self, now: f64, call: CallId, outcome: StoreOutcome) {
         let Some((purpose, request, sent_at)) = self.calls.remove(&call) else { return };
         match purpose {
             Purpose::Sync | Purpose::Load => self.on_read(now, sent_at, outcome),
@@ -34,7 +34,7 @@
             Purpose::Users(writes) => self.users_written(now, writes, outcome),
             Purpose::Lead(token) => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.token == token) {
-                    if outcome == Outcome::Busy {
+                    if outcome == StoreOutcome::RateLimited {
                         self.budgets.leader_writes.refused(now);
                     }
                     self.readings.wanted |= leader.commit_answered(now, &outcome);
@@ -48,16 +48,16 @@
         }
     }
 
-    pub(super) fn on_read(&mut self, now: f64, sent_at: f64, outcome: Outcome) {
+    pub(super) fn on_read(&mut self, now: f64, sent_at: f64, outcome: StoreOutcome) {
         self.readings.in_flight -= 1;
         match outcome {
-            Outcome::Rows(rows) => {
-                let changes = self.replica.page(rows);
+            StoreOutcome::Page(rows) => {
+                let changes = self.replica.apply_page(rows);
                 self.apply(now, &changes);
                 self.readings.wanted = true;
             }
-            Outcome::Events(events) => {
-                let changes = self.replica.follow(events);
+            StoreOutcome::Watched(events) => {
+                let changes = self.replica.apply_watch(events);
                 self.apply(now, &changes);
                 if let Some(leader) = &mut self.leader {
                     leader.stop_placing(!self.world.unreadable.is_empty());
@@ -74,21 +74,21 @@
                 self.serve(now, served);
                 self.answer_written(now);
             }
-            Outcome::TooOld => {
+            StoreOutcome::Compacted => {
                 // Once: the reading anew may be under way already.
                 if self.replica.revision().is_some() {
-                    self.replica.reload();
+                    self.replica.invalidate();
                 }
                 self.readings.wanted = true;
             }
-            Outcome::Busy => {
+            StoreOutcome::RateLimited => {
                 self.readings.not_before = now + 0.1 + self.rng.random::<f64>() * 0.1;
                 self.readings.wanted = true;
             }
             outcome => {
                 // A slow answer is not an outage; a refusal, or several in a row, is.
                 let several = self.readings.lost();
-                if outcome == Outcome::Unknown && !several {
+                if outcome == StoreOutcome::Unknown && !several {
                     return;
                 }
                 self.state_down = true;
@@ -107,7 +107,7 @@
             match self.world.apply(change, after) {
                 Topic::Job(id) => {
                     if let Some(leader) = &mut self.leader {
-                        if change.now.is_some() {
+                        if change.current.is_some() {
                             leader.add_job(&self.world, &id, now);
                         } else {
                             leader.forget_job(&id);
@@ -196,13 +196,13 @@
             && now - self.confirm_at >= CONFIRM_S
         {
             self.confirm_at = now;
-            let call = Call::List { prefix: key.clone(), after: None };
+            let call = StoreRequest::List { prefix: key.clone(), after: None };
             self.call_state(now, Purpose::Confirm(token), call);
         }
     }
 
-    pub(super) fn on_confirm(&mut self, now: f64, token: u64, outcome: Outcome) {
-        let (Outcome::Rows(rows), Some((call, _))) = (outcome, self.lead_call(token)) else {
+    pub(super) fn on_confirm(&mut self, now: f64, token: u64, outcome: StoreOutcome) {
+        let (StoreOutcome::Page(rows), Some((call, _))) = (outcome, self.lead_call(token)) else {
             return;
         };
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) else {
@@ -210,25 +210,25 @@
         };
         let Some((key, text)) = leader.commit_mark() else { return };
         // Nobody else writes there under this token, and all of it was made at once.
-        let made = rows.items.iter().find(|row| row.key == *key && row.value == text.as_str());
+        let made = rows.entries.iter().find(|row| row.key == *key && row.value == text.as_str());
         if let Some(version) = made.map(|row| row.version) {
             self.calls.remove(&call);
-            self.readings.wanted |= leader.commit_answered(now, &Outcome::Committed(version));
+            self.readings.wanted |= leader.commit_answered(now, &StoreOutcome::Committed(version));
         }
     }
 
-    pub(super) fn on_log(&mut self, now: f64, token: u64, outcome: Outcome) {
+    pub(super) fn on_log(&mut self, now: f64, token: u64, outcome: StoreOutcome) {
         let Some(takeover) = self.takeover.as_mut().filter(|t| t.token == token) else { return };
         takeover.flying = false;
-        let Outcome::Rows(rows) = outcome else {
+        let StoreOutcome::Page(rows) = outcome else {
             takeover.not_before = now + 0.2;
             return;
         };
-        takeover.rows.extend(rows.items);
-        if rows.more {
+        takeover.rows.extend(rows.entries);
+        if rows.truncated {
             return;
         }
-        let read = |row: Row| {
+        let read = |row: KeyValue| {
             let slot = row.key.strip_prefix(keys::LOG)?.parse().ok()?;
             Some(LogRow { slot, version: row.version, text: row.value.as_str()?.to_owned() })
         };
@@ -274,16 +274,18 @@
             1 => self.replica.revision().is_some() && since >= OVERTAKE_S,
             _ => false,
         };
-        if !due || !self.budgets.requests.take(now, 1.0) {
+        if !due || !self.budgets.requests.try_take(now, 1.0) {
             return;
         }
         self.readings.begin(now);
         let prefix = keys::ALL.to_owned();
         match self.replica.revision() {
-            Some(since) => self.call_state(now, Purpose::Sync, Call::Follow { prefix, since }),
+            Some(since) => {
+                self.call_state(now, Purpose::Sync, StoreRequest::Watch { prefix, since })
+            }
             None => {
-                let after = self.replica.next_page();
-                self.call_state(now, Purpose::Load, Call::List { prefix, after });
+                let after = self.replica.next_page_after();
+                self.call_state(now, Purpose::Load, StoreRequest::List { prefix, after });
             }
         }
     }
--- a/crates/gladekeel-controller/src/node/users.rs
+++ b/crates/gladekeel-controller/src/node/users.rs
@@ -8,11 +8,11 @@
     api::{self, Reply, Verdict},
     keys,
 };
-use gladekeel_store::{Call, Outcome};
+use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_wire::{
     JobId,
     job::{JobSpec, JobState, JobStatus},
-    state::{Guard, Txn, Write},
+    store::{Precondition, Transaction, Write},
 };
 use rand::Rng;
 use std::{collections::VecDeque, rc::Rc};
@@ -41,12 +41,18 @@
     }
 
     /// Makes a change for an operator, who is answered once it is made or not.
-    pub(crate) fn admin_write(&mut self, now: f64, id: RequestId, txn: Txn, change: AdminChange) {
+    pub(crate) fn admin_write(
+        &mut self,
+        now: f64,
+        id: RequestId,
+        txn: Transaction,
+        change: AdminChange,
+    ) {
         if self.overloaded(now, id) {
             return;
         }
-        self.budgets.user_writes.take(now, 1.0);
-        self.call_state(now, Purpose::Admin(id, change), Call::Commit(txn));
+        self.budgets.user_writes.try_take(now, 1.0);
+        self.call_state(now, Purpose::Admin(id, change), StoreRequest::Commit(txn));
     }
 
     pub(super) fn later(&mut self, now: f64, id: RequestId, what: &str) {
@@ -93,7 +99,7 @@
         };
         let value = serde_json::to_vec(&spec).expect("wire types always serialise");
         // Such a write would be refused together with everything in its batch.
-        let too_long = value.len() + 100 > (self.params.state.value_kb * 1024.0) as usize;
+        let too_long = value.len() + 100 > (self.params.store.value_kb * 1024.0) as usize;
         let id = spec.id.clone();
         if let Some(status) = self.final_status(&id) {
             return self.reply(now, request, Reply::json(200, &status));
@@ -186,19 +192,24 @@
     }
 
     /// Applies the outcome of a transaction with users' changes.
-    pub(super) fn users_written(&mut self, now: f64, writes: Vec<UserWrite>, outcome: Outcome) {
+    pub(super) fn users_written(
+        &mut self,
+        now: f64,
+        writes: Vec<UserWrite>,
+        outcome: StoreOutcome,
+    ) {
         self.users.in_flight -= 1;
         match outcome {
-            Outcome::Committed(_) => self.user_writes_committed(now, writes),
-            Outcome::Conflict(failed) => self.user_writes_conflicted(now, writes, &failed),
-            Outcome::Busy => {
+            StoreOutcome::Committed(_) => self.user_writes_committed(now, writes),
+            StoreOutcome::Conflict(failed) => self.user_writes_conflicted(now, writes, &failed),
+            StoreOutcome::RateLimited => {
                 self.budgets.user_writes.drain(now);
                 self.users.not_before = now + 0.1 + self.rng.random::<f64>() * 0.1;
                 self.queue_again(writes);
             }
             // Too large: the limits are lower than the settings say. Nothing was done, and
             // what goes in halves may be taken.
-            Outcome::NoLease if writes.len() > 1 => {
+            StoreOutcome::LeaseNotFound if writes.len() > 1 => {
                 self.users.most_at_once = writes.len() / 2;
                 tracing::warn!(
                     at_once = self.users.most_at_once,
@@ -206,7 +217,7 @@
                 );
                 self.queue_again(writes);
             }
-            Outcome::Refused | Outcome::NoLease => {
+            StoreOutcome::Unavailable | StoreOutcome::LeaseNotFound => {
                 for write in writes {
                     self.later(now, write.request, "the state service refuses");
                 }
@@ -327,11 +338,11 @@
         {
             return;
         }
-        if !self.budgets.user_writes.has(now, 1.0) {
+        if !self.budgets.user_writes.can_take(now, 1.0) {
             return;
         }
         let most =
-            self.users.most_at_once.min(self.budgets.user_writes.level(now).max(1.0) as usize);
+            self.users.most_at_once.min(self.budgets.user_writes.available(now).max(1.0) as usize);
         let mut batch = Batch::default();
         let mut kept = VecDeque::new();
         while let Some(write) = self.users.writes.pop_front() {
@@ -352,9 +363,9 @@
         if batch.writes.is_empty() {
             return;
         }
-        self.budgets.user_writes.take(now, batch.writes.len() as f64);
+        self.budgets.user_writes.try_take(now, batch.writes.len() as f64);
         self.users.in_flight += 1;
-        self.call_state(now, Purpose::Users(batch.writes), Call::Commit(batch.txn));
+        self.call_state(now, Purpose::Users(batch.writes), StoreRequest::Commit(batch.txn));
     }
 }
 
@@ -362,7 +373,7 @@
 #[derive(Default)]
 struct Batch {
     writes: Vec<UserWrite>,
-    txn: Txn,
+    txn: Transaction,
     /// About how large the transaction is.
     bytes: usize,
 }
@@ -380,8 +391,8 @@
         value[keys::ACCEPTED_AT] = accepted_at.into();
         self.bytes += value.to_string().len() + CHANGE_BYTES;
         let key = keys::job(&spec.id);
-        self.txn.guards.push(Guard { key: keys::final_state(&spec.id), version: 0 });
-        self.txn.guards.push(Guard { key: key.clone(), version: 0 });
+        self.txn.preconditions.push(Precondition { key: keys::final_state(&spec.id), version: 0 });
+        self.txn.preconditions.push(Precondition { key: key.clone(), version: 0 });
         self.txn.writes.push(Write::Put { key, value, lease: None });
     }
 
@@ -390,8 +401,8 @@
         let value = serde_json::to_value(JobState::Cancelled).expect("wire types always serialise");
         self.bytes += CHANGE_BYTES;
         let key = keys::final_state(id);
-        self.txn.guards.push(Guard { key: key.clone(), version: 0 });
-        self.txn.guards.push(Guard { key: keys::job(id), version });
+        self.txn.preconditions.push(Precondition { key: key.clone(), version: 0 });
+        self.txn.preconditions.push(Precondition { key: keys::job(id), version });
         self.txn.writes.push(Write::Put { key, value, lease: None });
     }
 }
--- a/crates/gladekeel-controller/src/options.rs
+++ b/crates/gladekeel-controller/src/options.rs
@@ -1,7 +1,7 @@
 //! What operators may change while the service runs, and what is open to measurement.
 
-use gladekeel_sched::{fleet::Sizing, share::Hopper};
-use gladekeel_wire::settings::Workers;
+use gladekeel_sched::{autoscaling::AutoscalerConfig, fair_share::FairShare};
+use gladekeel_wire::settings::WorkerTimings;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
     /// β and ε of the division of room.
-    pub hopper: Hopper,
+    pub hopper: FairShare,
     /// Time between rounds of decisions.
     pub round_s: f64,
     /// A task is slow past this many times its job's median.
@@ -24,22 +24,22 @@
     /// The same before others are stopped that save their progress.
     pub preempt_saving_after_s: f64,
     /// How the fleet is sized.
-    pub sizing: Sizing,
+    pub sizing: AutoscalerConfig,
 }
 
 impl Options {
     /// What is in force until operators say otherwise.
-    pub fn new(workers: &Workers) -> Options {
+    pub fn new(workers: &WorkerTimings) -> Options {
         Options {
-            hopper: Hopper::default(),
+            hopper: FairShare::default(),
             round_s: 1.0,
             restart_multiple: 3.0,
             idle_s: 15.0,
             // Time to ask it several times.
-            silent_s: workers.ask_s() + 6.5,
+            silent_s: workers.probe_after_s() + 6.5,
             preempt_after_s: 6.0,
             preempt_saving_after_s: 1.0,
-            sizing: Sizing::default(),
+            sizing: AutoscalerConfig::default(),
         }
     }
 }
@@ -105,9 +105,19 @@
         most: 3600.0,
         place: |o| &mut o.preempt_saving_after_s,
     },
-    Field { name: "fleet_memory_s", least: 1.0, most: 86400.0, place: |o| &mut o.sizing.memory_s },
-    Field { name: "fleet_keep", least: 0.0, most: 3.0, place: |o| &mut o.sizing.keep },
-    Field { name: "fleet_fill", least: 0.05, most: 1.0, place: |o| &mut o.sizing.fill },
+    Field {
+        name: "fleet_memory_s",
+        least: 1.0,
+        most: 86400.0,
+        place: |o| &mut o.sizing.smoothing_s,
+    },
+    Field { name: "fleet_keep", least: 0.0, most: 3.0, place: |o| &mut o.sizing.spot_retention },
+    Field {
+        name: "fleet_fill",
+        least: 0.05,
+        most: 1.0,
+        place: |o| &mut o.sizing.target_utilization,
+    },
 ];
 
 impl Options {
--- a/crates/gladekeel-controller/src/sharing.rs
+++ b/crates/gladekeel-controller/src/sharing.rs
@@ -5,7 +5,7 @@
 //! their reports on many at a time. The leader sends workers to the controllers that have
 //! fewest, itself last of all.
 
-use gladekeel_wire::settings::Params;
+use gladekeel_wire::settings::Deployment;
 use std::collections::HashMap;
 
 /// Reports a second that a whole core serves, about.
@@ -57,8 +57,8 @@
 
 impl ReportSharing {
     /// Nobody has reported yet, to any of so many peers.
-    pub fn new(params: &Params, peers: usize) -> ReportSharing {
-        let report_s = params.workers.report_s;
+    pub fn new(params: &Deployment, peers: usize) -> ReportSharing {
+        let report_s = params.workers.heartbeat_interval_s;
         ReportSharing {
             reporters: HashMap::new(),
             heard: vec![0; peers + 1],
--- a/crates/gladekeel-controller/src/shell.rs
+++ b/crates/gladekeel-controller/src/shell.rs
@@ -10,9 +10,9 @@
     Client, ClientError, ConnectionClasses, ConnectionCounts, Limits, Pool, Request, Response,
     Server,
 };
-use gladekeel_store::Outcome;
+use gladekeel_store::StoreOutcome;
 use gladekeel_wire::{
-    mesh::{Header, Kind},
+    mesh::{FrameHeader, FrameKind},
     settings::{Peer, Settings},
 };
 use std::{
@@ -93,7 +93,7 @@
 
 /// Runs a node until the process ends. Must be called inside a `LocalSet`.
 pub async fn run(settings: Settings, seed: u64) -> io::Result<()> {
-    let sockets = Sockets::of(&settings.params.limits);
+    let sockets = Sockets::of(&settings.deployment.limits);
     let users = listen(settings.listen, sockets.served)?;
     let peers = TcpListener::bind(settings.peer_listen).await?;
     let shell = Rc::new(Shell::new(&settings, &sockets, seed));
@@ -136,7 +136,8 @@
 /// The server for users, operators and workers.
 fn user_server(listener: TcpListener, settings: &Settings, sockets: &Sockets) -> Server {
     // Workers are silent between reports, users between polls.
-    let evictable_s = (2.0 * settings.params.workers.report_s).max(EVICTABLE_AFTER_S);
+    let evictable_s =
+        (2.0 * settings.deployment.workers.heartbeat_interval_s).max(EVICTABLE_AFTER_S);
     let limits = Limits {
         evictable_after: Duration::from_secs_f64(evictable_s),
         ..Limits::for_connections(sockets.served)
@@ -176,7 +177,7 @@
             start: Instant::now(),
             answers: RefCell::default(),
             next_request: Cell::new(0),
-            state: Client::new(settings.services.state, STATE_CONNECTIONS),
+            state: Client::new(settings.services.store, STATE_CONNECTIONS),
             cloud: Client::new(settings.services.cloud, CLOUD_CONNECTIONS),
             mesh: settings.peers.iter().map(connect).collect(),
             mesh_connections,
@@ -231,8 +232,8 @@
                     let outcome = match shell.state.send(method, &target, &body, limit).await {
                         Ok(reply) => request.decode(reply.status, &reply.body),
                         // Never sent, so never carried out.
-                        Err(ClientError::NotSent(_)) => Outcome::Refused,
-                        Err(ClientError::NoAnswer(_)) => Outcome::Unknown,
+                        Err(ClientError::NotSent(_)) => StoreOutcome::Unavailable,
+                        Err(ClientError::NoAnswer(_)) => StoreOutcome::Unknown,
                     };
                     shell.handle(Event::State { call, outcome });
                 });
@@ -371,13 +372,14 @@
 
 async fn read_frames(stream: TcpStream, shell: &Rc<Shell>) -> io::Result<()> {
     let mut stream = BufReader::with_capacity(MESH_READ, stream);
-    let mut head = [0; Header::SIZE];
+    let mut head = [0; FrameHeader::SIZE];
     loop {
         timeout(MESH_SILENCE, stream.read_exact(&mut head)).await??;
-        let Some((header, kind)): Option<(Header, Kind)> = Header::read(&head) else {
+        let Some((header, kind)): Option<(FrameHeader, FrameKind)> = FrameHeader::read(&head)
+        else {
             return Err(io::ErrorKind::InvalidData.into());
         };
-        let mut payload = vec![0; header.len.get() as usize];
+        let mut payload = vec![0; header.payload_len.get() as usize];
         timeout(MESH_SILENCE, stream.read_exact(&mut payload)).await??;
         shell.handle(Event::Mesh { header, kind, payload });
     }
--- a/crates/gladekeel-controller/src/sockets.rs
+++ b/crates/gladekeel-controller/src/sockets.rs
@@ -1,6 +1,6 @@
 //! How a process divides the sockets that it may hold.
 
-use gladekeel_wire::settings::Limits;
+use gladekeel_wire::settings::ProcessLimits;
 
 /// Frames that may wait for another controller at the least.
 const LEAST_MESH_QUEUE: usize = 1024;
@@ -25,7 +25,7 @@
     /// The division under these limits. Most go to workers: each of them holds a
     /// connection to the leader, and one that finds no place reports through another
     /// node. Calls to workers are short.
-    pub fn of(limits: &Limits) -> Sockets {
+    pub fn of(limits: &ProcessLimits) -> Sockets {
         let all = limits.max_connections;
         let calls = (all / 8).max(2);
         // Newcomers that are being refused, and the process's own connections.
--- a/crates/gladekeel-controller/src/world.rs
+++ b/crates/gladekeel-controller/src/world.rs
@@ -106,7 +106,7 @@
 
     /// Reads the value behind a key, if there is one, and remembers whether that failed.
     fn read_or_note<T: DeserializeOwned>(&mut self, change: &Change) -> Option<T> {
-        let value = change.now.as_ref().map(|(value, _)| read(&change.key, value));
+        let value = change.current.as_ref().map(|(value, _)| read(&change.key, value));
         if matches!(value, Some(None)) {
             self.unreadable.insert(change.key.clone());
         } else {
@@ -121,14 +121,15 @@
         if let Some(name) = key.strip_prefix(keys::JOB) {
             let Ok(id) = name.parse::<JobId>() else { return Topic::Other };
             let spec = self.read_or_note::<JobSpec>(change);
-            let stored = change.now.as_ref().zip(spec).map(|((value, version), spec)| StoredJob {
-                spec: Rc::new(spec),
-                version: *version,
-                accepted_at: value.get(keys::ACCEPTED_AT).and_then(Value::as_f64),
-            });
+            let stored =
+                change.current.as_ref().zip(spec).map(|((value, version), spec)| StoredJob {
+                    spec: Rc::new(spec),
+                    version: *version,
+                    accepted_at: value.get(keys::ACCEPTED_AT).and_then(Value::as_f64),
+                });
             if let Some(stored) = stored {
                 self.jobs.insert(id.clone(), stored);
-            } else if change.now.is_none() {
+            } else if change.current.is_none() {
                 self.cancelled_after.remove(&id);
                 self.called_off.remove(&id);
                 self.jobs.remove(&id);
@@ -148,25 +149,26 @@
             return Topic::FinalState(id);
         }
         if key.starts_with(keys::OLD_PAGES) {
-            self.old_layout |= change.now.is_some();
+            self.old_layout |= change.current.is_some();
         } else if key == keys::LEADER {
             self.leader = change
-                .now
+                .current
                 .as_ref()
                 .and_then(|(value, version)| Some((read(key, value)?, *version)));
             self.token = self.token.max(self.leader.as_ref().map_or(0, |(_, token)| *token));
         } else if let Some(part) = keys::part_of_types(key) {
-            let stored = change.now.as_ref().map(|(value, version)| (read(key, value), *version));
+            let stored =
+                change.current.as_ref().map(|(value, version)| (read(key, value), *version));
             self.types.apply(part, stored);
         }
         if key == keys::OPTIONS {
-            let now = change.now.as_ref();
+            let now = change.current.as_ref();
             self.options = now.and_then(|(value, _)| read(key, value)).unwrap_or_default();
             self.options_version = now.map_or(0, |(_, version)| *version);
             return Topic::Options;
         }
         if let Some(machine) = key.strip_prefix(keys::DRAIN) {
-            match &change.now {
+            match &change.current {
                 Some((_, version)) => self.drains.insert(machine.to_owned(), *version),
                 None => self.drains.remove(machine),
             };
--- a/crates/gladekeel-controller/tests/cloud.rs
+++ b/crates/gladekeel-controller/tests/cloud.rs
@@ -1,12 +1,12 @@
 //! Requests to the cloud and their answers.
 
 use gladekeel_controller::cloud::{CloudCall, CloudOutcome};
-use gladekeel_wire::cloud::Rent;
+use gladekeel_wire::cloud::RentRequest;
 
 #[test]
 fn answers_tell_no_capacity_from_trouble() {
-    let rent = CloudCall::Rent(Rent {
-        request: "r-1".into(),
+    let rent = CloudCall::Rent(RentRequest {
+        request_id: "r-1".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
--- a/crates/gladekeel-controller/tests/formats_37c5e95.rs
+++ b/crates/gladekeel-controller/tests/formats_37c5e95.rs
@@ -15,7 +15,7 @@
 use gladekeel_wire::{
     JobId,
     cloud::{MachineType, MachineTypes},
-    job::{JobSpec, JobState, Kind, Priority},
+    job::{JobKind, JobSpec, JobState, Priority},
 };
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
 }
 
 fn put(key: &str, value: Value, version: u64) -> Change {
-    Change { key: key.to_owned(), now: Some((value, version)) }
+    Change { key: key.to_owned(), current: Some((value, version)) }
 }
 
 /// The same segment by this version's writer.
@@ -213,7 +213,7 @@
         id: a.clone(),
         class: "batch".into(),
         team: "red".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 3,
         cpus: 4.0,
@@ -221,20 +221,20 @@
         memory_gb: 4.0,
         image: "img".into(),
         image_gb: 1.0,
-        types: Some(vec!["m32".into()]),
+        machine_types: Some(vec!["m32".into()]),
         zone: Some("a".into()),
-        one_zone: false,
+        single_zone: false,
         spread: false,
         spot: true,
         estimate_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_write_s: 0.0,
         deadline_s: Some(900.0),
     };
     let other = JobSpec {
         id: b.clone(),
         tasks: 1,
-        types: None,
+        machine_types: None,
         zone: None,
         deadline_s: None,
         ..spec.clone()
--- a/crates/gladekeel-controller/tests/formats_fe9a16c.rs
+++ b/crates/gladekeel-controller/tests/formats_fe9a16c.rs
@@ -16,7 +16,7 @@
 use gladekeel_wire::{
     JobId,
     cloud::MachineTypes,
-    job::{JobSpec, JobState, Kind},
+    job::{JobKind, JobSpec, JobState},
 };
 use serde_json::Value;
 
@@ -178,7 +178,7 @@
     let mut world = World::default();
     let rows = stored();
     for (version, (key, value)) in (10..).zip(rows.clone()) {
-        world.apply(&Change { key, now: Some((value, version)) }, 5.0);
+        world.apply(&Change { key, current: Some((value, version)) }, 5.0);
     }
     let record = LeaderRecord { node: "node-2".into(), run: 4_463_397_701_659_385_190 };
     assert_eq!(world.leader.as_ref().map(|(record, _)| record), Some(&record));
@@ -191,18 +191,18 @@
 
     let shapes = ["job-a-3", "job-g.1", "job-g.5", "job-g_2", "job-s.4"].map(|id| {
         let spec = &world.jobs[&job(id)].spec;
-        (spec.kind, spec.tasks, spec.one_zone, spec.zone.as_deref())
+        (spec.kind, spec.tasks, spec.single_zone, spec.zone.as_deref())
     });
     let expected = [
-        (Kind::Array, 5, false, None),
-        (Kind::Gang, 3, true, None),
-        (Kind::Gang, 2, false, None),
-        (Kind::Gang, 2, false, Some("b")),
-        (Kind::Service, 2, false, None),
+        (JobKind::Array, 5, false, None),
+        (JobKind::Gang, 3, true, None),
+        (JobKind::Gang, 2, false, None),
+        (JobKind::Gang, 2, false, Some("b")),
+        (JobKind::Service, 2, false, None),
     ];
     assert_eq!((world.jobs.len(), shapes), (5, expected));
     let gang = &world.jobs[&job("job-g.1")].spec;
-    assert_eq!((gang.checkpoint_s, gang.save_s), (5.0, 2.0));
+    assert_eq!((gang.checkpoint_interval_s, gang.checkpoint_write_s), (5.0, 2.0));
     assert_eq!(world.jobs[&job("job-g.1")].accepted_at, Some(3.305527));
 
     let final_states = ["job-a-3", "job-g.1", "job-g.5", "job-g_2", "job-s.4"]
--- a/crates/gladekeel-controller/tests/options.rs
+++ b/crates/gladekeel-controller/tests/options.rs
@@ -1,15 +1,15 @@
 //! The operators' options: ranges, names, and changes that are made whole or not at all.
 
 use gladekeel_controller::options::Options;
-use gladekeel_wire::settings::Workers;
+use gladekeel_wire::settings::WorkerTimings;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
 fn options() -> Options {
-    Options::new(&Workers {
-        report_s: 10.0,
+    Options::new(&WorkerTimings {
+        heartbeat_interval_s: 10.0,
         lease_s: 45.0,
-        cancel_s: 65.0,
+        cancellation_deadline_s: 65.0,
         gang_wait_s: 30.0,
         gang_peer_s: 4.0,
     })
--- a/crates/gladekeel-controller/tests/sockets.rs
+++ b/crates/gladekeel-controller/tests/sockets.rs
@@ -1,14 +1,14 @@
 //! The division of a process's sockets.
 
 use gladekeel_controller::sockets::Sockets;
-use gladekeel_wire::settings::Limits;
+use gladekeel_wire::settings::ProcessLimits;
 
 /// Once workers' connections filled the places of users as well: a leader of 3,375
 /// machines refused both at random.
 #[test]
 fn every_socket_has_its_place() {
     for max_connections in [32, 100, 2900, 4545, 100_000] {
-        let limits = Limits { cpu_share: 0.1, memory_mb: 100.0, max_connections };
+        let limits = ProcessLimits { cpu_share: 0.1, memory_mb: 100.0, max_connections };
         let sockets = Sockets::of(&limits);
         let refusals = gladekeel_http::Limits::for_connections(sockets.served).refusals;
         let own = max_connections / 40 + 8;
@@ -17,7 +17,7 @@
         assert_eq!(sockets.calls_beside(sockets.served), sockets.calls);
         assert!(sockets.calls_beside(0) <= sockets.served + sockets.calls);
     }
-    let limits = Limits { cpu_share: 0.1, memory_mb: 100.0, max_connections: 4545 };
+    let limits = ProcessLimits { cpu_share: 0.1, memory_mb: 100.0, max_connections: 4545 };
     let sockets = Sockets::of(&limits);
     assert!(sockets.served - sockets.kept_users >= 3375, "half as many machines again");
 }
@@ -26,7 +26,7 @@
 #[test]
 fn a_report_of_each_worker_may_wait_for_the_leader() {
     for max_connections in [32, 1000, 3500, 5000, 20_000] {
-        let limits = Limits { cpu_share: 0.1, memory_mb: 100.0, max_connections };
+        let limits = ProcessLimits { cpu_share: 0.1, memory_mb: 100.0, max_connections };
         let sockets = Sockets::of(&limits);
         assert!(sockets.mesh_queue() >= sockets.served, "{max_connections}");
     }
--- a/crates/gladekeel-sched/src/fleet.rs
+++ b/crates/gladekeel-sched/src/autoscaling.rs
@@ -2,7 +2,7 @@
 
 /// What a job needs of a machine type.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Need {
+pub struct JobDemand {
     /// Tasks on no machine, in machines: each counts the part that it takes.
     pub pending: f64,
     /// Tasks on machines, likewise.
@@ -10,12 +10,12 @@
     /// Expected time of a task, in seconds.
     pub run_s: f64,
     /// Time left until the job should be complete.
-    pub left_s: f64,
+    pub time_left_s: f64,
     /// Whether what is pending runs at once or not at all.
-    pub together: bool,
+    pub gang: bool,
 }
 
-impl Need {
+impl JobDemand {
     /// Machine-seconds of work left.
     fn work(&self) -> f64 {
         (self.pending + 0.5 * self.running) * self.run_s
@@ -24,14 +24,14 @@
 
 /// Work of a class that goes on coming, as far as the last minutes tell.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Flow {
+pub struct ArrivalRate {
     /// Machines that it keeps busy.
     pub machines: f64,
     /// Time from its submission until it should be complete.
     pub due_s: f64,
 }
 
-impl Flow {
+impl ArrivalRate {
     /// Machine-seconds of it that will come and be due within a time.
     fn until(&self, time: f64) -> f64 {
         self.machines * (time - self.due_s).max(0.0)
@@ -56,41 +56,41 @@
 
 /// How many machines to have.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Plan {
+pub struct ScalingPlan {
     /// Machines to rent.
-    pub rent: f64,
+    pub scale_out: f64,
     /// Machines that are needed as things are; more may go back.
-    pub need: f64,
+    pub required: f64,
     /// Cheap idle machines stay up to this many, for what usually comes.
-    pub keep: f64,
+    pub retain: f64,
 }
 
 /// What is open to measurement in sizing.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Sizing {
+pub struct AutoscalerConfig {
     /// Time constant of the smoothed need, in seconds.
-    pub memory_s: f64,
+    pub smoothing_s: f64,
     /// Part of the smoothed need that cheap idle machines are kept for.
-    pub keep: f64,
+    pub spot_retention: f64,
     /// Part of a machine's time that is counted on: tasks don't fill machines without gaps.
-    pub fill: f64,
+    pub target_utilization: f64,
 }
 
-impl Default for Sizing {
+impl Default for AutoscalerConfig {
     fn default() -> Self {
-        Sizing { memory_s: 30.0, keep: 0.8, fill: 0.55 }
+        AutoscalerConfig { smoothing_s: 30.0, spot_retention: 0.8, target_utilization: 0.55 }
     }
 }
 
 /// Plans the machines of one type.
 #[derive(Debug, Clone, Default)]
-pub struct Sizer {
-    load: f64,
-    busy: f64,
-    at: f64,
+pub struct Autoscaler {
+    smoothed_required: f64,
+    smoothed_busy: f64,
+    planned_at: f64,
 }
 
-impl Sizer {
+impl Autoscaler {
     /// Plans for the needs of all jobs as of now.
     ///
     /// Work that is due by a time must fit into what machines can do until then.
@@ -102,22 +102,22 @@
     pub fn plan(
         &mut self,
         now: f64,
-        needs: &[Need],
+        needs: &[JobDemand],
         supply: &Supply,
-        flows: &[Flow],
+        flows: &[ArrivalRate],
         boot_s: f64,
-        sizing: &Sizing,
-    ) -> Plan {
+        sizing: &AutoscalerConfig,
+    ) -> ScalingPlan {
         let running: f64 = needs.iter().map(|need| need.running).sum();
-        let due = |least: &dyn Fn(&Need) -> f64| {
+        let due = |least: &dyn Fn(&JobDemand) -> f64| {
             let mut due: Vec<(f64, f64)> =
-                needs.iter().map(|need| (need.left_s.max(least(need)), need.work())).collect();
+                needs.iter().map(|need| (need.time_left_s.max(least(need)), need.work())).collect();
             due.sort_by(|a, b| a.0.total_cmp(&b.0));
             let mut sum = 0.0;
             due.iter_mut().for_each(|(time, work)| {
                 sum += *work;
                 let later: f64 = flows.iter().map(|flow| flow.until(*time)).sum();
-                *work = (sum + later) / sizing.fill;
+                *work = (sum + later) / sizing.target_utilization;
             });
             due
         };
@@ -129,19 +129,23 @@
             .into_iter()
             .map(|(time, work)| (work - supply.until(time)) / (time - boot_s).max(1.0))
             .fold(0.0, f64::max);
-        let weight = (-(now - self.at).max(0.0) / sizing.memory_s).exp();
+        let weight = (-(now - self.planned_at).max(0.0) / sizing.smoothing_s).exp();
         let pending: f64 = needs.iter().map(|need| need.pending).sum();
-        self.busy = self.busy * weight + running * (1.0 - weight);
-        let lost = self.busy.min(running + pending) - supply.up - supply.booting.len() as f64;
+        self.smoothed_busy = self.smoothed_busy * weight + running * (1.0 - weight);
+        let lost =
+            self.smoothed_busy.min(running + pending) - supply.up - supply.booting.len() as f64;
         // What runs together needs room beside all that runs, however soon that ends.
-        let together: f64 =
-            needs.iter().filter(|need| need.together).map(|need| need.pending).sum();
+        let together: f64 = needs.iter().filter(|need| need.gang).map(|need| need.pending).sum();
         let have = supply.up + supply.booting.len() as f64;
         let beside = if together > 0.0 { running + together - have } else { 0.0 };
         let rent = rent.max(lost.floor()).max(beside.ceil());
         let need = need.max(running + together);
-        self.load = self.load * weight + need * (1.0 - weight);
-        self.at = now;
-        Plan { rent, need, keep: need.max(self.load * sizing.keep) }
+        self.smoothed_required = self.smoothed_required * weight + need * (1.0 - weight);
+        self.planned_at = now;
+        ScalingPlan {
+            scale_out: rent,
+            required: need,
+            retain: need.max(self.smoothed_required * sizing.spot_retention),
+        }
     }
 }
--- a/crates/gladekeel-sched/src/place.rs
+++ b/crates/gladekeel-sched/src/cycle.rs
@@ -1,117 +1,117 @@
 //! One round: which tasks go where, and what is stopped to make room.
 
+mod binder;
 mod gang;
-mod placing;
 
 use crate::{
-    Room,
-    index::Index,
-    share::{Claim, Hopper},
+    Resources,
+    fair_share::{Demand, FairShare},
+    machine_index::MachineIndex,
 };
-use placing::Placing;
+use binder::Binder;
 
 /// A machine that may take work.
 #[derive(Debug, Clone)]
-pub struct Machine {
+pub struct SchedulableMachine {
     /// What it has in all.
-    pub whole: Room,
+    pub capacity: Resources,
     /// What is free.
-    pub free: Room,
+    pub free: Resources,
     /// Its type.
-    pub kind: u32,
+    pub machine_type: u32,
     /// Its zone.
     pub zone: u32,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Images that it has or fetches.
-    pub images: Vec<u32>,
+    pub cached_or_fetching: Vec<u32>,
     /// Images that it has for certain.
-    pub ready: Vec<u32>,
+    pub cached_images: Vec<u32>,
     /// Whether it fetches an image now: another one would share its rate.
     pub fetching: bool,
     /// Whether it takes new work now.
-    pub open: bool,
+    pub schedulable: bool,
     /// Whether it is kept for gangs.
-    pub standby: bool,
+    pub warm_pool: bool,
 }
 
 /// A team's bounds and use, in CPUs and GPUs.
 #[derive(Debug, Clone, Copy)]
-pub struct Team {
+pub struct TeamQuota {
     /// What it is guaranteed.
-    pub guarantee: Room,
+    pub guaranteed: Resources,
     /// What it may use at most.
-    pub limit: Room,
+    pub limit: Resources,
     /// What its tasks use.
-    pub used: Room,
+    pub used: Resources,
 }
 
-impl Team {
-    /// Whether a further task stays within the limit.
-    pub fn allows(&self, task: Room) -> bool {
-        within(self.used + task, self.limit)
+impl TeamQuota {
+    /// Whether a further task stays fits_quota the limit.
+    pub fn within_limit(&self, task: Resources) -> bool {
+        fits_quota(self.used + task, self.limit)
     }
 
-    /// Whether a further task stays within the guarantee.
-    pub fn guarantees(&self, task: Room) -> bool {
-        within(self.used + task, self.guarantee)
+    /// Whether a further task stays fits_quota the guarantee.
+    pub fn within_guarantee(&self, task: Resources) -> bool {
+        fits_quota(self.used + task, self.guaranteed)
     }
 
     /// Whether it uses more than it is guaranteed.
-    pub fn borrows(&self) -> bool {
-        !within(self.used, self.guarantee)
+    pub fn exceeds_guarantee(&self) -> bool {
+        !fits_quota(self.used, self.guaranteed)
     }
 }
 
 /// Bounds of teams are in CPUs and GPUs; memory is not counted.
-fn within(used: Room, bound: Room) -> bool {
+fn fits_quota(used: Resources, bound: Resources) -> bool {
     used.cpus <= bound.cpus && used.gpus <= bound.gpus
 }
 
 /// A job that wants room.
 #[derive(Debug, Clone)]
-pub struct Job {
+pub struct SchedulableJob {
     /// Its team.
     pub team: u32,
     /// Greater goes first.
     pub priority: u8,
     /// What a task takes.
-    pub task: Room,
+    pub task_request: Resources,
     /// Tasks that have not completed.
     pub remaining: u32,
     /// Tasks that are on no machine.
     pub pending: u32,
     /// How many of the pending ones are restarts.
-    pub restarts: u32,
+    pub speculative_restarts: u32,
     /// The image.
     pub image: u32,
     /// Allowed machine types; none for any.
-    pub kinds: Option<Vec<u32>>,
+    pub machine_types: Option<Vec<u32>>,
     /// The only allowed zone.
     pub zone: Option<u32>,
     /// All tasks in one zone.
-    pub one_zone: bool,
+    pub single_zone: bool,
     /// At most this many tasks in a zone.
-    pub zone_cap: u32,
+    pub max_tasks_per_zone: u32,
     /// Whether spot machines are allowed.
     pub spot: bool,
     /// Tasks on machines, by zone.
-    pub by_zone: Vec<u32>,
+    pub tasks_by_zone: Vec<u32>,
     /// All of its tasks start together or none does.
     pub gang: bool,
     /// A gang that waits for tasks in place of ones that are gone.
-    pub completes: bool,
+    pub replaces_gang_members: bool,
     /// For how long it has waited too long, in seconds, with nothing on any machine:
     /// the longest goes first.
-    pub overdue: u32,
+    pub overdue_s: u32,
     /// It should start sooner than its image can be fetched, so for now only
     /// machines that have the image will do.
-    pub hurried: bool,
+    pub requires_cached_image: bool,
 }
 
 /// A task to place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Placement {
+pub struct Binding {
     /// The job.
     pub job: usize,
     /// The machine.
@@ -120,48 +120,49 @@
 
 /// Everything that a round looks at. Placing changes it as it goes.
 #[derive(Debug, Clone, Default)]
-pub struct Round {
+pub struct SchedulingCycle {
     /// The machines; ones without free room may be left out.
-    pub machines: Vec<Machine>,
+    pub machines: Vec<SchedulableMachine>,
     /// What all machines have together, those left out included.
-    pub whole: Room,
+    pub total_capacity: Resources,
     /// The teams.
-    pub teams: Vec<Team>,
+    pub teams: Vec<TeamQuota>,
     /// The jobs, oldest first.
-    pub jobs: Vec<Job>,
+    pub jobs: Vec<SchedulableJob>,
     /// Most placements; the rest waits for the next round.
-    pub most: usize,
+    pub max_bindings: usize,
     /// How often a machine was looked at, for placing to tell.
-    pub looked: u64,
+    pub machines_examined: u64,
 }
 
-impl Round {
+impl SchedulingCycle {
     /// Places what the design says, in its order.
-    pub fn place(&mut self, hopper: &Hopper) -> Vec<Placement> {
-        let order = self.order();
-        let targets = self.targets(hopper);
-        let index = Index::new(&self.machines, self.jobs.iter().filter(|job| job.pending > 0));
-        let mut placing = Placing { round: self, index, placed: Vec::new() };
+    pub fn run(&mut self, hopper: &FairShare) -> Vec<Binding> {
+        let order = self.job_order();
+        let targets = self.task_allocations(hopper);
+        let index =
+            MachineIndex::new(&self.machines, self.jobs.iter().filter(|job| job.pending > 0));
+        let mut placing = Binder { cycle: self, index, bindings: Vec::new() };
         placing.run(hopper, &order, &targets);
-        let (placed, looked) = (placing.placed, placing.index.looked);
-        self.looked += looked;
+        let (placed, looked) = (placing.bindings, placing.index.machines_examined);
+        self.machines_examined += looked;
         placed
     }
 
     /// Whether the machines could hold a gang if nothing else were on them.
     fn could_hold(&self, index: usize) -> bool {
         let job = &self.jobs[index];
-        let fits = |m: &Machine| job.task.times_in(m.whole, job.remaining);
-        let machines = self.machines.iter().filter(|m| m.open && self.allowed(job, m));
+        let fits = |m: &SchedulableMachine| job.task_request.times_in(m.capacity, job.remaining);
+        let machines = self.machines.iter().filter(|m| m.schedulable && self.is_feasible(job, m));
         machines.map(fits).sum::<u32>() >= job.remaining
     }
 
     /// Jobs by priority, then virtual size, then age; those that waited long first.
-    pub fn order(&self) -> Vec<usize> {
+    pub fn job_order(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.jobs.len()).collect();
         order.sort_by_key(|index| {
             let job = &self.jobs[*index];
-            (u32::MAX - job.overdue, u8::MAX - job.priority, job.remaining)
+            (u32::MAX - job.overdue_s, u8::MAX - job.priority, job.remaining)
         });
         order
     }
@@ -171,7 +172,7 @@
     }
 
     /// How many tasks of each job its share covers.
-    pub fn targets(&self, hopper: &Hopper) -> Vec<u32> {
+    pub fn task_allocations(&self, hopper: &FairShare) -> Vec<u32> {
         let mut targets = vec![0; self.jobs.len()];
         let mut left = 1.0;
         let mut priorities: Vec<u8> = self.jobs.iter().map(|job| job.priority).collect();
@@ -180,18 +181,24 @@
         for priority in priorities.into_iter().rev() {
             let group: Vec<usize> =
                 (0..self.jobs.len()).filter(|job| self.jobs[*job].priority == priority).collect();
-            let claims: Vec<Claim> = group
+            let claims: Vec<Demand> = group
                 .iter()
                 .map(|job| {
                     let job = &self.jobs[*job];
-                    Claim { remaining: job.remaining, task: job.task.share_of(self.whole).min(1e6) }
+                    Demand {
+                        remaining: job.remaining,
+                        task_share: job
+                            .task_request
+                            .dominant_share_of(self.total_capacity)
+                            .min(1e6),
+                    }
                 })
                 .collect();
-            let parts = hopper.divide(&claims, left);
+            let parts = hopper.allocate(&claims, left);
             for ((job, claim), part) in group.into_iter().zip(claims).zip(parts) {
-                let tasks = (part / claim.task.max(1e-12) + 1e-6).floor();
+                let tasks = (part / claim.task_share.max(1e-12) + 1e-6).floor();
                 targets[job] = (tasks.min(1e9) as u32).min(claim.remaining);
-                left -= f64::from(targets[job]) * claim.task;
+                left -= f64::from(targets[job]) * claim.task_share;
             }
             left = left.max(0.0);
         }
@@ -199,18 +206,18 @@
     }
 
     /// Counts a job's tasks on free room, as far as they fit.
-    pub(crate) fn take_free(&mut self, index: usize) {
+    pub(crate) fn reserve_free(&mut self, index: usize) {
         for at in 0..self.machines.len() {
             let (job, machine) = (&self.jobs[index], &self.machines[at]);
             let team = &self.teams[job.team as usize];
-            if !machine.open || !self.allowed(job, machine) {
+            if !machine.schedulable || !self.is_feasible(job, machine) {
                 continue;
             }
-            let mut tasks = job.task.times_in(machine.free, job.pending);
-            while tasks > 0 && !team.allows(job.task * i64::from(tasks)) {
+            let mut tasks = job.task_request.times_in(machine.free, job.pending);
+            while tasks > 0 && !team.within_limit(job.task_request * i64::from(tasks)) {
                 tasks -= 1;
             }
-            let (task, team) = (job.task * i64::from(tasks), job.team as usize);
+            let (task, team) = (job.task_request * i64::from(tasks), job.team as usize);
             self.machines[at].free -= task;
             self.teams[team].used += task;
             self.jobs[index].pending -= tasks;
@@ -218,20 +225,24 @@
     }
 
     /// Whether the job's rules allow a further task on the machine.
-    fn allowed(&self, job: &Job, machine: &Machine) -> bool {
-        (!job.hurried || machine.ready.contains(&job.image))
-            && job.may_use(machine.kind, machine.zone, machine.spot)
+    fn is_feasible(&self, job: &SchedulableJob, machine: &SchedulableMachine) -> bool {
+        (!job.requires_cached_image || machine.cached_images.contains(&job.image))
+            && job.may_use(machine.machine_type, machine.zone, machine.spot)
     }
 }
 
-impl Job {
+impl SchedulableJob {
     /// Whether its rules allow a further task on such machines.
     pub fn may_use(&self, kind: u32, zone: u32, spot: bool) -> bool {
         (self.spot || !spot)
-            && self.kinds.as_ref().is_none_or(|kinds| kinds.contains(&kind))
+            && self.machine_types.as_ref().is_none_or(|kinds| kinds.contains(&kind))
             && self.zone.is_none_or(|only| only == zone)
-            && self.by_zone.get(zone as usize).copied().unwrap_or(0) < self.zone_cap
-            && (!self.one_zone
-                || self.by_zone.iter().enumerate().all(|(at, n)| *n == 0 || at == zone as usize))
+            && self.tasks_by_zone.get(zone as usize).copied().unwrap_or(0) < self.max_tasks_per_zone
+            && (!self.single_zone
+                || self
+                    .tasks_by_zone
+                    .iter()
+                    .enumerate()
+                    .all(|(at, n)| *n == 0 || at == zone as usize))
     }
 }
--- a/crates/gladekeel-sched/src/place/gang.rs
+++ b/crates/gladekeel-sched/src/cycle/gang.rs
@@ -1,7 +1,7 @@
 //! Places for a whole gang, or none.
 
-use super::placing::{Claimed, Placing};
-use crate::place::{Machine, Placement};
+use super::binder::{Binder, Entitlement};
+use crate::cycle::{Binding, SchedulableMachine};
 use std::{cmp::Reverse, collections::BTreeSet};
 
 /// How soon a machine has an image, the soonest first.
@@ -35,10 +35,10 @@
 }
 
 impl Candidate {
-    fn new(at: usize, machine: &Machine, image: u32, tasks: u32) -> Candidate {
-        let image = if machine.ready.contains(&image) {
+    fn new(at: usize, machine: &SchedulableMachine, image: u32, tasks: u32) -> Candidate {
+        let image = if machine.cached_images.contains(&image) {
             ImageState::Ready
-        } else if machine.images.contains(&image) {
+        } else if machine.cached_or_fetching.contains(&image) {
             ImageState::Fetching
         } else if machine.fetching {
             ImageState::AbsentBusy
@@ -47,7 +47,7 @@
         };
         Candidate {
             image,
-            shared: !machine.standby,
+            shared: !machine.warm_pool,
             ordinary: !machine.spot,
             tasks: Reverse(tasks),
             free_cpus: machine.free.cpus,
@@ -64,20 +64,20 @@
     machines: Vec<(usize, u32)>,
 }
 
-impl Placing<'_> {
+impl Binder<'_> {
     /// Places all of a gang's tasks, or none.
-    pub(super) fn place_gang(&mut self, index: usize, claimed: Claimed) -> bool {
-        let job = &self.round.jobs[index];
+    pub(super) fn place_gang(&mut self, index: usize, claimed: Entitlement) -> bool {
+        let job = &self.cycle.jobs[index];
         // A round that is full takes no more, but one gang may be more than a round.
-        let late =
-            !self.placed.is_empty() && self.placed.len() + job.pending as usize > self.round.most;
-        let team = &self.round.teams[job.team as usize];
-        let all = job.task * i64::from(job.pending);
+        let late = !self.bindings.is_empty()
+            && self.bindings.len() + job.pending as usize > self.cycle.max_bindings;
+        let team = &self.cycle.teams[job.team as usize];
+        let all = job.task_request * i64::from(job.pending);
         if job.pending == 0
-            || (job.pending < job.remaining && !job.completes)
+            || (job.pending < job.remaining && !job.replaces_gang_members)
             || late
-            || !team.allows(all)
-            || (claimed == Claimed::Guarantee && !team.guarantees(all))
+            || !team.within_limit(all)
+            || (claimed == Entitlement::Guarantee && !team.within_guarantee(all))
         {
             return false;
         }
@@ -85,7 +85,7 @@
         for (machine, tasks) in chosen {
             for _ in 0..tasks {
                 self.take(index, machine, false);
-                self.placed.push(Placement { job: index, machine });
+                self.bindings.push(Binding { job: index, machine });
             }
         }
         true
@@ -95,7 +95,7 @@
     /// does not fit as things are.
     fn machines_for_gang(&mut self, index: usize) -> Option<Vec<(usize, u32)>> {
         let candidates = self.gang_candidates(index);
-        if !self.round.jobs[index].one_zone {
+        if !self.cycle.jobs[index].single_zone {
             return self.choose(index, &candidates, None).map(|choice| choice.machines);
         }
         let zones: BTreeSet<u32> = candidates.iter().map(|candidate| candidate.zone).collect();
@@ -106,14 +106,17 @@
 
     /// Machines that can take tasks of a gang, the best first.
     fn gang_candidates(&mut self, index: usize) -> Vec<Candidate> {
-        let job = &self.round.jobs[index];
+        let job = &self.cycle.jobs[index];
         let mut candidates = Vec::new();
-        for (at, machine) in self.round.machines.iter().enumerate() {
-            self.index.looked += 1;
-            if !machine.open || self.index.is_closed(at) || !self.round.allowed(job, machine) {
+        for (at, machine) in self.cycle.machines.iter().enumerate() {
+            self.index.machines_examined += 1;
+            if !machine.schedulable
+                || self.index.is_closed(at)
+                || !self.cycle.is_feasible(job, machine)
+            {
                 continue;
             }
-            let tasks = job.task.times_in(machine.free, job.pending);
+            let tasks = job.task_request.times_in(machine.free, job.pending);
             if tasks > 0 {
                 candidates.push(Candidate::new(at, machine, job.image, tasks));
             }
@@ -125,10 +128,10 @@
     /// Spreads a gang over the best of these machines, within one zone if there is `only`
     /// one; none if they do not hold all of it.
     fn choose(&self, index: usize, candidates: &[Candidate], only: Option<u32>) -> Option<Choice> {
-        let job = &self.round.jobs[index];
+        let job = &self.cycle.jobs[index];
         let mut left = job.pending;
         let mut choice = Choice { slowest: ImageState::Ready, machines: Vec::new() };
-        let mut by_zone = job.by_zone.clone();
+        let mut by_zone = job.tasks_by_zone.clone();
         for candidate in candidates {
             if left == 0 || only.is_some_and(|only| only != candidate.zone) {
                 continue;
@@ -137,7 +140,7 @@
             if by_zone.len() <= zone {
                 by_zone.resize(zone + 1, 0);
             }
-            let allowed = job.zone_cap.saturating_sub(by_zone[zone]);
+            let allowed = job.max_tasks_per_zone.saturating_sub(by_zone[zone]);
             let tasks = candidate.tasks.0.min(left).min(allowed);
             if tasks > 0 {
                 by_zone[zone] += tasks;
--- a/crates/gladekeel-sched/src/lib.rs
+++ b/crates/gladekeel-sched/src/lib.rs
@@ -9,15 +9,15 @@
 //!
 //! Time and random choices are passed in: the same input gives the same output.
 
-pub mod fleet;
-pub mod place;
-pub mod preempt;
-pub mod restart;
-pub mod share;
+pub mod autoscaling;
+pub mod cycle;
+pub mod fair_share;
+pub mod preemption;
+pub mod straggler;
 
-mod index;
 mod intern;
-mod room;
+mod machine_index;
+mod resources;
 
 pub use intern::Interner;
-pub use room::Room;
+pub use resources::Resources;
--- a/crates/gladekeel-sched/src/index.rs
+++ b/crates/gladekeel-sched/src/machine_index.rs
@@ -1,8 +1,8 @@
 //! Finding the machine for a task without looking at all of them.
 
 use crate::{
-    Room,
-    place::{Job, Machine},
+    Resources,
+    cycle::{SchedulableJob, SchedulableMachine},
 };
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -44,38 +44,43 @@
 
 /// Open machines by group and image.
 #[derive(Debug, Default)]
-pub(crate) struct Index {
+pub(crate) struct MachineIndex {
     groups: Vec<Group>,
     group_of: Vec<Option<usize>>,
     closed: BTreeSet<usize>,
     calm: Rows,
     busy: Rows,
     /// Machines that were looked at.
-    pub looked: u64,
+    pub machines_examined: u64,
     ready: HashMap<u32, Rows>,
     begun: HashMap<u32, Rows>,
 }
 
-impl Index {
+impl MachineIndex {
     /// An index for placing these jobs.
-    pub fn new<'a>(machines: &[Machine], jobs: impl Iterator<Item = &'a Job>) -> Index {
-        let (mut wanted, mut least) = (BTreeSet::new(), None::<Room>);
+    pub fn new<'a>(
+        machines: &[SchedulableMachine],
+        jobs: impl Iterator<Item = &'a SchedulableJob>,
+    ) -> MachineIndex {
+        let (mut wanted, mut least) = (BTreeSet::new(), None::<Resources>);
         for job in jobs {
             wanted.insert(job.image);
-            let least = least.get_or_insert(job.task);
-            least.cpus = least.cpus.min(job.task.cpus);
-            least.gpus = least.gpus.min(job.task.gpus);
-            least.memory = least.memory.min(job.task.memory);
+            let least = least.get_or_insert(job.task_request);
+            least.cpus = least.cpus.min(job.task_request.cpus);
+            least.gpus = least.gpus.min(job.task_request.gpus);
+            least.memory = least.memory.min(job.task_request.memory);
         }
-        let Some(least) = least else { return Index::default() };
+        let Some(least) = least else { return MachineIndex::default() };
         let mut numbers: BTreeMap<Group, usize> = BTreeMap::new();
-        let mut index = Index { group_of: vec![None; machines.len()], ..Index::default() };
+        let mut index =
+            MachineIndex { group_of: vec![None; machines.len()], ..MachineIndex::default() };
         for (at, machine) in machines.iter().enumerate() {
             // What cannot take the smallest task takes none. Gangs do not come here.
-            if !machine.open || machine.standby || !least.fits(machine.free) {
+            if !machine.schedulable || machine.warm_pool || !least.fits_in(machine.free) {
                 continue;
             }
-            let group = Group { kind: machine.kind, zone: machine.zone, spot: machine.spot };
+            let group =
+                Group { kind: machine.machine_type, zone: machine.zone, spot: machine.spot };
             let number = *numbers.entry(group).or_insert_with(|| {
                 index.groups.push(group);
                 index.groups.len() - 1
@@ -93,9 +98,10 @@
             let key = (machine.free.cpus, at as u32);
             let rows = if machine.fetching { &mut index.busy } else { &mut index.calm };
             rows[group].insert(key);
-            for (rows, images) in
-                [(&mut index.ready, &machine.ready), (&mut index.begun, &machine.images)]
-            {
+            for (rows, images) in [
+                (&mut index.ready, &machine.cached_images),
+                (&mut index.begun, &machine.cached_or_fetching),
+            ] {
                 for image in images {
                     if let Some(rows) = rows.get_mut(image) {
                         rows[group].insert(key);
@@ -118,12 +124,12 @@
     /// The machine for a job's next task. One that has the image starts at once, and one
     /// that fetches nothing else starts sooner; then comes the cheap kind; then the fullest,
     /// so that whole machines stay free for large pieces or can be returned. Machines on the
-    /// way that do not fit the task are skipped; they go back by [`Index::restore`]. With
+    /// way that do not fit the task are skipped; they go back by [`MachineIndex::restore`]. With
     /// `cached` only machines that have the image or fetch it will do.
     pub fn best(
         &mut self,
-        job: &Job,
-        machines: &[Machine],
+        job: &SchedulableJob,
+        machines: &[SchedulableMachine],
         cached: bool,
         skipped: &mut Vec<Skipped>,
     ) -> Option<usize> {
@@ -132,7 +138,7 @@
             [ImageState::Ready, ImageState::Fetching, ImageState::Absent, ImageState::AbsentBusy]
         {
             let has = matches!(state, ImageState::Ready | ImageState::Fetching);
-            if (job.hurried && state != ImageState::Ready) || (cached && !has) {
+            if (job.requires_cached_image && state != ImageState::Ready) || (cached && !has) {
                 break;
             }
             for spot in [true, false] {
@@ -142,14 +148,14 @@
                     if group.spot != spot || !job.may_use(group.kind, group.zone, spot) {
                         continue;
                     }
-                    self.looked += 1;
+                    self.machines_examined += 1;
                     let Some(rows) = self.rows(state, job.image) else { continue };
                     let row = &mut rows[number];
-                    while let Some(key) = row.range((job.task.cpus, 0)..).next().copied() {
+                    while let Some(key) = row.range((job.task_request.cpus, 0)..).next().copied() {
                         if best.is_some_and(|best| best <= key) {
                             break;
                         }
-                        if job.task.fits(machines[key.1 as usize].free) {
+                        if job.task_request.fits_in(machines[key.1 as usize].free) {
                             best = Some(key);
                             break;
                         }
@@ -158,7 +164,7 @@
                         skipped.push(Skipped { state, image: job.image, group: number, key });
                     }
                 }
-                self.looked += std::mem::take(&mut skipped_now);
+                self.machines_examined += std::mem::take(&mut skipped_now);
                 if let Some((_, at)) = best {
                     return Some(at as usize);
                 }
@@ -182,7 +188,7 @@
     }
 
     /// A machine takes nothing more.
-    pub fn close(&mut self, at: usize, machine: &Machine) {
+    pub fn close(&mut self, at: usize, machine: &SchedulableMachine) {
         self.closed.insert(at);
         let Some(group) = self.group_of.get_mut(at).and_then(Option::take) else { return };
         let key = (machine.free.cpus, at as u32);
@@ -193,7 +199,7 @@
     }
 
     /// A machine begins to fetch an image.
-    pub fn begins_fetch(&mut self, at: usize, free: Room, image: u32) {
+    pub fn begins_fetch(&mut self, at: usize, free: Resources, image: u32) {
         let Some(group) = self.group_of.get(at).copied().flatten() else { return };
         let key = (free.cpus, at as u32);
         if let Some(rows) = self.begun.get_mut(&image) {
@@ -205,7 +211,7 @@
     }
 
     /// A machine's free room has changed.
-    pub fn free_changed(&mut self, at: usize, machine: &Machine, before: Room) {
+    pub fn free_changed(&mut self, at: usize, machine: &SchedulableMachine, before: Resources) {
         let Some(group) = self.group_of.get(at).copied().flatten() else { return };
         let (old, new) = ((before.cpus, at as u32), (machine.free.cpus, at as u32));
         let mut update = |rows: &mut Rows| {
@@ -215,10 +221,10 @@
         };
         update(&mut self.calm);
         update(&mut self.busy);
-        for image in &machine.ready {
+        for image in &machine.cached_images {
             self.ready.get_mut(image).map(&mut update);
         }
-        for image in &machine.images {
+        for image in &machine.cached_or_fetching {
             self.begun.get_mut(image).map(&mut update);
         }
     }
--- a/crates/gladekeel-sched/src/preempt.rs
+++ b/crates/gladekeel-sched/src/preemption.rs
@@ -1,8 +1,8 @@
 //! What is stopped to make room for those with a better claim.
 
 use crate::{
-    Room,
-    place::{Job, Round, Team},
+    Resources,
+    cycle::{SchedulableJob, SchedulingCycle, TeamQuota},
 };
 use std::{
     cmp::Reverse,
@@ -11,7 +11,7 @@
 
 /// A task on a machine that could be stopped for another.
 #[derive(Debug, Clone, Copy)]
-pub struct Victim {
+pub struct PreemptionCandidate {
     /// Whose it is, for the caller.
     pub id: u64,
     /// The machine, as an index into the round's machines.
@@ -21,32 +21,37 @@
     /// Its priority.
     pub priority: u8,
     /// What it takes.
-    pub task: Room,
+    pub resources: Resources,
     /// Work that stopping it would lose, in CPU-seconds.
-    pub loss: f64,
+    pub lost_work: f64,
     /// Whether it saves its progress.
-    pub saves: bool,
+    pub checkpoints: bool,
 }
 
 /// Tasks that could be stopped, by machine.
 #[derive(Debug, Clone)]
-pub struct Victims(Vec<Vec<Victim>>);
+pub struct PreemptionCandidates(Vec<Vec<PreemptionCandidate>>);
 
 /// What making room for a task costs on a machine: work lost, and how many of the
 /// machine's victims are stopped.
-type Offer = (f64, Vec<u64>);
+type PreemptionCost = (f64, Vec<u64>);
 
-impl Victims {
+impl PreemptionCandidates {
     /// Groups victims by machine, those that lose least first.
-    pub fn new(machines: usize, victims: impl IntoIterator<Item = Victim>) -> Victims {
+    pub fn new(
+        machines: usize,
+        victims: impl IntoIterator<Item = PreemptionCandidate>,
+    ) -> PreemptionCandidates {
         let mut groups = vec![Vec::new(); machines];
         for victim in victims {
             groups[victim.machine].push(victim);
         }
         for group in &mut groups {
-            group.sort_by(|a: &Victim, b| a.loss.total_cmp(&b.loss).then(a.id.cmp(&b.id)));
+            group.sort_by(|a: &PreemptionCandidate, b| {
+                a.lost_work.total_cmp(&b.lost_work).then(a.id.cmp(&b.id))
+            });
         }
-        Victims(groups)
+        PreemptionCandidates(groups)
     }
 
     /// Chooses tasks to stop for up to `most` waiting tasks of a job, and returns
@@ -56,9 +61,9 @@
     /// A victim has a lower priority, or belongs to another team that runs beyond
     /// its guarantee while the claimant stays within its own. Machines where least
     /// work is lost come first.
-    pub fn stop_for(
+    pub fn preempt_for(
         &mut self,
-        round: &mut Round,
+        round: &mut SchedulingCycle,
         index: usize,
         most: usize,
         saving: bool,
@@ -67,7 +72,7 @@
         let mut heap: BinaryHeap<Reverse<(u64, usize)>> = BinaryHeap::new();
         // Losses are never negative, so that their bits are in their order.
         for machine in 0..round.machines.len() {
-            if let Some((loss, _)) = self.offer(round, &job, machine, saving) {
+            if let Some((loss, _)) = self.cost_on(round, &job, machine, saving) {
                 heap.push(Reverse((loss.to_bits(), machine)));
             }
         }
@@ -77,22 +82,22 @@
             && let Some(Reverse((known, machine))) = heap.pop()
         {
             // Uses of teams have changed since; what an offer costs may have too.
-            let Some((loss, ids)) = self.offer(round, &job, machine, saving) else { continue };
+            let Some((loss, ids)) = self.cost_on(round, &job, machine, saving) else { continue };
             if loss.to_bits() > known {
                 heap.push(Reverse((loss.to_bits(), machine)));
                 continue;
             }
             let group = &mut self.0[machine];
             for victim in group.iter().filter(|victim| ids.contains(&victim.id)) {
-                round.machines[machine].free += victim.task;
-                round.teams[victim.team as usize].used -= victim.task;
+                round.machines[machine].free += victim.resources;
+                round.teams[victim.team as usize].used -= victim.resources;
             }
             group.retain(|victim| !ids.contains(&victim.id));
-            round.machines[machine].free -= job.task;
-            round.teams[job.team as usize].used += job.task;
+            round.machines[machine].free -= job.task_request;
+            round.teams[job.team as usize].used += job.task_request;
             round.jobs[index].pending -= 1;
             stopped.extend(ids);
-            if let Some((loss, _)) = self.offer(round, &job, machine, saving) {
+            if let Some((loss, _)) = self.cost_on(round, &job, machine, saving) {
                 heap.push(Reverse((loss.to_bits(), machine)));
             }
         }
@@ -101,16 +106,16 @@
 
     /// The same for a whole gang, together with what is free, or nothing: half of the
     /// room would help nobody. Machines that have its image come before others.
-    pub fn stop_for_gang(
+    pub fn preempt_for_gang(
         &mut self,
-        round: &mut Round,
+        round: &mut SchedulingCycle,
         index: usize,
         most: usize,
         saving: bool,
     ) -> Vec<u64> {
         let zones: BTreeSet<u32> = round.machines.iter().map(|machine| machine.zone).collect();
         let only = |zone: u32| Some(zone);
-        let tries: Vec<Option<u32>> = match round.jobs[index].one_zone {
+        let tries: Vec<Option<u32>> = match round.jobs[index].single_zone {
             true => zones.into_iter().map(only).collect(),
             false => vec![round.jobs[index].zone],
         };
@@ -121,13 +126,13 @@
                 if job.zone.is_some_and(|own| Some(own) != *zone) {
                     continue;
                 }
-                let before = (job.zone, job.hurried);
-                (job.zone, job.hurried) = (*zone, ready);
-                round_then.take_free(index);
-                let stopped = victims_then.stop_for(&mut round_then, index, most, saving);
+                let before = (job.zone, job.requires_cached_image);
+                (job.zone, job.requires_cached_image) = (*zone, ready);
+                round_then.reserve_free(index);
+                let stopped = victims_then.preempt_for(&mut round_then, index, most, saving);
                 if round_then.jobs[index].pending == 0 {
                     let job = &mut round_then.jobs[index];
-                    (job.zone, job.hurried) = before;
+                    (job.zone, job.requires_cached_image) = before;
                     (*round, *self) = (round_then, victims_then);
                     return stopped;
                 }
@@ -136,34 +141,40 @@
         Vec::new()
     }
 
-    fn offer(&self, round: &Round, job: &Job, at: usize, saving: bool) -> Option<Offer> {
+    fn cost_on(
+        &self,
+        round: &SchedulingCycle,
+        job: &SchedulableJob,
+        at: usize,
+        saving: bool,
+    ) -> Option<PreemptionCost> {
         let machine = &round.machines[at];
-        let team: &Team = &round.teams[job.team as usize];
-        if !machine.open
-            || (machine.standby && !job.gang)
+        let team: &TeamQuota = &round.teams[job.team as usize];
+        if !machine.schedulable
+            || (machine.warm_pool && !job.gang)
             || self.0[at].is_empty()
-            || !team.allows(job.task)
-            || !job.task.fits(machine.whole)
-            || (job.hurried && !machine.ready.contains(&job.image))
-            || !job.may_use(machine.kind, machine.zone, machine.spot)
+            || !team.within_limit(job.task_request)
+            || !job.task_request.fits_in(machine.capacity)
+            || (job.requires_cached_image && !machine.cached_images.contains(&job.image))
+            || !job.may_use(machine.machine_type, machine.zone, machine.spot)
         {
             return None;
         }
-        let claims_guarantee = team.guarantees(job.task);
+        let claims_guarantee = team.within_guarantee(job.task_request);
         let (mut free, mut loss, mut ids) = (machine.free, 0.0, Vec::new());
         for victim in &self.0[at] {
-            if job.task.fits(free) {
+            if job.task_request.fits_in(free) {
                 break;
             }
             let borrowed = claims_guarantee
                 && victim.team != job.team
-                && round.teams[victim.team as usize].borrows();
-            if (victim.saves || !saving) && (victim.priority < job.priority || borrowed) {
-                free += victim.task;
-                loss += victim.loss;
+                && round.teams[victim.team as usize].exceeds_guarantee();
+            if (victim.checkpoints || !saving) && (victim.priority < job.priority || borrowed) {
+                free += victim.resources;
+                loss += victim.lost_work;
                 ids.push(victim.id);
             }
         }
-        (job.task.fits(free) && !ids.is_empty()).then_some((loss, ids))
+        (job.task_request.fits_in(free) && !ids.is_empty()).then_some((loss, ids))
     }
 }
--- a/crates/gladekeel-sched/src/restart.rs
+++ b/crates/gladekeel-sched/src/straggler.rs
@@ -1,8 +1,8 @@
-//! Which running tasks are slow enough to be started anew.
+//! Which running tasks are find_stragglers enough to be started anew.
 
 /// A running task as the rule sees it.
 #[derive(Debug, Clone, Copy)]
-pub struct Run {
+pub struct RunningTask {
     /// Where it runs.
     pub machine: u32,
     /// How long it has run, in seconds.
@@ -14,10 +14,10 @@
 }
 
 /// Indices of the tasks to restart: past `multiple` times their job's median on a
-/// machine whose other tasks are past that multiple as well. A slow task among
+/// machine whose other tasks are past that multiple as well. A find_stragglers task among
 /// ordinary ones is long by itself and would be as long elsewhere.
-pub fn slow(runs: &[Run], multiple: f64) -> Vec<usize> {
-    let past = |run: &Run| run.median_s.is_some_and(|median| run.ran_s > multiple * median);
+pub fn find_stragglers(runs: &[RunningTask], multiple: f64) -> Vec<usize> {
+    let past = |run: &RunningTask| run.median_s.is_some_and(|median| run.ran_s > multiple * median);
     let mut order: Vec<usize> = (0..runs.len()).collect();
     order.sort_by_key(|index| runs[*index].machine);
     let mut chosen = Vec::new();
--- a/crates/gladekeel-sched/tests/common/mod.rs
+++ b/crates/gladekeel-sched/tests/common/mod.rs
@@ -3,61 +3,72 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use gladekeel_sched::{
-    Room,
-    place::{Job, Machine, Round, Team},
+    Resources,
+    cycle::{SchedulableJob, SchedulableMachine, SchedulingCycle, TeamQuota},
 };
 
 /// So many CPUs and as much memory.
-pub fn room(cpus: f64) -> Room {
-    Room::taken(cpus, 0.0, cpus)
+pub fn room(cpus: f64) -> Resources {
+    Resources::requested(cpus, 0.0, cpus)
 }
 
 /// An empty, open machine with 32 CPUs.
-pub fn machine(zone: u32, spot: bool) -> Machine {
-    Machine {
-        whole: room(32.0),
+pub fn machine(zone: u32, spot: bool) -> SchedulableMachine {
+    SchedulableMachine {
+        capacity: room(32.0),
         free: room(32.0),
-        kind: 0,
+        machine_type: 0,
         zone,
         spot,
-        images: Vec::new(),
-        ready: Vec::new(),
+        cached_or_fetching: Vec::new(),
+        cached_images: Vec::new(),
         fetching: false,
-        open: true,
-        standby: false,
+        schedulable: true,
+        warm_pool: false,
     }
 }
 
 /// A job whose tasks all wait.
-pub fn job(team: u32, cpus: f64, tasks: u32) -> Job {
-    Job {
+pub fn job(team: u32, cpus: f64, tasks: u32) -> SchedulableJob {
+    SchedulableJob {
         team,
         priority: 1,
-        task: room(cpus),
+        task_request: room(cpus),
         remaining: tasks,
         pending: tasks,
-        restarts: 0,
+        speculative_restarts: 0,
         image: 0,
-        kinds: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        zone_cap: u32::MAX,
+        single_zone: false,
+        max_tasks_per_zone: u32::MAX,
         spot: true,
-        by_zone: Vec::new(),
+        tasks_by_zone: Vec::new(),
         gang: false,
-        completes: false,
-        overdue: 0,
-        hurried: false,
+        replaces_gang_members: false,
+        overdue_s: 0,
+        requires_cached_image: false,
     }
 }
 
 /// A team that uses nothing.
-pub fn team(guarantee: f64, limit: f64) -> Team {
-    Team { guarantee: room(guarantee), limit: room(limit), used: Room::default() }
+pub fn team(guarantee: f64, limit: f64) -> TeamQuota {
+    TeamQuota { guaranteed: room(guarantee), limit: room(limit), used: Resources::default() }
 }
 
 /// A round with all of these machines.
-pub fn round(machines: Vec<Machine>, teams: Vec<Team>, jobs: Vec<Job>) -> Round {
-    let whole = machines.iter().fold(Room::default(), |sum, m| sum + m.whole);
-    Round { machines, whole, teams, jobs, most: 1000, looked: 0 }
+pub fn round(
+    machines: Vec<SchedulableMachine>,
+    teams: Vec<TeamQuota>,
+    jobs: Vec<SchedulableJob>,
+) -> SchedulingCycle {
+    let whole = machines.iter().fold(Resources::default(), |sum, m| sum + m.capacity);
+    SchedulingCycle {
+        machines,
+        total_capacity: whole,
+        teams,
+        jobs,
+        max_bindings: 1000,
+        machines_examined: 0,
+    }
 }
--- a/crates/gladekeel-store/src/lib.rs
+++ b/crates/gladekeel-store/src/lib.rs
@@ -7,10 +7,10 @@
 //! The caller carries requests and answers, so that everything here can be run
 //! in virtual time.
 
-mod budget;
-mod call;
 mod replica;
+mod request;
+mod token_bucket;
 
-pub use budget::Bucket;
-pub use call::{Call, Outcome};
 pub use replica::{Change, Replica};
+pub use request::{StoreOutcome, StoreRequest};
+pub use token_bucket::TokenBucket;
--- a/crates/gladekeel-store/src/replica.rs
+++ b/crates/gladekeel-store/src/replica.rs
@@ -1,6 +1,6 @@
 //! A copy of the store's keys under one prefix.
 
-use gladekeel_wire::state::{Event, Events, Rows};
+use gladekeel_wire::store::{KeyValuePage, WatchEvent, WatchResponse};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -8,12 +8,12 @@
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
     revision: Option<u64>,
-    loading: Option<Loading>,
+    snapshot: Option<Snapshot>,
     rows: BTreeMap<String, (Value, u64)>,
 }
 
 #[derive(Debug, Clone)]
-struct Loading {
+struct Snapshot {
     from: u64,
     after: Option<String>,
     rows: BTreeMap<String, (Value, u64)>,
@@ -25,7 +25,7 @@
     /// The key.
     pub key: String,
     /// Its value and version; none if it is gone.
-    pub now: Option<(Value, u64)>,
+    pub current: Option<(Value, u64)>,
 }
 
 impl Replica {
@@ -35,14 +35,14 @@
     }
 
     /// Forgets the revision: the keys must be read again.
-    pub fn reload(&mut self) {
+    pub fn invalidate(&mut self) {
         self.revision = None;
-        self.loading = None;
+        self.snapshot = None;
     }
 
     /// Where the next page of a reading begins: after this key.
-    pub fn next_page(&self) -> Option<String> {
-        self.loading.as_ref().and_then(|l| l.after.clone())
+    pub fn next_page_after(&self) -> Option<String> {
+        self.snapshot.as_ref().and_then(|l| l.after.clone())
     }
 
     /// The value and version of a key.
@@ -59,28 +59,28 @@
     ///
     /// Pages are read at different revisions. The copy counts as of the first
     /// one's; following from there repeats whatever changed in between.
-    pub fn page(&mut self, page: Rows) -> Vec<Change> {
-        let loading = self.loading.get_or_insert_with(|| Loading {
+    pub fn apply_page(&mut self, page: KeyValuePage) -> Vec<Change> {
+        let loading = self.snapshot.get_or_insert_with(|| Snapshot {
             from: page.revision,
             after: None,
             rows: BTreeMap::new(),
         });
-        loading.after = page.items.last().map(|row| row.key.clone()).or(loading.after.take());
-        for row in page.items {
+        loading.after = page.entries.last().map(|row| row.key.clone()).or(loading.after.take());
+        for row in page.entries {
             loading.rows.insert(row.key, (row.value, row.version));
         }
-        if page.more {
+        if page.truncated {
             return Vec::new();
         }
-        let Some(done) = self.loading.take() else { return Vec::new() };
+        let Some(done) = self.snapshot.take() else { return Vec::new() };
         let old = std::mem::replace(&mut self.rows, done.rows);
         self.revision = Some(done.from);
         let gone = old.keys().filter(|key| !self.rows.contains_key(*key));
         let mut changes: Vec<Change> =
-            gone.map(|key| Change { key: key.clone(), now: None }).collect();
+            gone.map(|key| Change { key: key.clone(), current: None }).collect();
         for (key, (value, version)) in &self.rows {
             if old.get(key).is_none_or(|(_, before)| before != version) {
-                changes.push(Change { key: key.clone(), now: Some((value.clone(), *version)) });
+                changes.push(Change { key: key.clone(), current: Some((value.clone(), *version)) });
             }
         }
         changes
@@ -90,26 +90,26 @@
     ///
     /// They need not come in order, and ones that are known already may come
     /// again; versions decide.
-    pub fn follow(&mut self, mut events: Events) -> Vec<Change> {
+    pub fn apply_watch(&mut self, mut events: WatchResponse) -> Vec<Change> {
         // An answer that comes late says nothing new, and what it puts may have been
         // removed since.
         if self.revision.is_some_and(|revision| events.revision < revision) {
             return Vec::new();
         }
         events.events.sort_by_key(|event| match event {
-            Event::Put { version, .. } | Event::Delete { version, .. } => *version,
+            WatchEvent::Put { version, .. } | WatchEvent::Delete { version, .. } => *version,
         });
         let mut changes = Vec::new();
         for event in events.events {
             match event {
-                Event::Put { key, value, version } if version > self.version(&key) => {
+                WatchEvent::Put { key, value, version } if version > self.version(&key) => {
                     self.rows.insert(key.clone(), (value.clone(), version));
-                    changes.push(Change { key, now: Some((value, version)) });
+                    changes.push(Change { key, current: Some((value, version)) });
                 }
-                Event::Delete { key, version }
+                WatchEvent::Delete { key, version }
                     if version > self.version(&key) && self.rows.remove(&key).is_some() =>
                 {
-                    changes.push(Change { key, now: None });
+                    changes.push(Change { key, current: None });
                 }
                 _ => {}
             }
--- a/crates/gladekeel-store/src/call.rs
+++ b/crates/gladekeel-store/src/request.rs
@@ -1,11 +1,13 @@
 //! Requests to the state service and what comes of them.
 
-use gladekeel_wire::state::{Events, Lease, NewLease, Rows, Txn, TxnAnswer};
+use gladekeel_wire::store::{
+    GrantedLease, KeyValuePage, LeaseRequest, Transaction, TransactionResponse, WatchResponse,
+};
 use std::fmt::Write;
 
 /// A request to the state service.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Call {
+pub enum StoreRequest {
     /// Read a page of keys.
     List {
         /// Their prefix.
@@ -14,48 +16,48 @@
         after: Option<String>,
     },
     /// Get all changes since a revision, at once.
-    Follow {
+    Watch {
         /// Prefix of the keys.
         prefix: String,
         /// The revision.
         since: u64,
     },
     /// Make a transaction.
-    Commit(Txn),
+    Commit(Transaction),
     /// Get a lease.
-    Grant {
+    GrantLease {
         /// How long it lasts without renewal.
         ttl_ms: u64,
     },
     /// Renew a lease.
-    Touch(u64),
+    RenewLease(u64),
     /// End a lease.
-    Revoke(u64),
+    RevokeLease(u64),
 }
 
 /// What came of a call.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Outcome {
+pub enum StoreOutcome {
     /// A page of keys.
-    Rows(Rows),
+    Page(KeyValuePage),
     /// The changes since the revision asked for.
-    Events(Events),
+    Watched(WatchResponse),
     /// The revision is too old to follow from.
-    TooOld,
+    Compacted,
     /// The transaction was made, at this revision.
     Committed(u64),
     /// Conditions failed; nothing was done.
     Conflict(Vec<String>),
     /// A lease was granted.
-    Granted(u64),
+    LeaseGranted(u64),
     /// A renewal or an end of a lease was carried out.
-    Done,
+    Acknowledged,
     /// There is no such lease.
-    NoLease,
+    LeaseNotFound,
     /// Over the budget; nothing was done.
-    Busy,
+    RateLimited,
     /// The service refused; nothing was done.
-    Refused,
+    Unavailable,
     /// No answer: it may have been carried out, or may be later.
     Unknown,
 }
@@ -70,11 +72,11 @@
     }
 }
 
-impl Call {
+impl StoreRequest {
     /// Method, target and body of the request.
     pub fn encode(&self) -> (&'static str, String, Vec<u8>) {
         match self {
-            Call::List { prefix, after } => {
+            StoreRequest::List { prefix, after } => {
                 let mut target = String::from("/kv?starts=");
                 escape(prefix, &mut target);
                 if let Some(after) = after {
@@ -84,50 +86,60 @@
                 target.push_str("&limit=1000");
                 ("GET", target, Vec::new())
             }
-            Call::Follow { prefix, since } => {
+            StoreRequest::Watch { prefix, since } => {
                 let mut target = String::from("/follow?starts=");
                 escape(prefix, &mut target);
                 let _ = write!(target, "&since={since}&hold_ms=0");
                 ("GET", target, Vec::new())
             }
-            Call::Commit(txn) => ("POST", "/commit".into(), to_json(txn)),
-            Call::Grant { ttl_ms } => {
-                ("POST", "/leases".into(), to_json(&NewLease { ttl_ms: *ttl_ms }))
+            StoreRequest::Commit(txn) => ("POST", "/commit".into(), to_json(txn)),
+            StoreRequest::GrantLease { ttl_ms } => {
+                ("POST", "/leases".into(), to_json(&LeaseRequest { ttl_ms: *ttl_ms }))
             }
-            Call::Touch(id) => ("POST", format!("/leases/{id}/touch"), b"{}".to_vec()),
-            Call::Revoke(id) => ("DELETE", format!("/leases/{id}"), Vec::new()),
+            StoreRequest::RenewLease(id) => ("POST", format!("/leases/{id}/touch"), b"{}".to_vec()),
+            StoreRequest::RevokeLease(id) => ("DELETE", format!("/leases/{id}"), Vec::new()),
         }
     }
 
     /// Reads the answer.
-    pub fn decode(&self, status: u16, body: &[u8]) -> Outcome {
+    pub fn decode(&self, status: u16, body: &[u8]) -> StoreOutcome {
         fn read<'a, T: serde::Deserialize<'a>>(
             body: &'a [u8],
-            outcome: impl FnOnce(T) -> Outcome,
-        ) -> Outcome {
+            outcome: impl FnOnce(T) -> StoreOutcome,
+        ) -> StoreOutcome {
             // A body that cannot be read says nothing about what was done.
-            serde_json::from_slice(body).map_or(Outcome::Unknown, outcome)
+            serde_json::from_slice(body).map_or(StoreOutcome::Unknown, outcome)
         }
         match (status, self) {
-            (429, _) => Outcome::Busy,
-            (503, _) => Outcome::Refused,
-            (200, Call::List { .. }) => read(body, Outcome::Rows),
-            (200, Call::Follow { .. }) => read(body, Outcome::Events),
-            (410, Call::Follow { .. }) => Outcome::TooOld,
-            (200, Call::Commit(_)) => read(body, |a: TxnAnswer| Outcome::Committed(a.revision)),
-            (409, Call::Commit(_)) => read(body, |a: TxnAnswer| Outcome::Conflict(a.failed)),
-            (400, Call::Commit(_)) => Outcome::NoLease,
-            (200 | 201, Call::Grant { .. }) => read(body, |l: Lease| Outcome::Granted(l.id)),
-            (200 | 204, Call::Touch(_) | Call::Revoke(_)) => Outcome::Done,
-            (404, Call::Touch(_) | Call::Revoke(_)) => Outcome::NoLease,
-            _ => Outcome::Unknown,
+            (429, _) => StoreOutcome::RateLimited,
+            (503, _) => StoreOutcome::Unavailable,
+            (200, StoreRequest::List { .. }) => read(body, StoreOutcome::Page),
+            (200, StoreRequest::Watch { .. }) => read(body, StoreOutcome::Watched),
+            (410, StoreRequest::Watch { .. }) => StoreOutcome::Compacted,
+            (200, StoreRequest::Commit(_)) => {
+                read(body, |a: TransactionResponse| StoreOutcome::Committed(a.revision))
+            }
+            (409, StoreRequest::Commit(_)) => {
+                read(body, |a: TransactionResponse| StoreOutcome::Conflict(a.failed))
+            }
+            (400, StoreRequest::Commit(_)) => StoreOutcome::LeaseNotFound,
+            (200 | 201, StoreRequest::GrantLease { .. }) => {
+                read(body, |l: GrantedLease| StoreOutcome::LeaseGranted(l.id))
+            }
+            (200 | 204, StoreRequest::RenewLease(_) | StoreRequest::RevokeLease(_)) => {
+                StoreOutcome::Acknowledged
+            }
+            (404, StoreRequest::RenewLease(_) | StoreRequest::RevokeLease(_)) => {
+                StoreOutcome::LeaseNotFound
+            }
+            _ => StoreOutcome::Unknown,
         }
     }
 
     /// Puts and deletes that the call counts for in the write budget.
-    pub fn writes(&self) -> usize {
+    pub fn write_count(&self) -> usize {
         match self {
-            Call::Commit(txn) => txn.writes.len(),
+            StoreRequest::Commit(txn) => txn.writes.len(),
             _ => 0,
         }
     }
--- a/crates/gladekeel-store/tests/budget.rs
+++ b/crates/gladekeel-store/tests/budget.rs
@@ -1,13 +1,13 @@
 //! Budgets of requests and writes.
 
-use gladekeel_store::Bucket;
+use gladekeel_store::TokenBucket;
 
 #[test]
 fn buckets_hold_their_rate() {
-    let mut bucket = Bucket::new(10.0, 5.0);
-    let taken = (0..1000).filter(|i| bucket.take(f64::from(*i) * 0.01, 1.0)).count();
+    let mut bucket = TokenBucket::new(10.0, 5.0);
+    let taken = (0..1000).filter(|i| bucket.try_take(f64::from(*i) * 0.01, 1.0)).count();
     assert!((100..=105).contains(&taken), "{taken}");
-    assert!(!bucket.has(9.99, 5.0));
-    assert!(bucket.take(20.0, 50.0), "an amount above the burst must not wait for ever");
-    assert!(!bucket.has(20.1, 1.0));
+    assert!(!bucket.can_take(9.99, 5.0));
+    assert!(bucket.try_take(20.0, 50.0), "an amount above the burst must not wait for ever");
+    assert!(!bucket.can_take(20.1, 1.0));
 }
--- a/crates/gladekeel-store/tests/replica.rs
+++ b/crates/gladekeel-store/tests/replica.rs
@@ -1,50 +1,69 @@
 //! A node's copy of the store.
 
 use gladekeel_store::{Change, Replica};
-use gladekeel_wire::state::{Event, Events, Row, Rows};
+use gladekeel_wire::store::{KeyValue, KeyValuePage, WatchEvent, WatchResponse};
 use serde_json::Value;
 
-fn row(key: &str, version: u64) -> Row {
-    Row { key: key.into(), value: Value::from(version), version }
+fn row(key: &str, version: u64) -> KeyValue {
+    KeyValue { key: key.into(), value: Value::from(version), version }
 }
 
 #[test]
 fn pages_at_different_revisions_are_put_right_by_following() {
     let mut replica = Replica::default();
-    assert!(replica.page(Rows { items: vec![row("a", 1)], more: true, revision: 5 }).is_empty());
-    assert_eq!(replica.next_page().as_deref(), Some("a"));
+    assert!(
+        replica
+            .apply_page(KeyValuePage { entries: vec![row("a", 1)], truncated: true, revision: 5 })
+            .is_empty()
+    );
+    assert_eq!(replica.next_page_after().as_deref(), Some("a"));
     // `a` went at 6 and `c` came at 7, between the two pages.
-    let changes = replica.page(Rows { items: vec![row("c", 7)], more: false, revision: 7 });
+    let changes = replica.apply_page(KeyValuePage {
+        entries: vec![row("c", 7)],
+        truncated: false,
+        revision: 7,
+    });
     assert_eq!((changes.len(), replica.revision()), (2, Some(5)));
-    let put =
-        |key: &str, version| Event::Put { key: key.into(), value: Value::from(version), version };
-    let delete = |key: &str, version| Event::Delete { key: key.into(), version };
+    let put = |key: &str, version| WatchEvent::Put {
+        key: key.into(),
+        value: Value::from(version),
+        version,
+    };
+    let delete = |key: &str, version| WatchEvent::Delete { key: key.into(), version };
     let events = vec![put("c", 7), delete("a", 6)];
-    let changes = replica.follow(Events { revision: 7, events });
-    assert_eq!(changes, vec![Change { key: "a".into(), now: None }]);
+    let changes = replica.apply_watch(WatchResponse { revision: 7, events });
+    assert_eq!(changes, vec![Change { key: "a".into(), current: None }]);
     // Out of order: the put at 8 is older than the removal at 9.
     let events = vec![delete("d", 9), put("d", 8)];
-    replica.follow(Events { revision: 9, events });
+    replica.apply_watch(WatchResponse { revision: 9, events });
     assert_eq!((replica.version("d"), replica.revision()), (0, Some(9)));
 }
 
 #[test]
 fn an_answer_that_was_overtaken_brings_nothing_back() {
     let mut replica = Replica::default();
-    replica.page(Rows { items: vec![row("a", 1)], more: false, revision: 1 });
-    let put = Event::Put { key: "b".into(), value: Value::from(2), version: 2 };
-    let delete = Event::Delete { key: "b".into(), version: 3 };
-    replica.follow(Events { revision: 3, events: vec![put.clone(), delete] });
-    assert!(replica.follow(Events { revision: 2, events: vec![put] }).is_empty());
+    replica.apply_page(KeyValuePage { entries: vec![row("a", 1)], truncated: false, revision: 1 });
+    let put = WatchEvent::Put { key: "b".into(), value: Value::from(2), version: 2 };
+    let delete = WatchEvent::Delete { key: "b".into(), version: 3 };
+    replica.apply_watch(WatchResponse { revision: 3, events: vec![put.clone(), delete] });
+    assert!(replica.apply_watch(WatchResponse { revision: 2, events: vec![put] }).is_empty());
     assert_eq!((replica.version("b"), replica.revision()), (0, Some(3)));
 }
 
 #[test]
 fn reading_again_reports_what_went_meanwhile() {
     let mut replica = Replica::default();
-    replica.page(Rows { items: vec![row("a", 1), row("b", 2)], more: false, revision: 2 });
-    replica.reload();
-    let changes = replica.page(Rows { items: vec![row("b", 4)], more: false, revision: 9 });
-    let keys: Vec<_> = changes.iter().map(|c| (c.key.as_str(), c.now.is_some())).collect();
+    replica.apply_page(KeyValuePage {
+        entries: vec![row("a", 1), row("b", 2)],
+        truncated: false,
+        revision: 2,
+    });
+    replica.invalidate();
+    let changes = replica.apply_page(KeyValuePage {
+        entries: vec![row("b", 4)],
+        truncated: false,
+        revision: 9,
+    });
+    let keys: Vec<_> = changes.iter().map(|c| (c.key.as_str(), c.current.is_some())).collect();
     assert_eq!(keys, [("a", false), ("b", true)]);
 }
