--- a/crates/gladekeel-testkit/examples/playground.rs
+++ b/crates/gladekeel-testkit/examples/playground.rs
@@ -11,7 +11,7 @@
     keys,
 };
 use gladekeel_http::{Client, Limits, Request, Response, Server};
-use gladekeel_store::{Call, Outcome};
+use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_testkit::{
     cloud::Cloud,
     gang::Gangs,
@@ -23,8 +23,8 @@
     JobId, TaskId,
     cloud::{MachineNames, MachineType, MachineTypes},
     job::JobSpec,
-    state::{Lease, NewLease, Txn, TxnAnswer, Write},
-    worker::{Direct, Redirect, Report, ReportAnswer},
+    store::{GrantedLease, LeaseRequest, Transaction, TransactionResponse, Write},
+    worker::{DirectCommands, Heartbeat, HeartbeatResponse, Redirect},
 };
 use serde::Serialize;
 use std::{
@@ -179,7 +179,7 @@
 }
 
 async fn serve(size: Size) -> Result<(), Box<dyn Error>> {
-    let params = example_settings(0, 3).params;
+    let params = example_settings(0, 3).deployment;
     let types = vec![MachineType {
         name: "m32".into(),
         cpus: 32.0,
@@ -200,10 +200,10 @@
         size,
         start: Instant::now(),
         state: RefCell::new(State::new(state::Limits {
-            rps: params.state.rps,
-            write_rps: params.state.write_rps,
-            txn_ops: params.state.txn_ops,
-            value: (params.state.value_kb * 1024.0) as usize,
+            rps: params.store.rps,
+            write_rps: params.store.write_rps,
+            txn_ops: params.store.txn_ops,
+            value: (params.store.value_kb * 1024.0) as usize,
         })),
         cloud: RefCell::new(Cloud::new(types, capacity, 4.0)),
         workers: RefCell::default(),
@@ -298,37 +298,43 @@
         let prefix = || query(request, "starts").unwrap_or("").to_owned();
         let lease = || request.path.split('/').nth(2).and_then(|id| id.parse().ok());
         let call = match (request.method.as_str(), request.path.as_str()) {
-            ("GET", "/kv") => Some(Call::List {
+            ("GET", "/kv") => Some(StoreRequest::List {
                 prefix: prefix(),
                 after: query(request, "since").map(Into::into),
             }),
             ("GET", "/follow") => query(request, "since")
                 .and_then(|since| since.parse().ok())
-                .map(|since| Call::Follow { prefix: prefix(), since }),
-            ("POST", "/commit") => serde_json::from_slice(&request.body).ok().map(Call::Commit),
-            ("POST", "/leases") => serde_json::from_slice::<NewLease>(&request.body)
+                .map(|since| StoreRequest::Watch { prefix: prefix(), since }),
+            ("POST", "/commit") => {
+                serde_json::from_slice(&request.body).ok().map(StoreRequest::Commit)
+            }
+            ("POST", "/leases") => serde_json::from_slice::<LeaseRequest>(&request.body)
                 .ok()
-                .map(|lease| Call::Grant { ttl_ms: lease.ttl_ms }),
-            ("POST", path) if path.ends_with("/touch") => lease().map(Call::Touch),
-            ("DELETE", _) => lease().map(Call::Revoke),
+                .map(|lease| StoreRequest::GrantLease { ttl_ms: lease.ttl_ms }),
+            ("POST", path) if path.ends_with("/touch") => lease().map(StoreRequest::RenewLease),
+            ("DELETE", _) => lease().map(StoreRequest::RevokeLease),
             _ => None,
         };
         let Some(call) = call else { return Response::text(400, "malformed\n") };
         let outcome = self.state.borrow_mut().call(self.now(), 0, &call);
-        if let (Call::Commit(txn), Outcome::Committed(_)) = (&call, &outcome) {
+        if let (StoreRequest::Commit(txn), StoreOutcome::Committed(_)) = (&call, &outcome) {
             self.keep_jobs(txn);
         }
         match outcome {
-            Outcome::Rows(rows) => json(200, &rows),
-            Outcome::Events(events) => json(200, &events),
-            Outcome::TooOld => Response::text(410, "too old\n"),
-            Outcome::Committed(revision) => json(200, &TxnAnswer { revision, failed: Vec::new() }),
-            Outcome::Conflict(failed) => json(409, &TxnAnswer { revision: 0, failed }),
-            Outcome::Granted(id) => json(200, &Lease { id }),
-            Outcome::Done => Response::json(200, "{}"),
-            Outcome::NoLease => Response::text(404, "no such lease\n"),
-            Outcome::Busy => Response::text(429, "busy\n"),
-            Outcome::Refused | Outcome::Unknown => Response::text(503, "trouble\n"),
+            StoreOutcome::Page(rows) => json(200, &rows),
+            StoreOutcome::Watched(events) => json(200, &events),
+            StoreOutcome::Compacted => Response::text(410, "too old\n"),
+            StoreOutcome::Committed(revision) => {
+                json(200, &TransactionResponse { revision, failed: Vec::new() })
+            }
+            StoreOutcome::Conflict(failed) => {
+                json(409, &TransactionResponse { revision: 0, failed })
+            }
+            StoreOutcome::LeaseGranted(id) => json(200, &GrantedLease { id }),
+            StoreOutcome::Acknowledged => Response::json(200, "{}"),
+            StoreOutcome::LeaseNotFound => Response::text(404, "no such lease\n"),
+            StoreOutcome::RateLimited => Response::text(429, "busy\n"),
+            StoreOutcome::Unavailable | StoreOutcome::Unknown => Response::text(503, "trouble\n"),
         }
     }
 
@@ -366,7 +372,7 @@
     }
 
     /// Keeps the descriptions of jobs that a transaction has stored.
-    fn keep_jobs(&self, txn: &Txn) {
+    fn keep_jobs(&self, txn: &Transaction) {
         for write in &txn.writes {
             let Write::Put { key, value, .. } = write else { continue };
             let id = key.strip_prefix(keys::JOB).and_then(|name| name.parse().ok());
@@ -438,7 +444,7 @@
         name: &str,
         client: &Client,
         node: usize,
-        report: &Report,
+        report: &Heartbeat,
         sent_at: f64,
     ) {
         let body = serde_json::to_vec(report).unwrap_or_default();
@@ -447,9 +453,9 @@
         let Some(worker) = workers.get_mut(name) else { return };
         match reply {
             Ok(reply) if reply.status == 200 => {
-                if let Ok(answer) = serde_json::from_slice::<ReportAnswer>(&reply.body) {
+                if let Ok(answer) = serde_json::from_slice::<HeartbeatResponse>(&reply.body) {
                     let find = |task: &TaskId| self.spec(task);
-                    worker.answered(self.now(), report.session, sent_at, &answer, &find);
+                    worker.answered(self.now(), report.incarnation, sent_at, &answer, &find);
                 }
             }
             Ok(reply) if reply.status == 421 => {
@@ -467,7 +473,7 @@
         let Some(worker) = workers.get_mut(name) else { return Response::text(503, "gone\n") };
         let mut status = 200;
         if request.path == "/do" {
-            let Ok(direct) = serde_json::from_slice::<Direct>(&request.body) else {
+            let Ok(direct) = serde_json::from_slice::<DirectCommands>(&request.body) else {
                 return Response::text(400, "malformed\n");
             };
             let find = |task: &TaskId| self.spec(task);
--- a/crates/gladekeel-testkit/src/cloud.rs
+++ b/crates/gladekeel-testkit/src/cloud.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the cloud.
 
 use gladekeel_controller::cloud::{CloudCall, CloudOutcome};
-use gladekeel_wire::cloud::{MachineList, MachineRow, MachineState, MachineType, MachineTypes};
+use gladekeel_wire::cloud::{ListedMachine, MachinePage, MachineState, MachineType, MachineTypes};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A rented machine.
@@ -75,9 +75,9 @@
             }
             CloudCall::Rent(rent) => {
                 let what = format!("{rent:?}");
-                if let Some((before, names)) = self.charters.get(&rent.request) {
+                if let Some((before, names)) = self.charters.get(&rent.request_id) {
                     if *before != what {
-                        self.abuses.push(format!("charter {} used twice", rent.request));
+                        self.abuses.push(format!("charter {} used twice", rent.request_id));
                     }
                     return (CloudOutcome::Rented(names.clone()), none(), none());
                 }
@@ -109,7 +109,7 @@
                     );
                     names.push(name);
                 }
-                self.charters.insert(rent.request.clone(), (what, names.clone()));
+                self.charters.insert(rent.request_id.clone(), (what, names.clone()));
                 (CloudOutcome::Rented(names.clone()), names, none())
             }
             CloudCall::Delete(names) => {
@@ -127,7 +127,7 @@
                 let machines = rows
                     .map(|(name, m)| {
                         let up = m.up_at.is_some_and(|up| up <= then);
-                        MachineRow {
+                        ListedMachine {
                             name: name.clone(),
                             // Its worker's address here, known once it is up.
                             addr: up.then(|| name.clone()),
@@ -139,7 +139,7 @@
                         }
                     })
                     .collect();
-                (CloudOutcome::List(MachineList { machines, more: false }), none(), none())
+                (CloudOutcome::List(MachinePage { machines, truncated: false }), none(), none())
             }
         }
     }
--- a/crates/gladekeel-testkit/src/gang.rs
+++ b/crates/gladekeel-testkit/src/gang.rs
@@ -7,8 +7,8 @@
 use crate::worker::{Happened, Task, Worker};
 use gladekeel_wire::{
     JobId,
-    job::{JobSpec, Kind},
-    worker::{Cause, TaskState},
+    job::{JobKind, JobSpec},
+    worker::{ExitCause, TaskState},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -108,7 +108,7 @@
         for (name, worker) in workers.iter() {
             let name: Rc<str> = name.as_str().into();
             let gangs = worker.tasks.iter().enumerate();
-            let gangs: Vec<_> = gangs.filter(|(_, task)| task.spec.kind == Kind::Gang).collect();
+            let gangs: Vec<_> = gangs.filter(|(_, task)| task.spec.kind == JobKind::Gang).collect();
             // Tasks of an attempt mostly lie together: they are noted together.
             let same = |a: &Task, b: &Task| a.attempt == b.attempt && a.task.job == b.task.job;
             for attempt in gangs.chunk_by(|(_, a), (_, b)| same(a, b)) {
@@ -161,7 +161,7 @@
         if job.done {
             // The result is kept: whoever comes later has nothing left to do.
             for member in awake {
-                exit(workers, member, Cause::Done, None, happened);
+                exit(workers, member, ExitCause::Done, None, happened);
             }
             return;
         }
@@ -178,7 +178,7 @@
             let task = &mut worker.tasks[member.position];
             task.state = TaskState::Running;
             task.until = if fails { now + 0.5 } else { f64::MAX };
-            task.cause = fails.then_some(Cause::Error);
+            task.cause = fails.then_some(ExitCause::Error);
             let what = Happened::Runs(task.task.clone(), task.attempt);
             happened.push((member.machine.to_string(), what));
         }
@@ -223,7 +223,7 @@
             job.done = true;
             self.runs.remove(key);
             for member in running {
-                exit(workers, member, Cause::Done, None, happened);
+                exit(workers, member, ExitCause::Done, None, happened);
             }
         }
     }
@@ -274,7 +274,7 @@
         let is_told = |member: &Member| member.task(workers).told_at.is_some();
         let has_saved = |member: &Member| {
             let task = member.task(workers);
-            task.told_at.is_some_and(|told_at| told_at + task.spec.save_s <= now)
+            task.told_at.is_some_and(|told_at| told_at + task.spec.checkpoint_write_s <= now)
         };
         let all_told = self.safe || running.iter().all(is_told);
         let all_saved = all_told && running.iter().all(has_saved);
@@ -282,12 +282,12 @@
         for member in running.iter().filter(|member| !member.worker(workers).hung) {
             if all_told {
                 if has_saved(member) && (all_saved || self.safe || now >= late_at) {
-                    leave.push((member, Cause::Stopped, Some(true)));
+                    leave.push((member, ExitCause::Stopped, Some(true)));
                 }
             } else if now >= late_at && is_told(member) {
-                leave.push((member, Cause::Stopped, Some(false)));
+                leave.push((member, ExitCause::Stopped, Some(false)));
             } else if now >= late_at {
-                leave.push((member, Cause::PeersGone, None));
+                leave.push((member, ExitCause::GangMemberLost, None));
             }
         }
         if !all_told && now >= late_at {
@@ -317,15 +317,16 @@
         let part = f64::from(member.index + 1) / f64::from(tasks);
         let notices_at = broken_at + peer_s * (0.25 + 0.7 * part);
         if now >= notices_at && !member.worker(workers).hung {
-            exit(workers, member, Cause::PeersGone, None, happened);
+            exit(workers, member, ExitCause::GangMemberLost, None, happened);
         }
     }
 }
 
 /// Checkpoints lie at multiples of the job's progress, whichever attempt made it.
 fn keep_checkpoints(job: &mut Record, spec: &JobSpec, progress_s: f64) {
-    if spec.checkpoint_s > 0.0 {
-        let reached = ((progress_s + ROUNDING_S) / spec.checkpoint_s).floor() * spec.checkpoint_s;
+    if spec.checkpoint_interval_s > 0.0 {
+        let reached = ((progress_s + ROUNDING_S) / spec.checkpoint_interval_s).floor()
+            * spec.checkpoint_interval_s;
         job.kept_s = job.kept_s.max(reached);
     }
 }
@@ -334,7 +335,7 @@
 fn exit(
     workers: &mut BTreeMap<String, Worker>,
     member: &Member,
-    cause: Cause,
+    cause: ExitCause,
     saved: Option<bool>,
     happened: &mut Vec<(String, Happened)>,
 ) {
@@ -345,6 +346,6 @@
     task.until = f64::MAX;
     task.cause = Some(cause);
     task.saved = saved;
-    let ended = Happened::Ended(task.task.clone(), cause == Cause::Done);
+    let ended = Happened::Ended(task.task.clone(), cause == ExitCause::Done);
     happened.push((member.machine.to_string(), ended));
 }
--- a/crates/gladekeel-testkit/src/rules.rs
+++ b/crates/gladekeel-testkit/src/rules.rs
@@ -3,8 +3,8 @@
 use gladekeel_wire::{
     JobId, TaskId,
     cloud::MachineType,
-    job::{JobSpec, JobState, Kind},
-    settings::Params,
+    job::{JobKind, JobSpec, JobState},
+    settings::Deployment,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -60,7 +60,7 @@
 /// Watches a world and notes every broken rule.
 #[derive(Debug)]
 pub struct Rules {
-    params: Params,
+    params: Deployment,
     /// Machine types of the cloud; while there are none, nothing is said to fit none.
     pub types: Vec<MachineType>,
     /// Starts sent directly that no answer to a report has repeated, and when.
@@ -97,7 +97,7 @@
 
 impl Rules {
     /// A checker for a deployment.
-    pub fn new(params: Params) -> Rules {
+    pub fn new(params: Deployment) -> Rules {
         Rules {
             params,
             types: Vec::new(),
@@ -289,14 +289,17 @@
             }
         }
         // A gang has started when all its tasks run, not when one waits for the others.
-        if spec.kind != Kind::Gang {
+        if spec.kind != JobKind::Gang {
             self.began.entry(task.job.clone()).or_insert(now);
         }
         let (same_zone, other_zones) = self.others_by_zone(task, zone);
         let wrong = (spot && !spec.spot)
-            || spec.types.as_ref().is_some_and(|types| !types.iter().any(|t| t == machine_type))
+            || spec
+                .machine_types
+                .as_ref()
+                .is_some_and(|types| !types.iter().any(|t| t == machine_type))
             || spec.zone.as_ref().is_some_and(|only| only != zone)
-            || (spec.one_zone && other_zones > 0)
+            || (spec.single_zone && other_zones > 0)
             || (spec.spread && same_zone + 1 > spec.tasks.div_ceil(2));
         if wrong {
             self.broke("wrong_place", format!("{now:.2}: {task} on {machine} in {zone}"));
@@ -392,7 +395,7 @@
 
     /// Checks what time alone can break.
     pub fn check_cancelled(&mut self, now: f64) {
-        let cancel_s = self.params.workers.cancel_s;
+        let cancel_s = self.params.workers.cancellation_deadline_s;
         let over = |id: &&JobId| {
             let told = self.told.get(*id);
             told.and_then(|t| t.cancelled_at).is_some_and(|at| now - at > cancel_s)
@@ -464,7 +467,7 @@
     /// Whether a job that has nothing on machines could begin now.
     fn has_room(&self, spec: &JobSpec, rooms: &[RoomOn]) -> bool {
         // An array begins with one task, the others with all of them.
-        let at_once = if spec.kind == Kind::Array { 1 } else { spec.tasks };
+        let at_once = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
         let (cpus, gpus) = self.uses.get(&spec.team).copied().unwrap_or_default();
         let below = self.params.teams.iter().find(|team| team.name == spec.team).is_some_and(|t| {
             cpus + spec.cpus * f64::from(at_once) <= t.cpus_max + 1e-6
@@ -473,7 +476,10 @@
         let mut fitting = 0;
         for room in rooms {
             let allowed = (!room.spot || spec.spot)
-                && spec.types.as_ref().is_none_or(|types| types.contains(&room.machine_type))
+                && spec
+                    .machine_types
+                    .as_ref()
+                    .is_none_or(|types| types.contains(&room.machine_type))
                 && spec.zone.as_ref().is_none_or(|zone| *zone == room.zone);
             let (mut cpus, mut gpus, mut memory) = room.free;
             while allowed
@@ -498,13 +504,13 @@
 
 /// Whether a job can run at all: its team exists and its limit and some allowed machine
 /// type are large enough.
-fn can_run(params: &Params, types: &[MachineType], spec: &JobSpec) -> bool {
-    let at_once = if spec.kind == Kind::Array { 1.0 } else { f64::from(spec.tasks) };
+fn can_run(params: &Deployment, types: &[MachineType], spec: &JobSpec) -> bool {
+    let at_once = if spec.kind == JobKind::Array { 1.0 } else { f64::from(spec.tasks) };
     let below = params.teams.iter().find(|team| team.name == spec.team).is_some_and(|team| {
         spec.cpus * at_once <= team.cpus_max && spec.gpus * at_once <= team.gpus_max
     });
     let fits = |kind: &MachineType| {
-        spec.types.as_ref().is_none_or(|types| types.contains(&kind.name))
+        spec.machine_types.as_ref().is_none_or(|types| types.contains(&kind.name))
             && spec.zone.as_ref().is_none_or(|zone| kind.zones.contains(zone))
             && spec.cpus <= kind.cpus
             && spec.gpus <= kind.gpus
--- a/crates/gladekeel-testkit/src/scenario/examples.rs
+++ b/crates/gladekeel-testkit/src/scenario/examples.rs
@@ -2,7 +2,7 @@
 
 use gladekeel_wire::{
     cloud::MachineType,
-    job::{JobSpec, Kind, Priority},
+    job::{JobKind, JobSpec, Priority},
     settings::Settings,
 };
 
@@ -79,7 +79,7 @@
         id: id.parse().expect("the example's id is valid"),
         class: "batch".into(),
         team: "red".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 1,
         cpus: 4.0,
@@ -87,14 +87,14 @@
         memory_gb: 4.0,
         image: "img".into(),
         image_gb: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
+        single_zone: false,
         spread: false,
         spot: true,
         estimate_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_write_s: 0.0,
         deadline_s: None,
     }
 }
--- a/crates/gladekeel-testkit/src/scenario/world.rs
+++ b/crates/gladekeel-testkit/src/scenario/world.rs
@@ -11,7 +11,7 @@
 };
 use gladekeel_wire::{
     cloud::MachineType,
-    job::{JobSpec, Kind, Priority},
+    job::{JobKind, JobSpec, Priority},
     settings::Settings,
 };
 use std::collections::BTreeMap;
@@ -31,17 +31,17 @@
     let mut settings: Vec<Settings> =
         (0..nodes).map(|node| settings_with(node, nodes, gang, &next)).collect::<Result<_, _>>()?;
     for settings in &mut settings {
-        let params = &mut settings.params;
-        params.workers.report_s = get("report", params.workers.report_s)?;
-        params.state.value_kb = get("value_kb", params.state.value_kb)?;
-        params.state.write_rps = get("write_rps", params.state.write_rps)?;
-        params.state.txn_ops = get("txn_ops", params.state.txn_ops as f64)? as usize;
+        let params = &mut settings.deployment;
+        params.workers.heartbeat_interval_s = get("report", params.workers.heartbeat_interval_s)?;
+        params.store.value_kb = get("value_kb", params.store.value_kb)?;
+        params.store.write_rps = get("write_rps", params.store.write_rps)?;
+        params.store.txn_ops = get("txn_ops", params.store.txn_ops as f64)? as usize;
         for team in &mut params.teams {
             team.cpus *= get("teams", 1.0)?;
             team.cpus_max *= get("teams", 1.0)?;
         }
     }
-    let params = settings[0].params.clone();
+    let params = settings[0].deployment.clone();
     let mut capacity = BTreeMap::new();
     let zones: Vec<String> =
         words.get("zones").unwrap_or(&"a,b").split(',').map(str::to_owned).collect();
@@ -55,10 +55,10 @@
     let mut types: Vec<MachineType> = further.collect();
     types.push(MachineType { boot_s: get("boot", 20.0)?, ..example_type(zones) });
     let state = State::new(Limits {
-        rps: params.state.rps,
-        write_rps: params.state.write_rps,
-        txn_ops: params.state.txn_ops,
-        value: (params.state.value_kb * 1024.0) as usize,
+        rps: params.store.rps,
+        write_rps: params.store.write_rps,
+        txn_ops: params.store.txn_ops,
+        value: (params.store.value_kb * 1024.0) as usize,
     });
     let cloud = Cloud::new(types, capacity, get("lag", 4.0)?);
     let mut sim = Sim::new(settings, state, cloud, get("seed", 1.0)? as u64);
@@ -84,15 +84,17 @@
             "image" => spec.image = (*value).into(),
             "team" => spec.team = (*value).into(),
             "class" => spec.class = (*value).into(),
-            "saves" => (spec.checkpoint_s, spec.save_s) = (number(value)?, 2.0),
+            "saves" => {
+                (spec.checkpoint_interval_s, spec.checkpoint_write_s) = (number(value)?, 2.0)
+            }
             "zone" => spec.zone = Some((*value).into()),
-            "type" => spec.types = Some(vec![(*value).into()]),
-            "one_zone" => spec.one_zone = *value == "yes",
+            "type" => spec.machine_types = Some(vec![(*value).into()]),
+            "one_zone" => spec.single_zone = *value == "yes",
             "scatter" => spec.spread = *value == "yes",
             "kind" => {
                 spec.kind = match *value {
-                    "gang" => Kind::Gang,
-                    "service" => Kind::Service,
+                    "gang" => JobKind::Gang,
+                    "service" => JobKind::Service,
                     other => return Err(format!("no kind {other}")),
                 }
             }
--- a/crates/gladekeel-testkit/src/sim.rs
+++ b/crates/gladekeel-testkit/src/sim.rs
@@ -113,7 +113,7 @@
 impl Sim {
     /// A world whose nodes have these settings.
     pub fn new(settings: Vec<Settings>, state: State, cloud: Cloud, seed: u64) -> Sim {
-        let params = settings[0].params.clone();
+        let params = settings[0].deployment.clone();
         let mut sim = Sim {
             now: 0.0,
             queue: BTreeMap::new(),
@@ -146,7 +146,7 @@
             gang_wait_s: 30.0,
             gangs_go_on: false,
             lease_s: params.workers.lease_s,
-            report_s: params.workers.report_s,
+            report_s: params.workers.heartbeat_interval_s,
             rules: Rules::new(params),
             odd_requests: 0,
             cuts: Vec::new(),
--- a/crates/gladekeel-testkit/src/sim/machines.rs
+++ b/crates/gladekeel-testkit/src/sim/machines.rs
@@ -8,7 +8,7 @@
 };
 use gladekeel_wire::{
     TaskId,
-    worker::{Command, Direct, Redirect, ReportAnswer},
+    worker::{Command, DirectCommands, HeartbeatResponse, Redirect},
 };
 use rand::Rng;
 
@@ -53,7 +53,7 @@
         });
     }
 
-    pub(super) fn direct(&mut self, name: &str, body: &Direct) -> DirectOutcome {
+    pub(super) fn direct(&mut self, name: &str, body: &DirectCommands) -> DirectOutcome {
         let Some(worker) = self.workers.get_mut(name) else { return DirectOutcome::NotExecuted };
         let rules = &self.rules;
         let find = |task: &TaskId| rules.task_spec(task);
@@ -62,7 +62,7 @@
         let (kind, zone, spot) = (worker.machine_type.clone(), worker.zone.clone(), worker.spot);
         self.note(name, &kind, &zone, spot, happened);
         if self.start_twice {
-            let answer = ReportAnswer { token: body.token, commands: body.commands.clone() };
+            let answer = HeartbeatResponse { token: body.token, commands: body.commands.clone() };
             self.sabotage(name, &answer);
         }
         if executed { DirectOutcome::Done(report) } else { DirectOutcome::NotExecuted }
@@ -190,7 +190,7 @@
         if sends {
             worker.changed = false;
             let report = worker.report(now);
-            worker.in_flight = Some(report.seq);
+            worker.in_flight = Some(report.sequence);
             next = now + self.report_s * self.rng.random_range(0.75..1.25);
             self.send_report(name.clone(), report);
         }
@@ -216,7 +216,7 @@
         });
     }
 
-    fn send_report(&mut self, name: String, report: gladekeel_wire::worker::Report) {
+    fn send_report(&mut self, name: String, report: gladekeel_wire::worker::Heartbeat) {
         let Some(worker) = self.workers.get(&name) else { return };
         let (node, zone, sent_at) = (worker.node, worker.zone.clone(), self.now);
         if worker.mute {
@@ -241,7 +241,7 @@
             });
         }
         self.maybe_keep_report(End::Worker(zone.clone()), &report);
-        let (session, seq) = (report.session, report.seq);
+        let (session, seq) = (report.incarnation, report.sequence);
         let body = serde_json::to_vec(&report).unwrap_or_default();
         let request = ("POST", "/checkin".to_owned(), body);
         self.request(End::Worker(zone), node, request, ANSWER_S, move |sim, reply| {
@@ -255,7 +255,7 @@
             let answer = reply
                 .as_ref()
                 .filter(|reply| reply.status == 200)
-                .and_then(|reply| serde_json::from_slice::<ReportAnswer>(&reply.body).ok());
+                .and_then(|reply| serde_json::from_slice::<HeartbeatResponse>(&reply.body).ok());
             if let Some(answer) = answer {
                 worker.in_flight = None;
                 for command in &answer.commands {
@@ -291,7 +291,7 @@
     }
 
     /// Starts what a worker was told to start on another machine as well.
-    fn sabotage(&mut self, name: &str, answer: &ReportAnswer) {
+    fn sabotage(&mut self, name: &str, answer: &HeartbeatResponse) {
         if answer.commands.is_empty() {
             return;
         }
@@ -307,7 +307,7 @@
         };
         let rules = &self.rules;
         let find = |task: &TaskId| rules.spec(&task.job);
-        let answer = ReportAnswer { token: answer.token, commands: starts };
+        let answer = HeartbeatResponse { token: answer.token, commands: starts };
         let session = other.session;
         other.answered(now, session, now, &answer, &find);
     }
--- a/crates/gladekeel-testkit/src/sim/message_faults.rs
+++ b/crates/gladekeel-testkit/src/sim/message_faults.rs
@@ -4,7 +4,7 @@
 
 use super::{ANSWER_S, End, Sim};
 use gladekeel_controller::leader::{DirectCall, DirectOutcome};
-use gladekeel_wire::worker::Report;
+use gladekeel_wire::worker::Heartbeat;
 use rand::Rng;
 use std::ops::Range;
 
@@ -67,7 +67,7 @@
     }
 
     /// Keeps a copy of a report for the next leader, if it is one of that share.
-    pub(super) fn maybe_keep_report(&mut self, from: End, report: &Report) {
+    pub(super) fn maybe_keep_report(&mut self, from: End, report: &Heartbeat) {
         if self.happens(self.message_faults.reports_for_next_leader) {
             let body = serde_json::to_vec(report).unwrap_or_default();
             self.message_faults.kept_reports.push(KeptReport { from, body });
--- a/crates/gladekeel-testkit/src/sim/nodes.rs
+++ b/crates/gladekeel-testkit/src/sim/nodes.rs
@@ -2,7 +2,7 @@
 
 use super::{End, STEP_S, Sim, Slot, Then};
 use gladekeel_controller::node::{Action, Event, Node};
-use gladekeel_wire::mesh::Header;
+use gladekeel_wire::mesh::FrameHeader;
 use rand::Rng;
 
 impl Sim {
@@ -136,8 +136,8 @@
                 let to = self.nodes.iter().position(|slot| slot.settings.node == name);
                 let Some(to) = to else { return };
                 self.deliver(&End::Node(node), &End::Node(to), move |sim| {
-                    let (head, payload) = frame.split_at(Header::SIZE);
-                    let read = head.try_into().ok().and_then(|head| Header::read(&head));
+                    let (head, payload) = frame.split_at(FrameHeader::SIZE);
+                    let read = head.try_into().ok().and_then(|head| FrameHeader::read(&head));
                     let Some((header, kind)) = read else { return };
                     let incarnation = sim.nodes[to].incarnation;
                     sim.event(
--- a/crates/gladekeel-testkit/src/sim/odd_requests.rs
+++ b/crates/gladekeel-testkit/src/sim/odd_requests.rs
@@ -52,7 +52,7 @@
         lacking.id = format!("job-8{turn:05}").parse().expect("an id of the form");
         match turn % 4 {
             0 => lacking.cpus = 33.0,
-            1 => lacking.types = Some(vec!["none".into()]),
+            1 => lacking.machine_types = Some(vec!["none".into()]),
             2 => lacking.zone = Some("nowhere".into()),
             _ => lacking.team = "nobody".into(),
         }
--- a/crates/gladekeel-testkit/src/sim/services.rs
+++ b/crates/gladekeel-testkit/src/sim/services.rs
@@ -5,7 +5,7 @@
     cloud::{CloudCall, CloudOutcome},
     node::{CallId, Event},
 };
-use gladekeel_store::{Call, Outcome};
+use gladekeel_store::{StoreOutcome, StoreRequest};
 use rand::Rng;
 
 impl Sim {
@@ -14,14 +14,14 @@
         node: usize,
         incarnation: u64,
         call: CallId,
-        request: Call,
+        request: StoreRequest,
         limit_s: f64,
     ) {
         self.after(limit_s, move |sim| {
-            sim.event(node, incarnation, Event::State { call, outcome: Outcome::Unknown });
+            sim.event(node, incarnation, Event::State { call, outcome: StoreOutcome::Unknown });
         });
         let late = self.late_writes > 0.0
-            && matches!(request, Call::Commit(_))
+            && matches!(request, StoreRequest::Commit(_))
             && self.rng.random::<f64>() < self.late_writes
             && !self.state.down
             && !self.state.refused.contains(&node);
@@ -31,8 +31,8 @@
                 sim.after(after_s, move |sim| sim.carry_out_late(request));
             });
         }
-        let answer_lost =
-            matches!(request, Call::Commit(_)) && self.happens(self.message_faults.lost_answers);
+        let answer_lost = matches!(request, StoreRequest::Commit(_))
+            && self.happens(self.message_faults.lost_answers);
         let copies = 1 + usize::from(self.rng.random::<f64>() < self.late_copies);
         for copy in 0..copies {
             let request = request.clone();
@@ -41,7 +41,7 @@
             self.after(extra, move |sim| {
                 sim.deliver(&End::Node(node), &End::State, move |sim| {
                     let outcome = sim.state.call(sim.now, node, &request);
-                    if copy == 0 && matches!(outcome, Outcome::Committed(_)) {
+                    if copy == 0 && matches!(outcome, StoreOutcome::Committed(_)) {
                         sim.message_faults.answers_lost += u64::from(answer_lost);
                         sim.committed(node);
                     }
@@ -78,7 +78,7 @@
 
     /// Carries out a transaction that the state service has taken long ago: its node may
     /// be refused by now, and an outage only puts it off.
-    fn carry_out_late(&mut self, request: Call) {
+    fn carry_out_late(&mut self, request: StoreRequest) {
         if self.state.down {
             return self.after(1.0, move |sim| sim.carry_out_late(request));
         }
--- a/crates/gladekeel-testkit/src/sim/users.rs
+++ b/crates/gladekeel-testkit/src/sim/users.rs
@@ -4,7 +4,7 @@
 use crate::worker::Worker;
 use gladekeel_wire::{
     JobId,
-    job::{JobSpec, JobState, JobStatus, Kind},
+    job::{JobKind, JobSpec, JobState, JobStatus},
     worker::TaskState,
 };
 use rand::Rng;
@@ -61,7 +61,7 @@
     pub fn submit(&mut self, spec: JobSpec) {
         self.rules.submits(&spec);
         self.followed.push(spec.id.clone());
-        if spec.kind == Kind::Gang && !self.gangs_go_on {
+        if spec.kind == JobKind::Gang && !self.gangs_go_on {
             self.gangs_go_on = true;
             self.step_gangs();
         }
--- a/crates/gladekeel-testkit/src/state.rs
+++ b/crates/gladekeel-testkit/src/state.rs
@@ -1,7 +1,9 @@
 //! A stand-in for the state service.
 
-use gladekeel_store::{Call, Outcome};
-use gladekeel_wire::state::{Event, Events, Row, Rows, Txn, Write};
+use gladekeel_store::{StoreOutcome, StoreRequest};
+use gladekeel_wire::store::{
+    KeyValue, KeyValuePage, Transaction, WatchEvent, WatchResponse, Write,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -27,11 +29,11 @@
     limits: Limits,
     rows: BTreeMap<String, (Value, u64, Option<u64>)>,
     revision: u64,
-    history: Vec<(u64, Event)>,
+    history: Vec<(u64, WatchEvent)>,
     leases: BTreeMap<u64, (f64, f64)>,
     next_lease: u64,
-    requests: gladekeel_store::Bucket,
-    writes: gladekeel_store::Bucket,
+    requests: gladekeel_store::TokenBucket,
+    writes: gladekeel_store::TokenBucket,
     /// During an outage every request is refused.
     pub down: bool,
     /// Nodes that are refused although the others are served.
@@ -59,8 +61,8 @@
             history: Vec::new(),
             leases: BTreeMap::new(),
             next_lease: 1,
-            requests: gladekeel_store::Bucket::new(limits.rps, limits.rps),
-            writes: gladekeel_store::Bucket::new(limits.write_rps, limits.write_rps),
+            requests: gladekeel_store::TokenBucket::new(limits.rps, limits.rps),
+            writes: gladekeel_store::TokenBucket::new(limits.write_rps, limits.write_rps),
             down: false,
             refused: Vec::new(),
             abuses: Vec::new(),
@@ -76,10 +78,10 @@
     /// too large is refused; what is stored stays readable.
     pub fn lower(&mut self, limits: Limits) {
         if limits.write_rps != self.limits.write_rps {
-            self.writes = gladekeel_store::Bucket::new(limits.write_rps, limits.write_rps);
+            self.writes = gladekeel_store::TokenBucket::new(limits.write_rps, limits.write_rps);
         }
         if limits.rps != self.limits.rps {
-            self.requests = gladekeel_store::Bucket::new(limits.rps, limits.rps);
+            self.requests = gladekeel_store::TokenBucket::new(limits.rps, limits.rps);
         }
         self.limits = limits;
         self.lowered = true;
@@ -91,16 +93,16 @@
     }
 
     /// What is too large of a transaction, if anything.
-    fn excess(&self, txn: &Txn) -> Option<String> {
+    fn excess(&self, txn: &Transaction) -> Option<String> {
         let large = txn.writes.iter().find_map(|write| match write {
             Write::Put { key, value, .. } if value.to_string().len() > self.limits.value => {
                 Some(format!("value of {key}"))
             }
             _ => None,
         });
-        let many =
-            txn.writes.len() > self.limits.txn_ops || txn.guards.len() > 4 * self.limits.txn_ops;
-        let ops = format!("{} writes, {} guards", txn.writes.len(), txn.guards.len());
+        let many = txn.writes.len() > self.limits.txn_ops
+            || txn.preconditions.len() > 4 * self.limits.txn_ops;
+        let ops = format!("{} writes, {} guards", txn.writes.len(), txn.preconditions.len());
         large.or(many.then_some(ops))
     }
 
@@ -139,28 +141,28 @@
         }
         for key in keys {
             self.rows.remove(&key);
-            self.history.push((self.revision, Event::Delete { key, version: self.revision }));
+            self.history.push((self.revision, WatchEvent::Delete { key, version: self.revision }));
         }
     }
 
     /// Carries out a call of a node.
-    pub fn call(&mut self, now: f64, node: usize, call: &Call) -> Outcome {
+    pub fn call(&mut self, now: f64, node: usize, call: &StoreRequest) -> StoreOutcome {
         self.expire(now);
         if self.down || self.refused.contains(&node) {
-            return Outcome::Refused;
+            return StoreOutcome::Unavailable;
         }
-        if !self.requests.take(now, 1.0) {
+        if !self.requests.try_take(now, 1.0) {
             self.busy += 1;
-            return Outcome::Busy;
+            return StoreOutcome::RateLimited;
         }
         match call {
-            Call::List { prefix, after } => {
+            StoreRequest::List { prefix, after } => {
                 let from = after.clone().unwrap_or_default();
                 let rows = self.rows.iter().filter(|(key, _)| key.starts_with(prefix.as_str()));
-                let mut items: Vec<Row> = rows
+                let mut items: Vec<KeyValue> = rows
                     .filter(|(key, _)| key.as_str() > from.as_str())
                     .take(1001)
-                    .map(|(key, (value, version, _))| Row {
+                    .map(|(key, (value, version, _))| KeyValue {
                         key: key.clone(),
                         value: value.clone(),
                         version: *version,
@@ -168,64 +170,68 @@
                     .collect();
                 let more = items.len() > 1000;
                 items.truncate(1000);
-                Outcome::Rows(Rows { items, more, revision: self.revision })
+                StoreOutcome::Page(KeyValuePage {
+                    entries: items,
+                    truncated: more,
+                    revision: self.revision,
+                })
             }
-            Call::Follow { prefix, since } => {
+            StoreRequest::Watch { prefix, since } => {
                 if self.history.first().is_some_and(|(first, _)| *since + 1 < *first) {
-                    return Outcome::TooOld;
+                    return StoreOutcome::Compacted;
                 }
                 let events = self
                     .history
                     .iter()
                     .filter(|(revision, event)| {
-                        let (Event::Put { key, .. } | Event::Delete { key, .. }) = event;
+                        let (WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. }) = event;
                         revision > since && key.starts_with(prefix.as_str())
                     })
                     .map(|(_, event)| event.clone())
                     .collect();
-                Outcome::Events(Events { revision: self.revision, events })
+                StoreOutcome::Watched(WatchResponse { revision: self.revision, events })
             }
-            Call::Commit(txn) => self.commit(now, txn),
-            Call::Grant { ttl_ms } => {
+            StoreRequest::Commit(txn) => self.commit(now, txn),
+            StoreRequest::GrantLease { ttl_ms } => {
                 let id = self.next_lease;
                 self.next_lease += 1;
                 let ttl = *ttl_ms as f64 / 1000.0;
                 self.leases.insert(id, (ttl, now + ttl));
-                Outcome::Granted(id)
+                StoreOutcome::LeaseGranted(id)
             }
-            Call::Touch(id) => match self.leases.get_mut(id) {
+            StoreRequest::RenewLease(id) => match self.leases.get_mut(id) {
                 Some((ttl, until)) => {
                     *until = now + *ttl;
-                    Outcome::Done
+                    StoreOutcome::Acknowledged
                 }
-                None => Outcome::NoLease,
+                None => StoreOutcome::LeaseNotFound,
             },
-            Call::Revoke(id) if self.leases.contains_key(id) => {
+            StoreRequest::RevokeLease(id) if self.leases.contains_key(id) => {
                 self.end_lease(*id);
-                Outcome::Done
+                StoreOutcome::Acknowledged
             }
-            Call::Revoke(_) => Outcome::NoLease,
+            StoreRequest::RevokeLease(_) => StoreOutcome::LeaseNotFound,
         }
     }
 
-    fn commit(&mut self, now: f64, txn: &Txn) -> Outcome {
+    fn commit(&mut self, now: f64, txn: &Transaction) -> StoreOutcome {
         if self.lowered
             && let Some(what) = self.excess(txn)
         {
             // The client tells a 400 to a commit from no other.
             self.too_large.push(format!("{now:.2}: {what}"));
-            return Outcome::NoLease;
+            return StoreOutcome::LeaseNotFound;
         }
         let bytes = serde_json::to_vec(txn).map_or(0, |body| body.len());
         if bytes > 64 * 1024
             || txn.writes.len() > self.limits.txn_ops
-            || txn.guards.len() > 4 * self.limits.txn_ops
+            || txn.preconditions.len() > 4 * self.limits.txn_ops
         {
             self.abuses.push(format!("transaction of {bytes} bytes, {} writes", txn.writes.len()));
         }
-        if !self.writes.take(now, txn.writes.len() as f64) {
+        if !self.writes.try_take(now, txn.writes.len() as f64) {
             self.busy += 1;
-            return Outcome::Busy;
+            return StoreOutcome::RateLimited;
         }
         for write in &txn.writes {
             if let Write::Put { key, value, lease } = write {
@@ -233,12 +239,12 @@
                     self.abuses.push(format!("value of {key} is too large"));
                 }
                 if lease.is_some_and(|id| !self.leases.contains_key(&id)) {
-                    return Outcome::NoLease;
+                    return StoreOutcome::LeaseNotFound;
                 }
             }
         }
         let failed: Vec<String> = txn
-            .guards
+            .preconditions
             .iter()
             .filter(|guard| {
                 self.rows.get(&guard.key).map_or(0, |(_, version, _)| *version) != guard.version
@@ -246,7 +252,7 @@
             .map(|guard| guard.key.clone())
             .collect();
         if !failed.is_empty() {
-            return Outcome::Conflict(failed);
+            return StoreOutcome::Conflict(failed);
         }
         if !txn.writes.is_empty() {
             self.revision += 1;
@@ -258,11 +264,11 @@
             let event = match write.clone() {
                 Write::Put { key, value, lease } => {
                     self.rows.insert(key.clone(), (value.clone(), version, lease));
-                    Event::Put { key, value, version }
+                    WatchEvent::Put { key, value, version }
                 }
                 Write::Delete { key } => {
                     self.rows.remove(&key);
-                    Event::Delete { key, version }
+                    WatchEvent::Delete { key, version }
                 }
             };
             self.history.push((version, event));
@@ -270,7 +276,7 @@
         if self.history.len() > KEPT {
             self.history.drain(..self.history.len() - KEPT);
         }
-        Outcome::Committed(version)
+        StoreOutcome::Committed(version)
     }
 
     /// Spoils every segment of the leader's log, or mends them again.
@@ -290,7 +296,7 @@
         self.revision += 1;
         self.history = vec![(
             self.revision,
-            Event::Delete { key: "elsewhere".into(), version: self.revision },
+            WatchEvent::Delete { key: "elsewhere".into(), version: self.revision },
         )];
     }
 }
--- a/crates/gladekeel-testkit/src/worker.rs
+++ b/crates/gladekeel-testkit/src/worker.rs
@@ -2,8 +2,10 @@
 
 use gladekeel_wire::{
     TaskId,
-    job::{JobSpec, Kind},
-    worker::{Cause, Command, Direct, Report, ReportAnswer, TaskReport, TaskState},
+    job::{JobKind, JobSpec},
+    worker::{
+        Command, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
+    },
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,7 +23,7 @@
     /// When this state ends by itself.
     pub until: f64,
     /// Why it ended.
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Whether it saved.
     pub saved: Option<bool>,
     /// When it was told to stop with time enough to save, as a task of a gang.
@@ -77,7 +79,7 @@
     /// It reaches no controller, while direct commands reach it and are answered.
     pub mute: bool,
     /// The report that it was about to send when it hung, and when that was.
-    pub held_report: Option<(f64, Report)>,
+    pub held_report: Option<(f64, Heartbeat)>,
     /// When it goes.
     pub leaves_at: Option<f64>,
     /// Whether something changed since the last report.
@@ -85,7 +87,7 @@
     /// The report that waits for its answer.
     pub in_flight: Option<u64>,
     /// Direct commands that wait while it hangs.
-    pub held: Vec<Direct>,
+    pub held: Vec<DirectCommands>,
     /// Slowness: run times are this many times longer.
     pub slow: f64,
     /// How long a task waits for the others of its gang.
@@ -184,22 +186,22 @@
     }
 
     /// A report as of now.
-    pub fn report(&mut self, now: f64) -> Report {
+    pub fn report(&mut self, now: f64) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: self.name.clone(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            incarnation: self.session,
+            sequence: self.seq,
             token: self.token,
-            notice_s: self.leaves_at.map(|at| (at - now).max(0.0)),
+            termination_notice_s: self.leaves_at.map(|at| (at - now).max(0.0)),
             tasks: self
                 .tasks
                 .iter()
-                .map(|task| TaskReport {
+                .map(|task| TaskStatus {
                     task: task.task.clone(),
                     attempt: task.attempt,
                     state: task.state,
@@ -216,7 +218,7 @@
         now: f64,
         session: u64,
         sent_at: f64,
-        answer: &ReportAnswer,
+        answer: &HeartbeatResponse,
         find: &dyn Fn(&TaskId) -> Option<JobSpec>,
     ) -> Vec<Happened> {
         if session != self.session || answer.token < self.token {
@@ -234,10 +236,10 @@
     pub fn direct(
         &mut self,
         now: f64,
-        direct: &Direct,
+        direct: &DirectCommands,
         find: &dyn Fn(&TaskId) -> Option<JobSpec>,
     ) -> (bool, Vec<Happened>) {
-        if direct.token < self.token || direct.session != self.session {
+        if direct.token < self.token || direct.incarnation != self.session {
             return (false, Vec::new());
         }
         if direct.token > self.token {
@@ -309,12 +311,13 @@
         let free = *lookup.free.get_or_insert_with(|| self.free());
         let spec = find(task);
         let refused = match &spec {
-            None => Some(Cause::Unknown),
-            Some(_) if busy => Some(Cause::Busy),
-            Some(spec) if !fits(spec, free) => Some(Cause::NoRoom),
+            None => Some(ExitCause::Unknown),
+            Some(_) if busy => Some(ExitCause::Busy),
+            Some(spec) if !fits(spec, free) => Some(ExitCause::InsufficientResources),
             Some(_) => None,
         };
-        let no_room = (refused == Some(Cause::NoRoom)).then(|| Happened::NoRoom(task.clone()));
+        let no_room = (refused == Some(ExitCause::InsufficientResources))
+            .then(|| Happened::NoRoom(task.clone()));
         let Some(spec) = spec.or_else(|| self.any_spec(lookup)) else { return no_room };
         let (state, until) = if refused.is_some() {
             (TaskState::Exited, f64::MAX)
@@ -344,9 +347,10 @@
             return None;
         }
         self.changed = true;
-        let saves =
-            t.state == TaskState::Running && t.spec.checkpoint_s > 0.0 && grace_s >= t.spec.save_s;
-        if saves && t.spec.kind == Kind::Gang {
+        let saves = t.state == TaskState::Running
+            && t.spec.checkpoint_interval_s > 0.0
+            && grace_s >= t.spec.checkpoint_write_s;
+        if saves && t.spec.kind == JobKind::Gang {
             // It reports `running` until it exits; when it may depends on
             // the others.
             t.told_at = t.told_at.or(Some(now));
@@ -354,11 +358,11 @@
             // It is saving already.
         } else if saves {
             t.state = TaskState::Saving;
-            t.until = now + t.spec.save_s;
+            t.until = now + t.spec.checkpoint_write_s;
         } else if t.state != TaskState::Saving || grace_s == 0.0 {
             let began = t.state != TaskState::Fetching;
             t.state = TaskState::Exited;
-            t.cause = Some(Cause::Stopped);
+            t.cause = Some(ExitCause::Stopped);
             t.saved = Some(false);
             return began.then(|| Happened::Ended(t.task.clone(), false));
         }
@@ -405,7 +409,7 @@
             match task.state {
                 TaskState::Fetching => {
                     self.images.insert(task.spec.image.clone());
-                    if task.spec.kind == Kind::Gang {
+                    if task.spec.kind == JobKind::Gang {
                         task.state = TaskState::Waiting;
                         task.until = now + self.gang_wait_s;
                         happened.push(Happened::Started(task.task.clone()));
@@ -415,23 +419,23 @@
                     task.state = TaskState::Running;
                     let fails = self.sick || task.spec.class == "faulty";
                     let run = if fails { 0.5 } else { task.spec.estimate_s * self.slow };
-                    let service = task.spec.kind == Kind::Service && !fails;
+                    let service = task.spec.kind == JobKind::Service && !fails;
                     task.until = if service { f64::MAX } else { now + run };
-                    task.cause = fails.then_some(Cause::Error);
+                    task.cause = fails.then_some(ExitCause::Error);
                     happened.push(Happened::Started(task.task.clone()));
                 }
                 TaskState::Running | TaskState::Saving => {
                     let saving = task.state == TaskState::Saving;
                     task.state = TaskState::Exited;
-                    let cause = if saving { Cause::Stopped } else { Cause::Done };
+                    let cause = if saving { ExitCause::Stopped } else { ExitCause::Done };
                     task.cause = Some(task.cause.unwrap_or(cause));
                     task.saved = saving.then_some(true);
-                    let done = task.cause == Some(Cause::Done);
+                    let done = task.cause == Some(ExitCause::Done);
                     happened.push(Happened::Ended(task.task.clone(), done));
                 }
                 TaskState::Waiting => {
                     task.state = TaskState::Exited;
-                    task.cause = Some(Cause::Alone);
+                    task.cause = Some(ExitCause::GangIncomplete);
                     happened.push(Happened::Ended(task.task.clone(), false));
                 }
                 _ => continue,
--- a/crates/gladekeel-testkit/tests/between_tokens.rs
+++ b/crates/gladekeel-testkit/tests/between_tokens.rs
@@ -5,14 +5,14 @@
     keys,
     node::{Action, Event, Node},
 };
-use gladekeel_store::{Call, Outcome};
+use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_testkit::{
     scenario::{example_settings, example_type},
     state::{Limits, State},
 };
 use gladekeel_wire::{
-    cloud::{MachineList, MachineTypes},
-    state::Write,
+    cloud::{MachinePage, MachineTypes},
+    store::Write,
 };
 use std::collections::VecDeque;
 
@@ -34,11 +34,13 @@
                     let outcome = state.call(now, 0, &request);
                     let types = |write: &Write| matches!(write, Write::Put { key, .. } if key == keys::TYPES);
                     match &request {
-                        Call::Commit(txn) if !unanswered && txn.writes.iter().any(types) => {
+                        StoreRequest::Commit(txn)
+                            if !unanswered && txn.writes.iter().any(types) =>
+                        {
                             unanswered = true;
-                            Event::State { call, outcome: Outcome::Unknown }
+                            Event::State { call, outcome: StoreOutcome::Unknown }
                         }
-                        Call::List { prefix, .. } if prefix == keys::LOG => {
+                        StoreRequest::List { prefix, .. } if prefix == keys::LOG => {
                             leaders += 1;
                             if leaders == 2 {
                                 log = Some((call, outcome));
@@ -66,7 +68,7 @@
         }
         if let (Some((call, outcome)), Some(open)) = (log.take(), list) {
             assert!(node.leader().is_none(), "between two tokens");
-            let page = MachineList { machines: Vec::new(), more: false };
+            let page = MachinePage { machines: Vec::new(), truncated: false };
             node.handle(now, Event::Cloud { call: open, outcome: CloudOutcome::List(page) });
             node.handle(now, Event::State { call, outcome });
             assert!(node.leader().is_some());
--- a/crates/gladekeel-testkit/tests/gangs.rs
+++ b/crates/gladekeel-testkit/tests/gangs.rs
@@ -9,9 +9,9 @@
 };
 use gladekeel_wire::{
     JobId, TaskId,
-    job::{JobSpec, JobState, Kind},
-    state::{Guard, Txn, Write},
-    worker::{Cause, Command, ReportAnswer, TaskState},
+    job::{JobKind, JobSpec, JobState},
+    store::{Precondition, Transaction, Write},
+    worker::{Command, ExitCause, HeartbeatResponse, TaskState},
 };
 use std::collections::BTreeMap;
 
@@ -29,8 +29,8 @@
 impl Yard {
     fn new(tasks: u32) -> Yard {
         let mut spec = example_job("job-1");
-        (spec.kind, spec.tasks, spec.image_gb) = (Kind::Gang, tasks, 1.0);
-        (spec.estimate_s, spec.checkpoint_s, spec.save_s) = (30.0, 10.0, 2.0);
+        (spec.kind, spec.tasks, spec.image_gb) = (JobKind::Gang, tasks, 1.0);
+        (spec.estimate_s, spec.checkpoint_interval_s, spec.checkpoint_write_s) = (30.0, 10.0, 2.0);
         let workers = (0..tasks + 1)
             .map(|n| {
                 let name = format!("n-{n}");
@@ -45,7 +45,7 @@
     fn command(&mut self, machine: u32, command: Command) {
         let spec = self.spec.clone();
         let worker = self.workers.get_mut(&format!("n-{machine}")).unwrap();
-        let answer = ReportAnswer { token: 1, commands: vec![command] };
+        let answer = HeartbeatResponse { token: 1, commands: vec![command] };
         let (session, now) = (worker.session, self.now);
         let happened = worker.answered(now, session, now, &answer, &|_| Some(spec.clone()));
         let name = worker.name.clone();
@@ -90,7 +90,7 @@
     }
 
     /// How a machine's last task ended, if it has.
-    fn end(&self, machine: u32) -> Option<(Cause, Option<bool>)> {
+    fn end(&self, machine: u32) -> Option<(ExitCause, Option<bool>)> {
         let task = self.workers[&format!("n-{machine}")].tasks.last().unwrap();
         (task.state == TaskState::Exited).then(|| (task.cause.unwrap(), task.saved))
     }
@@ -141,7 +141,10 @@
     yard.until(35.5);
     assert_eq!(yard.end(0), None, "waiting is no progress");
     yard.until(36.5);
-    assert_eq!((yard.end(0), yard.end(1)), (Some((Cause::Done, None)), Some((Cause::Done, None))));
+    assert_eq!(
+        (yard.end(0), yard.end(1)),
+        (Some((ExitCause::Done, None)), Some((ExitCause::Done, None)))
+    );
     assert!(yard.gangs.record(&yard.spec.id.clone()).done);
 }
 
@@ -153,8 +156,8 @@
     yard.until(30.5);
     assert_eq!((yard.state(0), yard.state(1)), (TaskState::Waiting, TaskState::Waiting));
     yard.until(31.5);
-    assert_eq!(yard.end(0), Some((Cause::Alone, None)));
-    assert_eq!(yard.end(1), Some((Cause::Alone, None)));
+    assert_eq!(yard.end(0), Some((ExitCause::GangIncomplete, None)));
+    assert_eq!(yard.end(1), Some((ExitCause::GangIncomplete, None)));
     assert!(near(yard.ended_at(0), 31.0), "30 s from when it had its image");
 }
 
@@ -165,7 +168,7 @@
     yard.start(0, 0, 1);
     yard.until(3.0);
     yard.start(0, 1, 1);
-    assert_eq!(yard.end(0), Some((Cause::NoRoom, None)));
+    assert_eq!(yard.end(0), Some((ExitCause::InsufficientResources, None)));
 }
 
 #[test]
@@ -190,7 +193,7 @@
     yard.start(0, 0, 1);
     yard.until(3.0);
     yard.stop(0, 0, 60.0);
-    assert_eq!(yard.end(0), Some((Cause::Stopped, Some(false))));
+    assert_eq!(yard.end(0), Some((ExitCause::Stopped, Some(false))));
     let ended = (3.0, "n-0".to_owned(), Happened::Ended(task(0), false));
     assert!(yard.happened.iter().any(|h| near(h.0, ended.0) && h.2 == ended.2));
 }
@@ -231,8 +234,8 @@
     yard.until(25.3);
     assert_eq!(yard.worker(0).report(25.3).tasks[0].state, TaskState::Running, "not yet noticed");
     yard.until(29.1);
-    assert_eq!(yard.end(0), Some((Cause::PeersGone, None)));
-    assert_eq!(yard.end(2), Some((Cause::PeersGone, None)));
+    assert_eq!(yard.end(0), Some((ExitCause::GangMemberLost, None)));
+    assert_eq!(yard.end(2), Some((ExitCause::GangMemberLost, None)));
     assert!(near(yard.kept_s(), 20.0), "checkpoints are at 10 and 20 s");
     let lost_s = yard.gangs.record(&yard.spec.id.clone()).lost_s;
     assert!(near(lost_s, 4.0), "{lost_s}");
@@ -244,7 +247,7 @@
     yard.until(38.5);
     assert_eq!(yard.end(1), None);
     yard.until(39.7);
-    assert_eq!(yard.end(1), Some((Cause::Done, None)));
+    assert_eq!(yard.end(1), Some((ExitCause::Done, None)));
 }
 
 #[test]
@@ -253,13 +256,13 @@
     yard.until(8.0);
     yard.worker(1).hung = true;
     yard.until(12.1);
-    assert_eq!(yard.end(0), Some((Cause::PeersGone, None)));
+    assert_eq!(yard.end(0), Some((ExitCause::GangMemberLost, None)));
     assert_eq!(yard.end(1), None, "it executes nothing");
     assert!(near(yard.kept_s(), 0.0));
     yard.until(20.0);
     yard.worker(1).hung = false;
     yard.until(20.2);
-    assert_eq!(yard.end(1), Some((Cause::PeersGone, None)));
+    assert_eq!(yard.end(1), Some((ExitCause::GangMemberLost, None)));
 }
 
 #[test]
@@ -268,10 +271,10 @@
     yard.worker(1).kill_all();
     yard.start(2, 1, 1);
     yard.until(10.0);
-    assert_eq!(yard.end(0), Some((Cause::PeersGone, None)));
+    assert_eq!(yard.end(0), Some((ExitCause::GangMemberLost, None)));
     assert_eq!(yard.state(2), TaskState::Waiting);
     yard.until(33.2);
-    assert_eq!(yard.end(2), Some((Cause::Alone, None)));
+    assert_eq!(yard.end(2), Some((ExitCause::GangIncomplete, None)));
 }
 
 #[test]
@@ -281,18 +284,18 @@
     yard.start(0, 0, 1);
     yard.start(1, 1, 1);
     yard.until(6.0);
-    assert_eq!(yard.end(1), Some((Cause::Error, None)));
-    assert_eq!(yard.end(0), Some((Cause::PeersGone, None)));
+    assert_eq!(yard.end(1), Some((ExitCause::Error, None)));
+    assert_eq!(yard.end(0), Some((ExitCause::GangMemberLost, None)));
 }
 
 #[test]
 fn whoever_starts_a_task_of_a_gang_that_is_done_finds_it_done() {
     let mut yard = Yard::started(2);
     yard.until(32.0);
-    assert_eq!(yard.end(0), Some((Cause::Done, None)));
+    assert_eq!(yard.end(0), Some((ExitCause::Done, None)));
     yard.start(2, 1, 7);
     yard.until(33.5);
-    assert_eq!(yard.end(2), Some((Cause::Done, None)));
+    assert_eq!(yard.end(2), Some((ExitCause::Done, None)));
 }
 
 // ---- orderly stop -------------------------------------------------------
@@ -307,10 +310,10 @@
     assert_eq!(yard.end(0), None, "it has saved and waits for the other");
     yard.stop(1, 1, 10.0);
     yard.until(21.5);
-    assert_eq!(yard.end(0), Some((Cause::Stopped, Some(true))), "4 s after the first halt");
+    assert_eq!(yard.end(0), Some((ExitCause::Stopped, Some(true))), "4 s after the first halt");
     assert_eq!(yard.end(1), None, "it saves for 2 s");
     yard.until(22.8);
-    assert_eq!(yard.end(1), Some((Cause::Stopped, Some(true))));
+    assert_eq!(yard.end(1), Some((ExitCause::Stopped, Some(true))));
     assert!(near(yard.kept_s(), 16.0), "progress ends with the first halt: {}", yard.kept_s());
     assert_eq!(yard.gangs.record(&yard.spec.id.clone()).saves, 1);
 }
@@ -321,8 +324,8 @@
     yard.until(17.0);
     yard.stop(0, 0, 10.0);
     yard.until(21.3);
-    assert_eq!(yard.end(0), Some((Cause::Stopped, Some(false))));
-    assert_eq!(yard.end(1), Some((Cause::PeersGone, None)));
+    assert_eq!(yard.end(0), Some((ExitCause::Stopped, Some(false))));
+    assert_eq!(yard.end(1), Some((ExitCause::GangMemberLost, None)));
     assert!(near(yard.kept_s(), 10.0), "{}", yard.kept_s());
     assert_eq!(yard.gangs.record(&yard.spec.id.clone()).saves, 0);
 }
@@ -333,9 +336,9 @@
     yard.until(17.0);
     yard.stop(0, 0, 10.0);
     yard.stop(1, 1, 1.0);
-    assert_eq!(yard.end(1), Some((Cause::Stopped, Some(false))));
+    assert_eq!(yard.end(1), Some((ExitCause::Stopped, Some(false))));
     yard.until(21.3);
-    assert!(matches!(yard.end(0), Some((Cause::PeersGone, _))));
+    assert!(matches!(yard.end(0), Some((ExitCause::GangMemberLost, _))));
     assert!(near(yard.kept_s(), 10.0), "{}", yard.kept_s());
 }
 
@@ -364,7 +367,7 @@
     yard.stop(0, 0, 1.0);
     assert_eq!(yard.end(0), None, "a halt that is repeated changes nothing");
     yard.stop(0, 0, 0.0);
-    assert_eq!(yard.end(0), Some((Cause::Stopped, Some(false))));
+    assert_eq!(yard.end(0), Some((ExitCause::Stopped, Some(false))));
     yard.until(22.5);
     assert!(near(yard.kept_s(), 10.0), "{}", yard.kept_s());
 }
@@ -372,11 +375,11 @@
 #[test]
 fn a_gang_that_never_saves_begins_anew() {
     let mut yard = Yard::new(2);
-    yard.spec.checkpoint_s = 0.0;
+    yard.spec.checkpoint_interval_s = 0.0;
     (0..2).for_each(|n| yard.start(n, n, 1));
     yard.until(17.0);
     (0..2).for_each(|n| yard.stop(n, n, 10.0));
-    assert_eq!(yard.end(0), Some((Cause::Stopped, Some(false))));
+    assert_eq!(yard.end(0), Some((ExitCause::Stopped, Some(false))));
     yard.until(22.0);
     assert!(near(yard.kept_s(), 0.0));
 }
@@ -384,7 +387,7 @@
 // ---- the checker --------------------------------------------------------
 
 fn rules(spec: &JobSpec) -> Rules {
-    let mut rules = Rules::new(example_settings(0, 1).params);
+    let mut rules = Rules::new(example_settings(0, 1).deployment);
     rules.submits(spec);
     rules
 }
@@ -394,7 +397,7 @@
 }
 
 fn gang(tasks: u32) -> JobSpec {
-    JobSpec { kind: Kind::Gang, tasks, ..example_job("job-1") }
+    JobSpec { kind: JobKind::Gang, tasks, ..example_job("job-1") }
 }
 
 #[test]
@@ -441,7 +444,7 @@
     r.started(2.0, &task(0), "n-2", "m32", "a", false);
     assert_eq!(names(&r), ["ran_twice"]);
 
-    let mut r = rules(&JobSpec { one_zone: true, ..gang(2) });
+    let mut r = rules(&JobSpec { single_zone: true, ..gang(2) });
     r.started(1.0, &task(0), "n-1", "m32", "a", false);
     r.started(2.0, &task(1), "n-2", "m32", "b", false);
     assert_eq!(names(&r), ["wrong_place"]);
@@ -479,7 +482,7 @@
 #[test]
 fn tasks_that_wait_on_stand_ins_are_on_their_machines_for_the_checker() {
     let mut yard = Yard::new(2);
-    yard.spec.one_zone = true;
+    yard.spec.single_zone = true;
     let mut r = rules(&yard.spec);
     yard.worker(1).zone = "b".into();
     yard.start(0, 0, 1);
@@ -513,7 +516,7 @@
 
 #[test]
 fn lowered_limits_refuse_what_is_larger_and_keep_what_is_stored() {
-    use gladekeel_store::{Call, Outcome};
+    use gladekeel_store::{StoreOutcome, StoreRequest};
     let limits = Limits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 };
     let mut state = State::new(limits);
     let put = |key: &str, bytes: usize| Write::Put {
@@ -521,25 +524,35 @@
         value: "x".repeat(bytes).into(),
         lease: None,
     };
-    let commit = |writes: Vec<Write>| Call::Commit(Txn { guards: Vec::<Guard>::new(), writes });
+    let commit = |writes: Vec<Write>| {
+        StoreRequest::Commit(Transaction { preconditions: Vec::<Precondition>::new(), writes })
+    };
     let large = commit(vec![put("a", 3000)]);
     let many = commit((0..5).map(|n| put(&format!("b{n}"), 1)).collect());
-    assert!(matches!(state.call(0.0, 0, &large), Outcome::Committed(_)));
-    assert!(matches!(state.call(0.0, 0, &many), Outcome::Committed(_)));
+    assert!(matches!(state.call(0.0, 0, &large), StoreOutcome::Committed(_)));
+    assert!(matches!(state.call(0.0, 0, &many), StoreOutcome::Committed(_)));
     state.lower(Limits { rps: 1000.0, write_rps: 6.0, txn_ops: 4, value: 2048 });
     // The client knows a 400 to a commit by this name only.
-    assert_eq!(state.call(10.0, 0, &large), Outcome::NoLease);
-    assert_eq!(state.call(10.0, 0, &many), Outcome::NoLease);
+    assert_eq!(state.call(10.0, 0, &large), StoreOutcome::LeaseNotFound);
+    assert_eq!(state.call(10.0, 0, &many), StoreOutcome::LeaseNotFound);
     assert_eq!(state.too_large.len(), 2);
-    let Outcome::Rows(rows) = state.call(10.0, 0, &Call::List { prefix: "a".into(), after: None })
+    let StoreOutcome::Page(rows) =
+        state.call(10.0, 0, &StoreRequest::List { prefix: "a".into(), after: None })
     else {
         panic!("a list is answered")
     };
-    assert_eq!(rows.items[0].value.as_str().map(str::len), Some(3000));
-    assert!(matches!(state.call(10.0, 0, &commit(vec![put("a", 2000)])), Outcome::Committed(_)));
+    assert_eq!(rows.entries[0].value.as_str().map(str::len), Some(3000));
+    assert!(matches!(
+        state.call(10.0, 0, &commit(vec![put("a", 2000)])),
+        StoreOutcome::Committed(_)
+    ));
     let four = commit((0..4).map(|n| put(&format!("b{n}"), 1)).collect());
-    assert!(matches!(state.call(10.0, 0, &four), Outcome::Committed(_)));
-    assert_eq!(state.call(10.0, 0, &four), Outcome::Busy, "9 changes in an instant, 6 a second");
+    assert!(matches!(state.call(10.0, 0, &four), StoreOutcome::Committed(_)));
+    assert_eq!(
+        state.call(10.0, 0, &four),
+        StoreOutcome::RateLimited,
+        "9 changes in an instant, 6 a second"
+    );
     assert!(state.abuses.is_empty());
 }
 
--- a/crates/gladekeel-testkit/tests/rules.rs
+++ b/crates/gladekeel-testkit/tests/rules.rs
@@ -6,16 +6,16 @@
 };
 use gladekeel_wire::{
     JobId, TaskId,
-    job::{JobSpec, JobState, Kind},
+    job::{JobKind, JobSpec, JobState},
 };
 use std::collections::BTreeSet;
 
 fn rules() -> Rules {
-    Rules::new(example_settings(0, 1).params)
+    Rules::new(example_settings(0, 1).deployment)
 }
 
 fn cancel_s() -> f64 {
-    example_settings(0, 1).params.workers.cancel_s
+    example_settings(0, 1).deployment.workers.cancellation_deadline_s
 }
 
 fn task(index: u32) -> TaskId {
@@ -52,15 +52,15 @@
     for change in [
         (|s: &mut JobSpec| s.spot = false) as fn(&mut JobSpec),
         |s| s.zone = Some("b".into()),
-        |s| s.types = Some(vec!["g8".into()]),
-        |s| s.one_zone = true,
+        |s| s.machine_types = Some(vec!["g8".into()]),
+        |s| s.single_zone = true,
         |s| s.spread = true,
     ] {
         let mut r = rules();
         let mut spec = spec.clone();
         change(&mut spec);
         r.submits(&spec);
-        if spec.one_zone {
+        if spec.single_zone {
             r.started(1.0, &task(3), "n-9", "m32", "b", true);
         }
         let tasks = if spec.spread { 3 } else { 1 };
@@ -163,12 +163,12 @@
         |s| s.cpus = 33.0,
         |s| s.gpus = 1.0,
         |s| s.memory_gb = 65.0,
-        |s| s.types = Some(vec!["g8".into()]),
+        |s| s.machine_types = Some(vec!["g8".into()]),
         |s| s.zone = Some("c".into()),
         |s| s.team = "nobody".into(),
         // The team's limit is 200 CPUs: a gang needs all of its tasks at once.
-        |s| (s.kind, s.tasks, s.cpus) = (Kind::Gang, 20, 16.0),
-        |s| (s.kind, s.tasks, s.cpus) = (Kind::Array, 20, 16.0),
+        |s| (s.kind, s.tasks, s.cpus) = (JobKind::Gang, 20, 16.0),
+        |s| (s.kind, s.tasks, s.cpus) = (JobKind::Array, 20, 16.0),
     ];
     for (index, change) in changes.into_iter().enumerate() {
         let mut spec = fits.clone();
@@ -259,7 +259,7 @@
     assert_eq!(waits(&spec, 400, full(192.0)), ["left_waiting"]);
 
     // A gang begins whole, on several machines.
-    let gang = JobSpec { kind: Kind::Gang, ..spec.clone() };
+    let gang = JobSpec { kind: JobKind::Gang, ..spec.clone() };
     let two = |cpus: f64| {
         move |_: u32, _: &mut Rules| (vec![room("a", false, 16.0), room("b", false, cpus)], false)
     };
--- a/crates/gladekeel-testkit/tests/settling.rs
+++ b/crates/gladekeel-testkit/tests/settling.rs
@@ -5,7 +5,7 @@
     scenario::example_settings,
     state::{Limits, State},
 };
-use gladekeel_wire::mesh::Header;
+use gladekeel_wire::mesh::FrameHeader;
 use std::collections::VecDeque;
 
 fn state() -> State {
@@ -32,9 +32,9 @@
 /// Hands a node the frames of another one.
 fn hand_over(node: &mut Node, now: f64, frames: Vec<Vec<u8>>) {
     for frame in frames {
-        let (head, payload) = frame.split_at(Header::SIZE);
+        let (head, payload) = frame.split_at(FrameHeader::SIZE);
         let head = head.try_into().expect("a frame begins with a header");
-        let (header, kind) = Header::read(&head).expect("nodes send sound frames");
+        let (header, kind) = FrameHeader::read(&head).expect("nodes send sound frames");
         node.handle(now, Event::Mesh { header, kind, payload: payload.to_vec() });
     }
 }
--- a/crates/gladekeel-testkit/tests/sharing.rs
+++ b/crates/gladekeel-testkit/tests/sharing.rs
@@ -6,7 +6,7 @@
 const USABLE: [bool; 2] = [true, true];
 
 fn sharing(cpu_share: f64) -> ReportSharing {
-    let mut params = example_settings(0, 3).params;
+    let mut params = example_settings(0, 3).deployment;
     params.limits.cpu_share = cpu_share;
     ReportSharing::new(&params, USABLE.len())
 }
--- a/crates/gladekeel-testkit/tests/stand_ins.rs
+++ b/crates/gladekeel-testkit/tests/stand_ins.rs
@@ -7,7 +7,7 @@
 };
 use gladekeel_wire::{
     TaskId,
-    worker::{Command, Direct, ReportAnswer},
+    worker::{Command, DirectCommands, HeartbeatResponse},
 };
 
 fn start(task: &TaskId) -> Vec<Command> {
@@ -23,7 +23,7 @@
     let find = |_: &TaskId| Some(spec.clone());
     let room = (32.0, 0.0, 64.0);
     let mut worker = Worker::new("n-1".into(), "m32".into(), "a".into(), false, room, 30.0, 0.0, 0);
-    let answer = ReportAnswer { token: 7, commands: start(&task) };
+    let answer = HeartbeatResponse { token: 7, commands: start(&task) };
     assert!(worker.answered(0.0, 1, 0.0, &answer, &find).is_empty());
     assert_eq!(worker.step(1.5), [Happened::Started(task.clone())]);
     worker.hang(2.0, true);
@@ -32,11 +32,11 @@
     worker.hang(100.0, false);
     assert_eq!(worker.step(100.0), [Happened::Ended(task.clone(), false)]);
     assert!(worker.tasks.is_empty());
-    let late = Direct { token: 7, session: 1, commands: start(&task) };
+    let late = DirectCommands { token: 7, incarnation: 1, commands: start(&task) };
     assert!(!worker.direct(100.0, &late, &find).0);
     // The report that it was about to send shows what was there then.
     let (made_at, report) = worker.held_report.take().unwrap();
-    assert_eq!((made_at, report.session, report.tasks.len()), (2.0, 1, 1));
+    assert_eq!((made_at, report.incarnation, report.tasks.len()), (2.0, 1, 1));
 }
 
 /// A scenario with several seeds says which of them fails.
--- a/crates/gladekeel-testkit/tests/two_versions.rs
+++ b/crates/gladekeel-testkit/tests/two_versions.rs
@@ -7,7 +7,7 @@
     keys,
     node::{Action, Event, Node},
 };
-use gladekeel_store::{Call, Outcome};
+use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_testkit::{
     scenario::{example_job, example_settings, example_type},
     state::{Limits, State},
@@ -17,9 +17,9 @@
     admin::VersionedSettings,
     cloud::MachineTypes,
     job::{JobState, JobStatus},
-    mesh::{Header, Kind, LEVEL, read_counts, read_jobs},
-    state::{Txn, Write},
-    worker::{Command, ReportAnswer},
+    mesh::{FrameHeader, FrameKind, PROTOCOL_LEVEL, decode_job_ids, decode_job_progress},
+    store::{Transaction, Write},
+    worker::{Command, HeartbeatResponse},
 };
 use serde_json::{Value, json};
 use std::collections::VecDeque;
@@ -40,7 +40,7 @@
     processes: u64,
     step: u32,
     requests: u64,
-    frames: Vec<(usize, Header, u16, Vec<u8>)>,
+    frames: Vec<(usize, FrameHeader, u16, Vec<u8>)>,
     replies: Vec<(u64, u16, Vec<u8>)>,
     /// Commands that were sent to workers directly.
     direct: Vec<Command>,
@@ -65,9 +65,9 @@
     /// Stores a value as another node would.
     fn store(&mut self, key: &str, value: Value) -> u64 {
         let put = Write::Put { key: key.into(), value, lease: None };
-        let txn = Txn { guards: Vec::new(), writes: vec![put] };
-        match self.state.call(0.0, 1, &Call::Commit(txn)) {
-            Outcome::Committed(version) => version,
+        let txn = Transaction { preconditions: Vec::new(), writes: vec![put] };
+        match self.state.call(0.0, 1, &StoreRequest::Commit(txn)) {
+            StoreOutcome::Committed(version) => version,
             other => panic!("not stored: {other:?}"),
         }
     }
@@ -85,8 +85,8 @@
                     Event::Cloud { call, outcome: CloudOutcome::Types(MachineTypes { types }) }
                 }
                 Action::Mesh { peer, frame } => {
-                    let (head, payload) = frame.split_at(Header::SIZE);
-                    let (header, _) = Header::read(head.try_into().unwrap()).expect("a head");
+                    let (head, payload) = frame.split_at(FrameHeader::SIZE);
+                    let (header, _) = FrameHeader::read(head.try_into().unwrap()).expect("a head");
                     self.frames.push((peer, header, header.kind.get(), payload.to_vec()));
                     continue;
                 }
@@ -112,8 +112,17 @@
                 if let (Some(level), 0) = (self.levels[peer], self.step % 20) {
                     let payload = hello(250, 0);
                     let (from, len) = (peer as u32 + 1, payload.len());
-                    let header = Header::new(Kind::Hello, level, self.processes, from, len);
-                    self.handle(now, Event::Mesh { header, kind: Kind::Hello, payload });
+                    let header = FrameHeader::new(
+                        FrameKind::PeerHeartbeat,
+                        level,
+                        self.processes,
+                        from,
+                        len,
+                    );
+                    self.handle(
+                        now,
+                        Event::Mesh { header, kind: FrameKind::PeerHeartbeat, payload },
+                    );
                 }
             }
             self.handle(now, Event::Tick);
@@ -149,7 +158,7 @@
         assert_eq!((status, job.state), (200, JobState::Cancelled), "{name} is committed");
         let unknown = self.frames[before..].iter().filter(|(_, _, kind, _)| *kind > 5);
         unknown
-            .map(|(peer, _, kind, payload)| (*peer, *kind, read_jobs(payload).expect("ids")))
+            .map(|(peer, _, kind, payload)| (*peer, *kind, decode_job_ids(payload).expect("ids")))
             .collect()
     }
 }
@@ -202,11 +211,11 @@
     let (mut hellos, mut led) = (0, false);
     for (_, header, kind, payload) in &rig.frames {
         assert!((1..=5).contains(kind), "kind {kind}");
-        assert_eq!(header.len.get() as usize, payload.len());
+        assert_eq!(header.payload_len.get() as usize, payload.len());
         if *kind == 4 {
             hellos += 1;
-            assert_eq!((header.status.get(), payload.len()), (LEVEL, 12));
-            assert_eq!((header.call.get(), header.from.get()), (0, 0));
+            assert_eq!((header.status.get(), payload.len()), (PROTOCOL_LEVEL, 12));
+            assert_eq!((header.correlation_id.get(), header.sender.get()), (0, 0));
             let token = rig.node.leader().expect("it leads").token;
             let leads = u64::from_le_bytes(payload[4..].try_into().unwrap());
             assert!(leads == 0 || leads == token, "{leads} is no token");
@@ -272,7 +281,7 @@
         });
         let (status, body) = rig.request("POST", "/checkin", body.to_string().into_bytes());
         assert_eq!(status, 200, "{machine}");
-        let answer: ReportAnswer = serde_json::from_slice(&body).unwrap();
+        let answer: HeartbeatResponse = serde_json::from_slice(&body).unwrap();
         commands.extend(answer.commands);
     };
     let (first, second) = (33_554_441, 33_554_444);
@@ -360,7 +369,7 @@
 /// put all other settings back to what that node knew.
 #[test]
 fn a_node_that_is_behind_changes_no_other_setting() {
-    let mut rig = Rig::new(&[Some(LEVEL)]);
+    let mut rig = Rig::new(&[Some(PROTOCOL_LEVEL)]);
     rig.run(5);
     let version = rig.store(keys::OPTIONS, json!({"beta": 1.5}));
     let change = json!({"version": version, "settings": {"idle_s": 20.0}}).to_string();
@@ -377,7 +386,7 @@
 /// the job's next change.
 #[test]
 fn counts_are_told_again_once_a_controller_has_restarted() {
-    let mut rig = Rig::new(&[Some(LEVEL), Some(1)]);
+    let mut rig = Rig::new(&[Some(PROTOCOL_LEVEL), Some(1)]);
     rig.run(5);
     assert!(rig.node.leader().is_some());
     let spec = serde_json::to_vec(&example_job("job-1")).unwrap();
@@ -390,8 +399,9 @@
         rig.run(3);
         for peer in 0..2 {
             let counts = rig.frames.iter().filter(|(to, _, kind, _)| *to == peer && *kind == 5);
-            let rows: Vec<(JobId, u32, u32)> =
-                counts.flat_map(|(.., payload)| read_counts(payload).expect("counts")).collect();
+            let rows: Vec<(JobId, u32, u32)> = counts
+                .flat_map(|(.., payload)| decode_job_progress(payload).expect("counts"))
+                .collect();
             let row = ("job-1".parse().unwrap(), 0, 0);
             assert_eq!(rows, vec![row; expected], "processes {processes}, peer {peer}");
         }
@@ -402,11 +412,11 @@
 #[test]
 fn hellos_number_the_process() {
     let numbers = |seed: u64| {
-        let mut rig = Rig::new(&[Some(LEVEL), Some(0)]);
+        let mut rig = Rig::new(&[Some(PROTOCOL_LEVEL), Some(0)]);
         rig.node = Node::new(example_settings(0, 3), seed, 0.0);
         rig.run(5);
         let hellos = rig.frames.iter().filter(|(_, _, kind, _)| *kind == 4);
-        let calls = hellos.map(|(peer, header, ..)| (*peer, header.call.get()));
+        let calls = hellos.map(|(peer, header, ..)| (*peer, header.correlation_id.get()));
         calls.collect::<std::collections::BTreeSet<_>>()
     };
     let (first, second) = (numbers(1), numbers(2));
--- a/crates/gladekeel-wire/src/cloud.rs
+++ b/crates/gladekeel-wire/src/cloud.rs
@@ -3,11 +3,11 @@
 use serde::{Deserialize, Serialize};
 
 /// The most machines one rental may ask for.
-pub const MAX_RENT: u32 = 50;
+pub const MAX_MACHINES_PER_RENT_REQUEST: u32 = 50;
 /// The most machines one deletion may name.
-pub const MAX_DELETE: usize = 100;
+pub const MAX_MACHINES_PER_DELETE_REQUEST: usize = 100;
 /// The most machines one page of the list may hold.
-pub const MAX_LIST: usize = 500;
+pub const MAX_MACHINES_PER_PAGE: usize = 500;
 
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -52,10 +52,10 @@
 
 /// A rental request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Rent {
+pub struct RentRequest {
     /// The request's name; never used for a second request.
     #[serde(rename = "charter")]
-    pub request: String,
+    pub request_id: String,
     /// Machine type.
     #[serde(rename = "hull")]
     pub machine_type: String,
@@ -96,7 +96,7 @@
 
 /// A row of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MachineRow {
+pub struct ListedMachine {
     /// The machine's name; names are ordered by creation.
     #[serde(rename = "name_id")]
     pub name: String,
@@ -122,11 +122,11 @@
 
 /// A page of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MachineList {
+pub struct MachinePage {
     /// The rows.
     #[serde(rename = "berths")]
-    pub machines: Vec<MachineRow>,
+    pub machines: Vec<ListedMachine>,
     /// Whether there is more.
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub truncated: bool,
 }
--- a/crates/gladekeel-wire/src/id.rs
+++ b/crates/gladekeel-wire/src/id.rs
@@ -9,7 +9,7 @@
 /// An id that does not have the form the protocol prescribes.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("not a valid id: {0:?}")]
-pub struct BadId(pub String);
+pub struct InvalidId(pub String);
 
 /// The id of a job: `job-` followed by letters, digits, `_`, `-` or `.`.
 ///
@@ -25,13 +25,13 @@
 }
 
 impl FromStr for JobId {
-    type Err = BadId;
+    type Err = InvalidId;
 
-    fn from_str(text: &str) -> Result<Self, BadId> {
+    fn from_str(text: &str) -> Result<Self, InvalidId> {
         let rest = text.strip_prefix("job-").unwrap_or("");
         let fine = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'-' | b'.');
         if rest.is_empty() || text.len() > MAX_ID || !rest.bytes().all(fine) {
-            return Err(BadId(text.chars().take(MAX_ID).collect()));
+            return Err(InvalidId(text.chars().take(MAX_ID).collect()));
         }
         Ok(JobId(text.into()))
     }
@@ -71,10 +71,10 @@
 }
 
 impl FromStr for TaskId {
-    type Err = BadId;
+    type Err = InvalidId;
 
-    fn from_str(text: &str) -> Result<Self, BadId> {
-        let bad = || BadId(text.chars().take(MAX_ID).collect());
+    fn from_str(text: &str) -> Result<Self, InvalidId> {
+        let bad = || InvalidId(text.chars().take(MAX_ID).collect());
         let (job, index) = text.split_once('/').ok_or_else(bad)?;
         // `u32::from_str` takes a plus sign and leading zeros, which are other names for the same task.
         if !index.bytes().all(|b| b.is_ascii_digit()) || (index.len() > 1 && index.starts_with('0'))
--- a/crates/gladekeel-wire/src/job.rs
+++ b/crates/gladekeel-wire/src/job.rs
@@ -24,7 +24,7 @@
 /// The shape of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     Array,
     /// Tasks that run together or not at all.
@@ -48,7 +48,7 @@
     pub team: String,
     /// The shape of the job.
     #[serde(rename = "build")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// How urgent it is.
     #[serde(rename = "urgency")]
     pub priority: Priority,
@@ -71,12 +71,13 @@
     pub image_gb: f64,
     /// Allowed machine types, or none for any.
     #[serde(rename = "hulls", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// The only allowed zone, if any.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Whether all tasks must be in one zone.
-    pub one_zone: bool,
+    #[serde(rename = "one_zone")]
+    pub single_zone: bool,
     /// Whether at most half of the tasks may be in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
@@ -88,10 +89,10 @@
     pub estimate_s: f64,
     /// Progress between checkpoints; 0 if the task never saves.
     #[serde(rename = "mark_s")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time needed to save when stopped.
     #[serde(rename = "stow_s")]
-    pub save_s: f64,
+    pub checkpoint_write_s: f64,
     /// When the job should be complete, from its submission.
     #[serde(rename = "launch_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
@@ -99,7 +100,7 @@
 
 /// Why a submission is malformed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum BadJob {
+pub enum InvalidJob {
     /// Not the JSON of a job.
     #[error("not a job: {0}")]
     Json(String),
@@ -110,37 +111,37 @@
 
 impl JobSpec {
     /// Reads and checks a submission.
-    pub fn parse(body: &[u8]) -> Result<JobSpec, BadJob> {
+    pub fn parse(body: &[u8]) -> Result<JobSpec, InvalidJob> {
         // serde would take an array for a struct; the protocol wants an object.
         if body.iter().find(|b| !b.is_ascii_whitespace()) != Some(&b'{') {
-            return Err(BadJob::Json("not an object".into()));
+            return Err(InvalidJob::Json("not an object".into()));
         }
         let spec: JobSpec =
-            serde_json::from_slice(body).map_err(|e| BadJob::Json(e.to_string()))?;
+            serde_json::from_slice(body).map_err(|e| InvalidJob::Json(e.to_string()))?;
         spec.check()?;
         Ok(spec)
     }
 
     /// Checks every value's range.
-    pub fn check(&self) -> Result<(), BadJob> {
+    pub fn check(&self) -> Result<(), InvalidJob> {
         let amount = |v: f64| v.is_finite() && (0.0..=1e9).contains(&v);
         let text = |t: &str| !t.is_empty() && t.len() <= 200 && !t.chars().any(char::is_control);
-        let require = |ok: bool, name| if ok { Ok(()) } else { Err(BadJob::Field(name)) };
+        let require = |ok: bool, name| if ok { Ok(()) } else { Err(InvalidJob::Field(name)) };
         require((1..=MAX_TASKS).contains(&self.tasks), "pieces")?;
         require(amount(self.cpus) && self.cpus > 0.0, "vcpus")?;
         require(amount(self.gpus), "gpus")?;
         require(amount(self.memory_gb), "ram_gb")?;
         require(amount(self.image_gb), "size_gb")?;
         require(amount(self.estimate_s), "reckon_s")?;
-        require(amount(self.checkpoint_s), "mark_s")?;
-        require(amount(self.save_s), "stow_s")?;
+        require(amount(self.checkpoint_interval_s), "mark_s")?;
+        require(amount(self.checkpoint_write_s), "stow_s")?;
         require(self.deadline_s.is_none_or(amount), "launch_s")?;
         require(text(&self.class), "rig")?;
         require(text(&self.team), "crew")?;
         require(text(&self.image), "pattern")?;
         require(self.zone.as_deref().is_none_or(text), "yard")?;
         let types_fine = |types: &Vec<String>| types.len() <= 200 && types.iter().all(|t| text(t));
-        require(self.types.as_ref().is_none_or(types_fine), "hulls")
+        require(self.machine_types.as_ref().is_none_or(types_fine), "hulls")
     }
 }
 
--- a/crates/gladekeel-wire/src/lib.rs
+++ b/crates/gladekeel-wire/src/lib.rs
@@ -12,10 +12,10 @@
 pub mod job;
 pub mod mesh;
 pub mod settings;
-pub mod state;
+pub mod store;
 pub mod worker;
 
-pub use id::{BadId, JobId, TaskId};
+pub use id::{InvalidId, JobId, TaskId};
 
 /// The largest request body that the protocol allows, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
--- a/crates/gladekeel-wire/src/mesh.rs
+++ b/crates/gladekeel-wire/src/mesh.rs
@@ -1,6 +1,6 @@
 //! Fixed layouts that controllers exchange with one another.
 //!
-//! A frame is a [`Header`] followed by `len` bytes of payload. All numbers are
+//! A frame is a [`FrameHeader`] followed by `len` bytes of payload. All numbers are
 //! little-endian; a reader casts the bytes in place and copies nothing.
 
 use crate::JobId;
@@ -18,35 +18,42 @@
 /// What a frame is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u16)]
-pub enum Kind {
+pub enum FrameKind {
     /// The store has changed in a way that the leader should see soon.
-    Nudge = 1,
+    StoreChanged = 1,
     /// A worker's report, passed on by a node that the worker can reach.
-    Relay = 2,
+    RelayedHeartbeat = 2,
     /// The answer to a relayed report.
-    Relayed = 3,
-    /// How the sender is; see [`Hello`].
-    Hello = 4,
-    /// How far jobs are; see [`write_counts`].
-    Counts = 5,
-    /// Jobs whose cancellation the sender has committed; see [`write_jobs`]. Only for
-    /// peers of [`LEVEL`] 1 or more: others end the connection over it.
-    Cancelled = 6,
+    RelayedResponse = 3,
+    /// How the sender is; see [`PeerHeartbeat`].
+    PeerHeartbeat = 4,
+    /// How far jobs are; see [`encode_job_progress`].
+    JobProgress = 5,
+    /// Jobs whose cancellation the sender has committed; see [`encode_job_ids`]. Only for
+    /// peers of [`PROTOCOL_LEVEL`] 1 or more: others end the connection over it.
+    Cancellations = 6,
 }
 
 /// What this version understands, told in the status of its hellos. The first version
 /// with a level told 0, and passes over what others tell.
-pub const LEVEL: u16 = 2;
-/// From this level on a leader takes [`Kind::Relay`] as the usual way of a report: other
+pub const PROTOCOL_LEVEL: u16 = 2;
+/// From this level on a leader takes [`FrameKind::Relay`] as the usual way of a report: other
 /// nodes keep their workers instead of sending them to the leader.
-pub const SHARES_REPORTS: u16 = 2;
+pub const HEARTBEAT_RELAY_LEVEL: u16 = 2;
 
-impl Kind {
+impl FrameKind {
     /// The kind with this number.
-    pub fn from_number(number: u16) -> Option<Kind> {
-        [Kind::Nudge, Kind::Relay, Kind::Relayed, Kind::Hello, Kind::Counts, Kind::Cancelled]
-            .into_iter()
-            .find(|k| *k as u16 == number)
+    pub fn from_number(number: u16) -> Option<FrameKind> {
+        [
+            FrameKind::StoreChanged,
+            FrameKind::RelayedHeartbeat,
+            FrameKind::RelayedResponse,
+            FrameKind::PeerHeartbeat,
+            FrameKind::JobProgress,
+            FrameKind::Cancellations,
+        ]
+        .into_iter()
+        .find(|k| *k as u16 == number)
     }
 }
 
@@ -55,20 +62,20 @@
     Debug, Clone, Copy, PartialEq, Eq, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned,
 )]
 #[repr(C)]
-pub struct Header {
+pub struct FrameHeader {
     /// [`MAGIC`].
     pub magic: U32,
-    /// A [`Kind`].
+    /// A [`FrameKind`].
     pub kind: U16,
-    /// The status of an answer, as in HTTP; the [`LEVEL`] in hellos; 0 in others.
+    /// The status of an answer, as in HTTP; the [`PROTOCOL_LEVEL`] in hellos; 0 in others.
     pub status: U16,
     /// Pairs an answer with its request; in hellos a number that the sender's process drew
     /// when it began, or 0 from versions before that.
-    pub call: U64,
+    pub correlation_id: U64,
     /// The sender: its place in the sorted list of all nodes' names.
-    pub from: U32,
+    pub sender: U32,
     /// Length of the payload in bytes.
-    pub len: U32,
+    pub payload_len: U32,
 }
 
 /// How a node is, sent about once a second.
@@ -76,34 +83,34 @@
     Debug, Clone, Copy, PartialEq, Eq, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned,
 )]
 #[repr(C)]
-pub struct Hello {
+pub struct PeerHeartbeat {
     /// Milliseconds since its last contact with the state service; all ones for never.
-    pub contact_ms: U32,
+    pub store_contact_age_ms: U32,
     /// The token under which it leads, or 0.
-    pub leads: U64,
+    pub leader_token: U64,
 }
 
-impl Header {
+impl FrameHeader {
     /// A header for a payload of this length.
-    pub fn new(kind: Kind, status: u16, call: u64, from: u32, len: usize) -> Header {
-        Header {
+    pub fn new(kind: FrameKind, status: u16, call: u64, from: u32, len: usize) -> FrameHeader {
+        FrameHeader {
             magic: MAGIC.into(),
             kind: (kind as u16).into(),
             status: status.into(),
-            call: call.into(),
-            from: from.into(),
-            len: (len as u32).into(),
+            correlation_id: call.into(),
+            sender: from.into(),
+            payload_len: (len as u32).into(),
         }
     }
 
     /// Size of the header in bytes.
-    pub const SIZE: usize = size_of::<Header>();
+    pub const SIZE: usize = size_of::<FrameHeader>();
 
     /// Reads a header, or nothing if the bytes are not the start of a frame that we accept.
-    pub fn read(bytes: &[u8; Header::SIZE]) -> Option<(Header, Kind)> {
-        let header = Header::read_from_bytes(bytes).ok()?;
-        let kind = Kind::from_number(header.kind.get())?;
-        let sound = header.magic.get() == MAGIC && header.len.get() as usize <= MAX_PAYLOAD;
+    pub fn read(bytes: &[u8; FrameHeader::SIZE]) -> Option<(FrameHeader, FrameKind)> {
+        let header = FrameHeader::read_from_bytes(bytes).ok()?;
+        let kind = FrameKind::from_number(header.kind.get())?;
+        let sound = header.magic.get() == MAGIC && header.payload_len.get() as usize <= MAX_PAYLOAD;
         sound.then_some((header, kind))
     }
 }
@@ -113,21 +120,21 @@
     Debug, Clone, Copy, PartialEq, Eq, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned,
 )]
 #[repr(C)]
-struct CountsRow {
+struct JobProgressRow {
     done: U32,
     running: U32,
     id_len: U16,
 }
 
-/// Writes payloads of [`Kind::Counts`]: for each job its finished and running tasks.
-pub fn write_counts<'a>(rows: impl Iterator<Item = (&'a JobId, u32, u32)>) -> Vec<Vec<u8>> {
+/// Writes payloads of [`FrameKind::Counts`]: for each job its finished and running tasks.
+pub fn encode_job_progress<'a>(rows: impl Iterator<Item = (&'a JobId, u32, u32)>) -> Vec<Vec<u8>> {
     let mut payloads: Vec<Vec<u8>> = Vec::new();
     for (id, done, running) in rows {
         let id = id.as_str().as_bytes();
         if payloads.last().is_none_or(|last| last.len() + 200 > MAX_PAYLOAD) {
             payloads.push(Vec::new());
         }
-        let row = CountsRow {
+        let row = JobProgressRow {
             done: done.into(),
             running: running.into(),
             id_len: (id.len() as u16).into(),
@@ -141,10 +148,10 @@
 }
 
 /// Reads such a payload, or nothing if it is not exactly one.
-pub fn read_counts(mut payload: &[u8]) -> Option<Vec<(JobId, u32, u32)>> {
+pub fn decode_job_progress(mut payload: &[u8]) -> Option<Vec<(JobId, u32, u32)>> {
     let mut rows = Vec::new();
     while !payload.is_empty() {
-        let (row, rest) = CountsRow::read_from_prefix(payload).ok()?;
+        let (row, rest) = JobProgressRow::read_from_prefix(payload).ok()?;
         let (id, rest) = rest.split_at_checked(row.id_len.get() as usize)?;
         let id = std::str::from_utf8(id).ok()?.parse().ok()?;
         rows.push((id, row.done.get(), row.running.get()));
@@ -153,12 +160,12 @@
     Some(rows)
 }
 
-/// Writes a payload of [`Kind::Cancelled`]: ids, one a line.
-pub fn write_jobs<'a>(ids: impl Iterator<Item = &'a JobId>) -> Vec<u8> {
+/// Writes a payload of [`FrameKind::Cancelled`]: ids, one a line.
+pub fn encode_job_ids<'a>(ids: impl Iterator<Item = &'a JobId>) -> Vec<u8> {
     ids.map(JobId::as_str).collect::<Vec<&str>>().join("\n").into_bytes()
 }
 
 /// Reads such a payload, or nothing if it is not exactly one.
-pub fn read_jobs(payload: &[u8]) -> Option<Vec<JobId>> {
+pub fn decode_job_ids(payload: &[u8]) -> Option<Vec<JobId>> {
     std::str::from_utf8(payload).ok()?.split('\n').map(|id| id.parse().ok()).collect()
 }
--- a/crates/gladekeel-wire/src/settings.rs
+++ b/crates/gladekeel-wire/src/settings.rs
@@ -27,7 +27,7 @@
     pub services: Services,
     /// What is the same for every node.
     #[serde(rename = "deployment")]
-    pub params: Params,
+    pub deployment: Deployment,
 }
 
 /// Another controller.
@@ -49,20 +49,22 @@
     /// The cloud.
     pub cloud: SocketAddr,
     /// The state service.
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub store: SocketAddr,
 }
 
 /// What is the same for every node.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Params {
+pub struct Deployment {
     /// Number of controllers.
-    pub count: u32,
+    #[serde(rename = "count")]
+    pub controllers: u32,
     /// Zones.
     #[serde(default)]
     pub zones: Vec<String>,
     /// Bound of the time of day's error.
     #[serde(rename = "time_bound_ms", default)]
-    pub clock_off_ms: f64,
+    pub clock_error_bound_ms: f64,
     /// Teams.
     #[serde(default)]
     pub teams: Vec<Team>,
@@ -70,13 +72,14 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// How workers behave.
-    pub workers: Workers,
-    /// Limits of the state service.
-    pub state: State,
-    /// Limits of the cloud.
-    pub cloud: Cloud,
-    /// Limits of this process.
-    pub limits: Limits,
+    pub workers: WorkerTimings,
+    /// ProcessLimits of the state service.
+    #[serde(rename = "state")]
+    pub store: StoreLimits,
+    /// ProcessLimits of the cloud.
+    pub cloud: CloudLimits,
+    /// ProcessLimits of this process.
+    pub limits: ProcessLimits,
 }
 
 /// A team's guarantee and limit.
@@ -115,13 +118,15 @@
 
 /// How workers behave.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Workers {
+pub struct WorkerTimings {
     /// Time between reports.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// Their lease.
     pub lease_s: f64,
     /// Time within which a cancelled job's tasks must be gone.
-    pub cancel_s: f64,
+    #[serde(rename = "cancel_s")]
+    pub cancellation_deadline_s: f64,
     /// How long a task of a gang waits for the others before it gives up.
     #[serde(default = "gang_wait_s")]
     pub gang_wait_s: f64,
@@ -139,22 +144,22 @@
     4.0
 }
 
-impl Workers {
+impl WorkerTimings {
     /// How long a healthy worker may be silent: a report goes out every `report_s`,
     /// give or take a quarter, and takes its time.
-    pub fn late_s(&self) -> f64 {
-        1.25 * self.report_s + 2.0
+    pub fn heartbeat_timeout_s(&self) -> f64 {
+        1.25 * self.heartbeat_interval_s + 2.0
     }
 
     /// How long a worker may be silent before it is worth asking it.
-    pub fn ask_s(&self) -> f64 {
-        0.3 * self.report_s + 1.5
+    pub fn probe_after_s(&self) -> f64 {
+        0.3 * self.heartbeat_interval_s + 1.5
     }
 }
 
-/// Limits of the state service, for all nodes together.
+/// ProcessLimits of the state service, for all nodes together.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct State {
+pub struct StoreLimits {
     /// Requests per second.
     pub rps: f64,
     /// Puts and deletes per second.
@@ -164,14 +169,14 @@
     /// Puts and deletes of a transaction.
     pub txn_ops: usize,
     /// The limits that it will have from some moment on, which nobody announces.
-    #[serde(default)]
-    pub next: Option<NextState>,
+    #[serde(rename = "next", default)]
+    pub upcoming: Option<UpcomingStoreLimits>,
 }
 
-/// Limits of the state service that are yet to come; what is not named stays.
+/// ProcessLimits of the state service that are yet to come; what is not named stays.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct NextState {
+pub struct UpcomingStoreLimits {
     /// Requests per second.
     pub rps: Option<f64>,
     /// Puts and deletes per second.
@@ -182,32 +187,32 @@
     pub txn_ops: Option<usize>,
 }
 
-impl State {
+impl StoreLimits {
     /// The limits to keep to: of each the smaller one, from the first moment.
-    pub fn kept(&self) -> State {
-        let next = self.next.clone().unwrap_or_default();
-        State {
+    pub fn lowest(&self) -> StoreLimits {
+        let next = self.upcoming.clone().unwrap_or_default();
+        StoreLimits {
             rps: next.rps.map_or(self.rps, |next| next.min(self.rps)),
             write_rps: next.write_rps.map_or(self.write_rps, |next| next.min(self.write_rps)),
             value_kb: next.value_kb.map_or(self.value_kb, |next| next.min(self.value_kb)),
             txn_ops: next.txn_ops.map_or(self.txn_ops, |next| next.min(self.txn_ops)),
-            next: None,
+            upcoming: None,
         }
     }
 }
 
-/// Limits of the cloud.
+/// ProcessLimits of the cloud.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Cloud {
+pub struct CloudLimits {
     /// Requests per second, for all nodes together.
     pub rps: f64,
     /// How late the machine list is.
     pub list_lag_s: f64,
 }
 
-/// Limits of this process.
+/// ProcessLimits of this process.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Limits {
+pub struct ProcessLimits {
     /// Part of a core.
     pub cpu_share: f64,
     /// Memory in MB.
@@ -220,68 +225,68 @@
 /// A value that cannot be meant.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{field}: {what}")]
-pub struct BadSetting {
+pub struct InvalidSetting {
     /// Where it stands, as in the file.
     pub field: String,
     /// What is wrong with it.
     pub what: String,
 }
 
-fn require(ok: bool, field: &str, what: &str) -> Result<(), BadSetting> {
-    if ok { Ok(()) } else { Err(BadSetting { field: field.into(), what: what.into() }) }
+fn require(ok: bool, field: &str, what: &str) -> Result<(), InvalidSetting> {
+    if ok { Ok(()) } else { Err(InvalidSetting { field: field.into(), what: what.into() }) }
 }
 
-fn positive(value: f64, field: &str) -> Result<(), BadSetting> {
+fn positive(value: f64, field: &str) -> Result<(), InvalidSetting> {
     require(value.is_finite() && value > 0.0, field, "must be a number above 0")
 }
 
-fn not_negative(value: f64, field: &str) -> Result<(), BadSetting> {
+fn not_negative(value: f64, field: &str) -> Result<(), InvalidSetting> {
     require(value.is_finite() && value >= 0.0, field, "must be a number, 0 or above")
 }
 
 impl Settings {
     /// Checks what a type cannot.
-    pub fn check(&self) -> Result<(), BadSetting> {
+    pub fn check(&self) -> Result<(), InvalidSetting> {
         require(!self.node.is_empty(), "node", "must not be empty")?;
         let names_itself = self.peers.iter().any(|peer| peer.node == self.node);
         require(!names_itself, "siblings", "must not name this node")?;
         require(
-            self.params.count as usize == self.peers.len() + 1,
+            self.deployment.controllers as usize == self.peers.len() + 1,
             "deployment.count",
             "must be the number of siblings and this node",
         )?;
-        self.params.check()
+        self.deployment.check()
     }
 }
 
-impl Params {
-    fn check(&self) -> Result<(), BadSetting> {
+impl Deployment {
+    fn check(&self) -> Result<(), InvalidSetting> {
         for team in &self.teams {
             for amount in [team.cpus, team.cpus_max, team.gpus, team.gpus_max] {
                 not_negative(amount, "deployment.teams")?;
             }
         }
         self.workers.check()?;
-        self.state.check("deployment.state")?;
-        self.state.kept().check("deployment.state.next")?;
+        self.store.check("deployment.state")?;
+        self.store.lowest().check("deployment.state.next")?;
         self.cloud.check()?;
         self.limits.check()
     }
 }
 
-impl Workers {
-    fn check(&self) -> Result<(), BadSetting> {
-        positive(self.report_s, "deployment.workers.report_s")?;
+impl WorkerTimings {
+    fn check(&self) -> Result<(), InvalidSetting> {
+        positive(self.heartbeat_interval_s, "deployment.workers.report_s")?;
         positive(self.lease_s, "deployment.workers.lease_s")?;
-        positive(self.cancel_s, "deployment.workers.cancel_s")?;
+        positive(self.cancellation_deadline_s, "deployment.workers.cancel_s")?;
         positive(self.gang_wait_s, "deployment.workers.gang_wait_s")?;
         positive(self.gang_peer_s, "deployment.workers.gang_peer_s")
     }
 }
 
-impl State {
+impl StoreLimits {
     /// Checks the limits, which stand in this section of the file.
-    fn check(&self, section: &str) -> Result<(), BadSetting> {
+    fn check(&self, section: &str) -> Result<(), InvalidSetting> {
         positive(self.rps, &format!("{section}.rps"))?;
         positive(self.write_rps, &format!("{section}.write_rps"))?;
         positive(self.value_kb, &format!("{section}.value_kb"))?;
@@ -289,15 +294,15 @@
     }
 }
 
-impl Cloud {
-    fn check(&self) -> Result<(), BadSetting> {
+impl CloudLimits {
+    fn check(&self) -> Result<(), InvalidSetting> {
         positive(self.rps, "deployment.cloud.rps")?;
         not_negative(self.list_lag_s, "deployment.cloud.list_lag_s")
     }
 }
 
-impl Limits {
-    fn check(&self) -> Result<(), BadSetting> {
+impl ProcessLimits {
+    fn check(&self) -> Result<(), InvalidSetting> {
         positive(self.cpu_share, "deployment.limits.cpu_share")?;
         positive(self.memory_mb, "deployment.limits.ram_mb")?;
         require(
--- a/crates/gladekeel-wire/src/state.rs
+++ b/crates/gladekeel-wire/src/store.rs
@@ -5,7 +5,7 @@
 
 /// A condition of a transaction: the key has this version (0: it does not exist).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Precondition {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
@@ -48,16 +48,17 @@
 
 /// A transaction.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     /// Conditions.
-    pub guards: Vec<Guard>,
+    #[serde(rename = "guards")]
+    pub preconditions: Vec<Precondition>,
     /// Changes, made together if every condition holds.
     pub writes: Vec<Write>,
 }
 
 /// The answer to a transaction, and the head of other answers.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct TxnAnswer {
+pub struct TransactionResponse {
     /// The revision.
     #[serde(rename = "logline", default)]
     pub revision: u64,
@@ -68,7 +69,7 @@
 
 /// A stored row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct KeyValue {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
@@ -81,13 +82,13 @@
 
 /// A page of rows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Rows {
+pub struct KeyValuePage {
     /// The rows.
     #[serde(rename = "rows")]
-    pub items: Vec<Row>,
+    pub entries: Vec<KeyValue>,
     /// Whether there are more.
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub truncated: bool,
     /// The revision at which they were read.
     #[serde(rename = "logline")]
     pub revision: u64,
@@ -96,7 +97,7 @@
 /// A change seen by a follower.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Event {
+pub enum WatchEvent {
     /// A key was stored.
     Put {
         /// The key.
@@ -121,25 +122,25 @@
 
 /// The answer to a follow.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Events {
+pub struct WatchResponse {
     /// The revision that the events lead to.
     #[serde(rename = "logline")]
     pub revision: u64,
     /// The changes.
     #[serde(rename = "news", default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
 
 /// A request for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewLease {
+pub struct LeaseRequest {
     /// How long it lasts without renewal.
     pub ttl_ms: u64,
 }
 
 /// A granted lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lease {
+pub struct GrantedLease {
     /// Its id.
     #[serde(rename = "mooring")]
     pub id: u64,
--- a/crates/gladekeel-wire/src/worker.rs
+++ b/crates/gladekeel-wire/src/worker.rs
@@ -27,7 +27,7 @@
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Cause {
+pub enum ExitCause {
     /// Completed.
     Done,
     /// Stopped by command.
@@ -36,13 +36,13 @@
     Error,
     /// Another task of its gang went away.
     #[serde(rename = "mates_gone")]
-    PeersGone,
+    GangMemberLost,
     /// The other tasks of its gang did not come.
     #[serde(rename = "incomplete")]
-    Alone,
+    GangIncomplete,
     /// Refused: no room on the machine.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     /// Refused: the task is there under another attempt.
     Busy,
     /// Refused: no such task.
@@ -54,7 +54,7 @@
 
 /// One task in a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task.
     #[serde(rename = "piece")]
     pub task: TaskId,
@@ -66,7 +66,7 @@
     pub state: TaskState,
     /// Why it ended, once it has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Whether it saved its progress when stopped.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -74,7 +74,7 @@
 
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "berth")]
     pub machine: String,
@@ -92,19 +92,19 @@
     pub spot: bool,
     /// The session; rises each time the worker's lease runs out.
     #[serde(rename = "watch")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Orders the messages of a session.
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     /// The highest token the worker has seen.
     #[serde(rename = "helm", default)]
     pub token: u64,
     /// Seconds until the cloud takes the machine.
     #[serde(rename = "warning_s", default, skip_serializing_if = "Option::is_none")]
-    pub notice_s: Option<f64>,
+    pub termination_notice_s: Option<f64>,
     /// Every task on the machine.
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
@@ -147,7 +147,7 @@
 
 /// The answer to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     /// The token under which the commands are given.
     #[serde(rename = "helm")]
     pub token: u64,
@@ -166,13 +166,13 @@
 
 /// The body of a direct command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Direct {
+pub struct DirectCommands {
     /// The token under which the commands are given.
     #[serde(rename = "helm")]
     pub token: u64,
     /// The session they are meant for.
     #[serde(rename = "watch")]
-    pub session: u64,
+    pub incarnation: u64,
     /// The commands.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/crates/gladekeel-wire/tests/frames_37c5e95.rs
+++ b/crates/gladekeel-wire/tests/frames_37c5e95.rs
@@ -7,8 +7,11 @@
 
 use gladekeel_wire::{
     JobId,
-    mesh::{Header, Hello, Kind, LEVEL, MAX_PAYLOAD, read_counts, write_counts},
-    worker::{Command, Report, ReportAnswer, TaskState},
+    mesh::{
+        FrameHeader, FrameKind, MAX_PAYLOAD, PROTOCOL_LEVEL, PeerHeartbeat, decode_job_progress,
+        encode_job_progress,
+    },
+    worker::{Command, Heartbeat, HeartbeatResponse, TaskState},
 };
 use zerocopy::{FromBytes, IntoBytes};
 
@@ -24,10 +27,10 @@
 }
 
 /// The head and payload of a frame, which is exactly as long as its head tells.
-fn open(frame: &[u8]) -> (Header, Kind, &[u8]) {
-    let (head, payload) = frame.split_at(Header::SIZE);
-    let (header, kind) = Header::read(head.try_into().unwrap()).expect("production's head");
-    assert_eq!(header.len.get() as usize, payload.len());
+fn open(frame: &[u8]) -> (FrameHeader, FrameKind, &[u8]) {
+    let (head, payload) = frame.split_at(FrameHeader::SIZE);
+    let (header, kind) = FrameHeader::read(head.try_into().unwrap()).expect("production's head");
+    assert_eq!(header.payload_len.get() as usize, payload.len());
     (header, kind, payload)
 }
 
@@ -36,8 +39,8 @@
 }
 
 /// The kind, the numbers of the head and the payload as this version writes them.
-fn write(kind: Kind, status: u16, call: u64, from: u32, payload: &[u8]) -> Vec<u8> {
-    let mut frame = Header::new(kind, status, call, from, payload.len()).as_bytes().to_vec();
+fn write(kind: FrameKind, status: u16, call: u64, from: u32, payload: &[u8]) -> Vec<u8> {
+    let mut frame = FrameHeader::new(kind, status, call, from, payload.len()).as_bytes().to_vec();
     frame.extend_from_slice(payload);
     frame
 }
@@ -48,17 +51,17 @@
 #[test]
 fn heads_are_production_s() {
     for (name, kind, status, call, from) in [
-        ("nudge", Kind::Nudge, 0, 0, 1),
-        ("relay", Kind::Relay, 0, 45, 1),
-        ("relayed", Kind::Relayed, 200, 42, 0),
-        ("hello", Kind::Hello, 0, 0, 0),
-        ("hello-follower", Kind::Hello, 0, 0, 1),
-        ("counts", Kind::Counts, 0, 0, 0),
+        ("nudge", FrameKind::StoreChanged, 0, 0, 1),
+        ("relay", FrameKind::RelayedHeartbeat, 0, 45, 1),
+        ("relayed", FrameKind::RelayedResponse, 200, 42, 0),
+        ("hello", FrameKind::PeerHeartbeat, 0, 0, 0),
+        ("hello-follower", FrameKind::PeerHeartbeat, 0, 0, 1),
+        ("counts", FrameKind::JobProgress, 0, 0, 0),
     ] {
         let bytes = frame(name);
         let (header, read, payload) = open(&bytes);
         assert_eq!(read, kind, "{name}");
-        let numbers = (header.status.get(), header.call.get(), header.from.get());
+        let numbers = (header.status.get(), header.correlation_id.get(), header.sender.get());
         assert_eq!(numbers, (status, call, from), "{name}");
         assert_eq!(write(kind, status, call, from, payload), bytes, "{name}");
     }
@@ -69,21 +72,21 @@
 #[test]
 fn kinds_and_limits_of_production_stay() {
     for (number, kind) in [
-        (1, Kind::Nudge),
-        (2, Kind::Relay),
-        (3, Kind::Relayed),
-        (4, Kind::Hello),
-        (5, Kind::Counts),
+        (1, FrameKind::StoreChanged),
+        (2, FrameKind::RelayedHeartbeat),
+        (3, FrameKind::RelayedResponse),
+        (4, FrameKind::PeerHeartbeat),
+        (5, FrameKind::JobProgress),
     ] {
-        assert_eq!(Kind::from_number(number), Some(kind));
+        assert_eq!(FrameKind::from_number(number), Some(kind));
         assert_eq!(kind as u16, number);
     }
     // Production refuses every other number, so what is new has to be above.
-    assert_eq!(Kind::Cancelled as u16, 6);
-    assert_eq!(Kind::from_number(0), None);
-    assert_eq!(Kind::from_number(7), None);
+    assert_eq!(FrameKind::Cancellations as u16, 6);
+    assert_eq!(FrameKind::from_number(0), None);
+    assert_eq!(FrameKind::from_number(7), None);
     assert_eq!(MAX_PAYLOAD, 262_144);
-    assert_eq!((Header::SIZE, size_of::<Hello>()), (24, 12));
+    assert_eq!((FrameHeader::SIZE, size_of::<PeerHeartbeat>()), (24, 12));
 }
 
 /// Guards against hellos that one of the versions misreads: a leader that is not heard
@@ -95,11 +98,16 @@
         let (header, _, payload) = open(&bytes);
         // No level is told: nothing that production cannot read may be sent to it.
         assert!(header.status.get() < 1, "{name}");
-        let hello = Hello::read_from_bytes(payload).expect("production's hello");
-        assert_eq!((hello.contact_ms.get(), hello.leads.get()), (contact_ms, leads), "{name}");
+        let hello = PeerHeartbeat::read_from_bytes(payload).expect("production's hello");
+        assert_eq!(
+            (hello.store_contact_age_ms.get(), hello.leader_token.get()),
+            (contact_ms, leads),
+            "{name}"
+        );
 
-        let hello = Hello { contact_ms: contact_ms.into(), leads: leads.into() };
-        let ours = write(Kind::Hello, LEVEL, 0, from, hello.as_bytes());
+        let hello =
+            PeerHeartbeat { store_contact_age_ms: contact_ms.into(), leader_token: leads.into() };
+        let ours = write(FrameKind::PeerHeartbeat, PROTOCOL_LEVEL, 0, from, hello.as_bytes());
         assert_eq!(ours.len(), bytes.len(), "{name}");
         let differ: Vec<usize> = (0..ours.len()).filter(|at| ours[*at] != bytes[*at]).collect();
         assert_eq!(differ, [6], "only the status, which production passes over");
@@ -112,9 +120,9 @@
 fn counts_are_read_and_written_as_production_s() {
     let bytes = frame("counts");
     let (_, _, payload) = open(&bytes);
-    let rows = read_counts(payload).expect("production's counts");
+    let rows = decode_job_progress(payload).expect("production's counts");
     assert_eq!(rows, [(job("job-000412"), 0, 3), (job("job-a_b.c-9"), 0, 1)]);
-    let ours = write_counts(rows.iter().map(|(id, done, running)| (id, *done, *running)));
+    let ours = encode_job_progress(rows.iter().map(|(id, done, running)| (id, *done, *running)));
     assert_eq!(ours, [payload.to_vec()]);
 }
 
@@ -123,10 +131,10 @@
 #[test]
 fn relayed_reports_and_answers_are_read() {
     let bytes = frame("relay");
-    let report: Report = serde_json::from_slice(open(&bytes).2).expect("production's report");
+    let report: Heartbeat = serde_json::from_slice(open(&bytes).2).expect("production's report");
     assert_eq!((report.machine.as_str(), report.addr.as_str()), ("n-000001", "10.1.0.2:9000"));
     assert_eq!((report.machine_type.as_str(), report.zone.as_str()), ("m32", "a"));
-    assert_eq!((report.spot, report.session, report.seq, report.token), (true, 1, 12, 2));
+    assert_eq!((report.spot, report.incarnation, report.sequence, report.token), (true, 1, 12, 2));
     let tasks: Vec<(String, u64)> =
         report.tasks.iter().map(|task| (task.task.to_string(), task.attempt)).collect();
     let expected = [
@@ -140,7 +148,7 @@
     assert_eq!(serde_json::to_vec(&report).unwrap(), open(&bytes).2);
 
     let bytes = frame("relayed");
-    let answer: ReportAnswer = serde_json::from_slice(open(&bytes).2).expect("an answer");
+    let answer: HeartbeatResponse = serde_json::from_slice(open(&bytes).2).expect("an answer");
     assert_eq!(answer.token, 2);
     let starts: Vec<(String, u64)> = answer
         .commands
--- a/crates/gladekeel-wire/tests/frames_fe9a16c.rs
+++ b/crates/gladekeel-wire/tests/frames_fe9a16c.rs
@@ -9,9 +9,10 @@
 use gladekeel_wire::{
     JobId,
     mesh::{
-        Header, Hello, Kind, LEVEL, MAX_PAYLOAD, read_counts, read_jobs, write_counts, write_jobs,
+        FrameHeader, FrameKind, MAX_PAYLOAD, PROTOCOL_LEVEL, PeerHeartbeat, decode_job_ids,
+        decode_job_progress, encode_job_ids, encode_job_progress,
     },
-    worker::{Cause, Command, Report, ReportAnswer, TaskReport, TaskState},
+    worker::{Command, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus},
 };
 use zerocopy::{FromBytes, IntoBytes};
 
@@ -31,16 +32,16 @@
 }
 
 /// The head and payload of a frame, which is exactly as long as its head tells.
-fn open(frame: &[u8]) -> (Header, Kind, &[u8]) {
-    let (head, payload) = frame.split_at(Header::SIZE);
-    let (header, kind) = Header::read(head.try_into().unwrap()).expect("a head of fe9a16c");
-    assert_eq!(header.len.get() as usize, payload.len());
+fn open(frame: &[u8]) -> (FrameHeader, FrameKind, &[u8]) {
+    let (head, payload) = frame.split_at(FrameHeader::SIZE);
+    let (header, kind) = FrameHeader::read(head.try_into().unwrap()).expect("a head of fe9a16c");
+    assert_eq!(header.payload_len.get() as usize, payload.len());
     (header, kind, payload)
 }
 
 /// The kind, the numbers of the head and the payload as this version writes them.
-fn write(kind: Kind, status: u16, call: u64, from: u32, payload: &[u8]) -> Vec<u8> {
-    let mut frame = Header::new(kind, status, call, from, payload.len()).as_bytes().to_vec();
+fn write(kind: FrameKind, status: u16, call: u64, from: u32, payload: &[u8]) -> Vec<u8> {
+    let mut frame = FrameHeader::new(kind, status, call, from, payload.len()).as_bytes().to_vec();
     frame.extend_from_slice(payload);
     frame
 }
@@ -49,18 +50,18 @@
     id.parse().unwrap()
 }
 
-fn report(name: &str) -> Report {
+fn report(name: &str) -> Heartbeat {
     let bytes = frame(name);
     let payload = open(&bytes).2;
-    let report: Report = serde_json::from_slice(payload).expect("a report");
+    let report: Heartbeat = serde_json::from_slice(payload).expect("a report");
     assert_eq!(serde_json::to_vec(&report).unwrap(), payload, "{name} is written again");
     report
 }
 
-fn answer(name: &str) -> ReportAnswer {
+fn answer(name: &str) -> HeartbeatResponse {
     let bytes = frame(name);
     let payload = open(&bytes).2;
-    let answer: ReportAnswer = serde_json::from_slice(payload).expect("an answer");
+    let answer: HeartbeatResponse = serde_json::from_slice(payload).expect("an answer");
     assert_eq!(serde_json::to_vec(&answer).unwrap(), payload, "{name} is written again");
     answer
 }
@@ -69,30 +70,30 @@
     id: &str,
     attempt: u64,
     state: TaskState,
-    cause: Option<Cause>,
+    cause: Option<ExitCause>,
     saved: Option<bool>,
-) -> TaskReport {
-    TaskReport { task: id.parse().unwrap(), attempt, state, cause, saved }
+) -> TaskStatus {
+    TaskStatus { task: id.parse().unwrap(), attempt, state, cause, saved }
 }
 
 /// Guards against a head whose fields move, widen or change their meaning.
 #[test]
 fn heads_are_read_and_written() {
     for (name, kind, status, call, from) in [
-        ("nudge", Kind::Nudge, 0, 0, 0),
-        ("relay-waiting", Kind::Relay, 0, 0x83, 2),
-        ("relay-stopped", Kind::Relay, 0, 0x77, 2),
-        ("relayed-run", Kind::Relayed, 200, 0x7e, 1),
-        ("relayed-halt", Kind::Relayed, 200, 0x6e, 1),
-        ("hello-leader", Kind::Hello, 1, 0, 1),
-        ("hello-follower", Kind::Hello, 1, 0, 0),
-        ("counts", Kind::Counts, 0, 0, 1),
-        ("cancelled", Kind::Cancelled, 0, 0, 1),
+        ("nudge", FrameKind::StoreChanged, 0, 0, 0),
+        ("relay-waiting", FrameKind::RelayedHeartbeat, 0, 0x83, 2),
+        ("relay-stopped", FrameKind::RelayedHeartbeat, 0, 0x77, 2),
+        ("relayed-run", FrameKind::RelayedResponse, 200, 0x7e, 1),
+        ("relayed-halt", FrameKind::RelayedResponse, 200, 0x6e, 1),
+        ("hello-leader", FrameKind::PeerHeartbeat, 1, 0, 1),
+        ("hello-follower", FrameKind::PeerHeartbeat, 1, 0, 0),
+        ("counts", FrameKind::JobProgress, 0, 0, 1),
+        ("cancelled", FrameKind::Cancellations, 0, 0, 1),
     ] {
         let bytes = frame(name);
         let (header, read, payload) = open(&bytes);
         assert_eq!(read, kind, "{name}");
-        let numbers = (header.status.get(), header.call.get(), header.from.get());
+        let numbers = (header.status.get(), header.correlation_id.get(), header.sender.get());
         assert_eq!(numbers, (status, call, from), "{name}");
         assert_eq!(write(kind, status, call, from, payload), bytes, "{name}");
     }
@@ -103,23 +104,24 @@
 #[test]
 fn kinds_and_sizes_are_those_that_fe9a16c_reads() {
     let known = [
-        (1, Kind::Nudge),
-        (2, Kind::Relay),
-        (3, Kind::Relayed),
-        (4, Kind::Hello),
-        (5, Kind::Counts),
-        (6, Kind::Cancelled),
+        (1, FrameKind::StoreChanged),
+        (2, FrameKind::RelayedHeartbeat),
+        (3, FrameKind::RelayedResponse),
+        (4, FrameKind::PeerHeartbeat),
+        (5, FrameKind::JobProgress),
+        (6, FrameKind::Cancellations),
     ];
     for (number, kind) in known {
-        assert_eq!(Kind::from_number(number), Some(kind));
+        assert_eq!(FrameKind::from_number(number), Some(kind));
         assert_eq!(kind as u16, number);
     }
     // A kind that fe9a16c does not know must come with a level above 1, which peers of
     // fe9a16c never tell.
-    let newer = (0..=u16::MAX).filter(|n| Kind::from_number(*n).is_some()).count() - known.len();
-    assert!(newer == 0 || LEVEL > 1, "{newer} kinds are new");
+    let newer =
+        (0..=u16::MAX).filter(|n| FrameKind::from_number(*n).is_some()).count() - known.len();
+    assert!(newer == 0 || PROTOCOL_LEVEL > 1, "{newer} kinds are new");
     assert_eq!(MAX_PAYLOAD, 262_144);
-    assert_eq!((Header::SIZE, size_of::<Hello>()), (24, 12));
+    assert_eq!((FrameHeader::SIZE, size_of::<PeerHeartbeat>()), (24, 12));
 }
 
 /// Guards against a level that fe9a16c would take for less than it understands, and
@@ -130,12 +132,16 @@
         let bytes = frame(name);
         let (header, _, payload) = open(&bytes);
         assert_eq!(header.status.get(), 1, "{name}");
-        let hello = Hello::read_from_bytes(payload).expect("a hello");
-        assert_eq!((hello.contact_ms.get(), hello.leads.get()), (199, leads), "{name}");
-        let hello = Hello { contact_ms: 199.into(), leads: leads.into() };
-        assert_eq!(write(Kind::Hello, 1, 0, from, hello.as_bytes()), bytes, "{name}");
+        let hello = PeerHeartbeat::read_from_bytes(payload).expect("a hello");
+        assert_eq!(
+            (hello.store_contact_age_ms.get(), hello.leader_token.get()),
+            (199, leads),
+            "{name}"
+        );
+        let hello = PeerHeartbeat { store_contact_age_ms: 199.into(), leader_token: leads.into() };
+        assert_eq!(write(FrameKind::PeerHeartbeat, 1, 0, from, hello.as_bytes()), bytes, "{name}");
     }
-    let ours = LEVEL;
+    let ours = PROTOCOL_LEVEL;
     assert!(ours >= 1, "cancellations go to peers of level 1 and more");
 }
 
@@ -144,12 +150,12 @@
 fn cancelled_jobs_are_read_and_written() {
     let bytes = frame("cancelled");
     let (_, _, payload) = open(&bytes);
-    let jobs = read_jobs(payload).expect("ids");
+    let jobs = decode_job_ids(payload).expect("ids");
     assert_eq!(jobs, [job("job-g_2")]);
-    assert_eq!(write_jobs(jobs.iter()), payload);
+    assert_eq!(encode_job_ids(jobs.iter()), payload);
     // Several of them stand one a line; the fixture has one alone.
     let two = [job("job-g_2"), job("job-s.4")];
-    assert_eq!(write_jobs(two.iter()), b"job-g_2\njob-s.4");
+    assert_eq!(encode_job_ids(two.iter()), b"job-g_2\njob-s.4");
 }
 
 /// Guards against rows of counts that shift: the ids follow rows of a fixed size.
@@ -157,9 +163,9 @@
 fn counts_are_read_and_written() {
     let bytes = frame("counts");
     let (_, _, payload) = open(&bytes);
-    let rows = read_counts(payload).expect("counts");
+    let rows = decode_job_progress(payload).expect("counts");
     assert_eq!(rows, [(job("job-g_2"), 0, 2), (job("job-a-3"), 0, 4), (job("job-s.4"), 0, 2)]);
-    let ours = write_counts(rows.iter().map(|(id, done, running)| (id, *done, *running)));
+    let ours = encode_job_progress(rows.iter().map(|(id, done, running)| (id, *done, *running)));
     assert_eq!(ours, [payload.to_vec()]);
 }
 
@@ -169,7 +175,7 @@
 fn relayed_reports_of_gangs_are_read_and_written() {
     let waiting = report("relay-waiting");
     assert_eq!((waiting.machine.as_str(), waiting.zone.as_str()), ("n-000002", "b"));
-    assert_eq!((waiting.session, waiting.seq, waiting.token), (1, 11, TOKEN));
+    assert_eq!((waiting.incarnation, waiting.sequence, waiting.token), (1, 11, TOKEN));
     let attempt = FIRST + 12;
     assert_eq!(
         waiting.tasks,
@@ -177,7 +183,7 @@
         "the tasks of a gang share their number"
     );
 
-    let (state, cause, saved) = (TaskState::Exited, Some(Cause::Stopped), Some(true));
+    let (state, cause, saved) = (TaskState::Exited, Some(ExitCause::Stopped), Some(true));
     assert_eq!(
         report("relay-stopped").tasks,
         [
--- a/crates/gladekeel-wire/tests/limits_to_come.rs
+++ b/crates/gladekeel-wire/tests/limits_to_come.rs
@@ -20,9 +20,10 @@
 fn limits_to_come_are_kept_to_at_once() {
     let settings = |next: &str| {
         let text = GOOD.replace("txn_ops = 8", &format!("txn_ops = 8{next}"));
-        toml::from_str::<Settings>(&text).unwrap().params.state
+        toml::from_str::<Settings>(&text).unwrap().deployment.store
     };
-    assert_eq!(settings("").kept(), settings(""));
-    let kept = settings(", next = { value_kb = 2.0, write_rps = 99.0, txn_ops = 3, x = 1 }").kept();
+    assert_eq!(settings("").lowest(), settings(""));
+    let kept =
+        settings(", next = { value_kb = 2.0, write_rps = 99.0, txn_ops = 3, x = 1 }").lowest();
     assert_eq!((kept.value_kb, kept.write_rps, kept.txn_ops, kept.rps), (2.0, 9.0, 3, 9.0));
 }
