--- a/crates/gladekeel-controller/src/admin.rs
+++ b/crates/gladekeel-controller/src/admin.rs
@@ -6,8 +6,8 @@
     api::Reply,
     keys,
     leader::Leader,
-    node::{Node, RequestId, Then},
-    world::Counts,
+    node::{Continuation, Node, RequestId},
+    store_view::JobProgress,
 };
 use gladekeel_store::StoreOutcome;
 use gladekeel_wire::{
@@ -26,7 +26,7 @@
 
 /// Why a path under `/admin` leads nowhere.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum NoRoute {
+pub enum RouteError {
     /// There is nothing there.
     #[error("no such path")]
     Path,
@@ -66,15 +66,15 @@
 
 impl AdminRoute {
     /// Reads a path below `/admin/` and the method.
-    pub fn of(method: &str, rest: &str) -> Result<AdminRoute, NoRoute> {
+    pub fn of(method: &str, rest: &str) -> Result<AdminRoute, RouteError> {
         let (route, wanted) = match (rest, method) {
             ("settings", "PUT") => (AdminRoute::SetSettings, "PUT"),
             ("settings", _) => (AdminRoute::Settings, "GET"),
             ("status", _) => (AdminRoute::Status, "GET"),
             ("machines", _) => (AdminRoute::Machines, "GET"),
-            _ => (AdminRoute::drain(rest).ok_or(NoRoute::Path)?, "POST"),
+            _ => (AdminRoute::drain(rest).ok_or(RouteError::Path)?, "POST"),
         };
-        if method == wanted { Ok(route) } else { Err(NoRoute::Method) }
+        if method == wanted { Ok(route) } else { Err(RouteError::Method) }
     }
 
     /// Reads `machines/NAME/drain` and `machines/NAME/undrain`.
@@ -98,7 +98,7 @@
             AdminRoute::Settings => {
                 // What another node has just stored must show here as well.
                 if !self.overloaded(now, id) {
-                    self.wait(now, id, None, Then::Settings);
+                    self.wait(now, id, None, Continuation::Settings);
                 }
             }
             AdminRoute::SetSettings => self.on_set_settings(now, id, body),
@@ -118,7 +118,7 @@
         if let Some(leader) = &self.leader {
             return Reply::json(200, &Machines { machines: leader.machine_status(now) });
         }
-        let leader = self.world.leader.as_ref().map(|(record, _)| record.node.as_str());
+        let leader = self.store.leader.as_ref().map(|(record, _)| record.node.as_str());
         let leader = leader.unwrap_or("nobody at the moment");
         Reply::error(421, format!("only the leader knows; that is {leader}"))
     }
@@ -143,8 +143,8 @@
 
     pub(crate) fn answer_settings(&mut self, now: f64, id: RequestId) {
         let settings = VersionedSettings {
-            version: self.world.options_version,
-            settings: self.options.values(),
+            version: self.store.options_version,
+            settings: self.runtime_settings.values(),
         };
         self.reply(now, id, Reply::json(200, &settings));
     }
@@ -154,14 +154,14 @@
             Ok(wanted) => wanted,
             Err(error) => return self.reply(now, id, Reply::error(400, error.to_string())),
         };
-        let options = match self.options.with_json(&wanted.settings) {
+        let options = match self.runtime_settings.with_json(&wanted.settings) {
             Ok(options) => options,
             Err(error) => return self.reply(now, id, Reply::error(400, error.to_string())),
         };
         // The settings that are not named stay as they are in this node's copy, so that has
         // to be the version which the operator has read.
-        if wanted.version != self.world.options_version {
-            self.readings.wanted = true;
+        if wanted.version != self.store.options_version {
+            self.store_reads.wanted = true;
             return self.reply(now, id, Reply::error(409, CHANGED_MEANWHILE));
         }
         let values = options.values();
@@ -190,13 +190,13 @@
             }
             _ => Reply::later(503, 1, "the state service refuses"),
         };
-        self.readings.wanted = true;
+        self.store_reads.wanted = true;
         self.reply(now, id, reply);
     }
 
     fn status(&self, now: f64) -> Status {
         let mut teams: Vec<TeamStatus> = self
-            .params
+            .deployment
             .teams
             .iter()
             .map(|team| TeamStatus {
@@ -209,14 +209,15 @@
                 waiting: 0,
             })
             .collect();
-        for (id, job) in &self.world.jobs {
+        for (id, job) in &self.store.jobs {
             let Some(team) = teams.iter_mut().find(|team| team.team == job.spec.team) else {
                 continue;
             };
-            let Counts { done, running } = self.world.counts.get(id).copied().unwrap_or_default();
+            let JobProgress { done, running } =
+                self.store.job_progress.get(id).copied().unwrap_or_default();
             team.cpus += job.spec.cpus * f64::from(running);
             team.gpus += job.spec.gpus * f64::from(running);
-            if !self.world.final_states.contains_key(id) {
+            if !self.store.final_states.contains_key(id) {
                 team.jobs += 1;
                 team.waiting += u64::from(job.spec.tasks.saturating_sub(done + running));
             }
@@ -230,17 +231,17 @@
         });
         Status {
             node: self.settings.node.clone(),
-            leader: self.world.leader.as_ref().map(|(record, _)| record.node.clone()),
-            token: self.world.token,
-            contact_s: self.contact.map(|at| now - at),
+            leader: self.store.leader.as_ref().map(|(record, _)| record.node.clone()),
+            token: self.store.highest_token,
+            contact_s: self.last_store_contact.map(|at| now - at),
             nodes: self
                 .peers
                 .iter()
                 .map(|peer| NodeStatus {
                     node: peer.name.clone(),
-                    heard_s: peer.heard_at.map(|at| now - at),
-                    contact_s: (peer.contact_ms != u32::MAX && peer.heard_at.is_some())
-                        .then(|| f64::from(peer.contact_ms) / 1000.0),
+                    heard_s: peer.last_seen.map(|at| now - at),
+                    contact_s: (peer.store_contact_age_ms != u32::MAX && peer.last_seen.is_some())
+                        .then(|| f64::from(peer.store_contact_age_ms) / 1000.0),
                 })
                 .collect(),
             teams,
--- a/crates/gladekeel-controller/src/api.rs
+++ b/crates/gladekeel-controller/src/api.rs
@@ -1,8 +1,8 @@
 //! Answers to users: how a request is read and what each outcome looks like.
 
 use crate::{
-    admin::{AdminRoute, NoRoute},
-    world::{Counts, World},
+    admin::{AdminRoute, RouteError},
+    store_view::{JobProgress, StoreView},
 };
 use gladekeel_sched::Resources;
 use gladekeel_wire::{
@@ -55,9 +55,9 @@
     /// Cancel a job.
     Cancel(Option<JobId>),
     /// A worker's report.
-    Checkin,
+    Heartbeat,
     /// Health.
-    Up,
+    Health,
     /// Metrics.
     Metrics,
     /// The administration API.
@@ -75,7 +75,7 @@
             Route::Submit => Some("submit"),
             Route::Poll(_) => Some("poll"),
             Route::Cancel(_) => Some("cancel"),
-            Route::Checkin => Some("checkin"),
+            Route::Heartbeat => Some("checkin"),
             _ => None,
         }
     }
@@ -84,14 +84,14 @@
     pub fn of(method: &str, path: &str) -> Route {
         let (route, wanted) = match path {
             "/api/jobs" => (Route::Submit, "POST"),
-            "/checkin" => (Route::Checkin, "POST"),
-            "/up" => (Route::Up, "GET"),
+            "/checkin" => (Route::Heartbeat, "POST"),
+            "/up" => (Route::Health, "GET"),
             "/metrics" => (Route::Metrics, "GET"),
             _ if path.starts_with("/admin/") => {
                 return match AdminRoute::of(method, &path["/admin/".len()..]) {
                     Ok(route) => Route::Admin(route),
-                    Err(NoRoute::Method) => Route::WrongMethod,
-                    Err(NoRoute::Path) => Route::Unknown,
+                    Err(RouteError::Method) => Route::WrongMethod,
+                    Err(RouteError::Path) => Route::Unknown,
                 };
             }
             _ => match path.strip_prefix("/api/jobs/").map(|rest| rest.split_once('/')) {
@@ -106,30 +106,30 @@
 }
 
 /// The state of a job as the store has it; none if there is no such job.
-pub fn status(world: &World, id: &JobId) -> Option<JobStatus> {
-    if let Some(state) = world.final_states.get(id) {
+pub fn status(store: &StoreView, id: &JobId) -> Option<JobStatus> {
+    if let Some(state) = store.final_states.get(id) {
         return Some(JobStatus { id: id.clone(), state: *state, done: None, running: None });
     }
-    world.jobs.get(id)?;
-    let Counts { done, running } = world.counts.get(id).copied().unwrap_or_default();
+    store.jobs.get(id)?;
+    let JobProgress { done, running } = store.job_progress.get(id).copied().unwrap_or_default();
     let state = if running > 0 { JobState::Running } else { JobState::Queued };
     Some(JobStatus { id: id.clone(), state, done: Some(done), running: Some(running) })
 }
 
 /// Whether a job can never run, and why.
-pub enum Verdict {
+pub enum Admission {
     /// It can.
-    Fine,
+    Accepted,
     /// It cannot.
-    Never(String),
+    Rejected(String),
     /// That cannot be told yet: machine types are not known.
     Unknown,
 }
 
 /// Judges a well-formed submission.
-pub fn judge(params: &Deployment, world: &World, spec: &JobSpec) -> Verdict {
-    let Some(team) = params.teams.iter().find(|team| team.name == spec.team) else {
-        return Verdict::Never(format!("no team {:?}", spec.team));
+pub fn check_admission(deployment: &Deployment, store: &StoreView, spec: &JobSpec) -> Admission {
+    let Some(team) = deployment.teams.iter().find(|team| team.name == spec.team) else {
+        return Admission::Rejected(format!("no team {:?}", spec.team));
     };
     // Tasks of an array can run one after the other; a gang or a service needs all.
     let at_once = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
@@ -138,17 +138,19 @@
     let needed = task * i64::from(at_once);
     let limit = Resources::allocatable(team.cpus_max, team.gpus_max, 0.0);
     if needed.cpus > limit.cpus || needed.gpus > limit.gpus {
-        return Verdict::Never("the job needs more than the team's limit".into());
+        return Admission::Rejected("the job needs more than the team's limit".into());
     }
-    let Some(types) = world.types.all() else { return Verdict::Unknown };
+    let Some(types) = store.machine_types.all() else { return Admission::Unknown };
     let allowed = allowed_types(types, spec, task);
     if allowed.is_empty() {
-        return Verdict::Never("a task fits no allowed machine type".into());
+        return Admission::Rejected("a task fits no allowed machine type".into());
     }
     if spec.spread && at_once > 1 && (spec.single_zone || zones_of(&allowed, spec).len() == 1) {
-        return Verdict::Never("all tasks are in one zone, and at most half of them may be".into());
+        return Admission::Rejected(
+            "all tasks are in one zone, and at most half of them may be".into(),
+        );
     }
-    Verdict::Fine
+    Admission::Accepted
 }
 
 /// The machine types that a task may run on and fits, whatever the cloud has of them now.
@@ -186,8 +188,8 @@
             ("POST", "/api/jobs/job-1/cancel", Route::Cancel(id("job-1"))),
             ("GET", "/api/jobs/job-1/cancel", Route::WrongMethod),
             ("POST", "/api/jobs/job-1/other", Route::Unknown),
-            ("POST", "/checkin", Route::Checkin),
-            ("GET", "/up", Route::Up),
+            ("POST", "/checkin", Route::Heartbeat),
+            ("GET", "/up", Route::Health),
             ("DELETE", "/api/jobs", Route::WrongMethod),
             ("GET", "/", Route::Unknown),
         ] {
--- a/crates/gladekeel-controller/src/log.rs
+++ b/crates/gladekeel-controller/src/assignment_log.rs
@@ -6,14 +6,14 @@
 //!
 //! | part | what |
 //! | --- | --- |
-//! | [`Head`] | magic, sequence number, how many rows follow |
+//! | [`SegmentHeader`] | magic, sequence number, how many rows follow |
 //! | job rows, machine rows | names that the other rows refer to by position |
 //! | assigned, released, progress rows | what happened |
 //! | bytes | the names and the progress rows' bitmaps, one after the other |
 //!
 //! A segment names all that it speaks of, so that it can be read without any other.
 
-use crate::keys::CHUNK;
+use crate::keys::TASKS_PER_PAGE;
 use base64::{Engine, engine::general_purpose::STANDARD_NO_PAD};
 use gladekeel_sched::Interner;
 use gladekeel_wire::JobId;
@@ -28,7 +28,7 @@
 /// The head of a segment.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
-pub struct Head {
+pub struct SegmentHeader {
     magic: U32,
     jobs: U16,
     machines: U16,
@@ -48,7 +48,7 @@
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 struct MachineRow {
-    session: U64,
+    incarnation: U64,
     name_len: U16,
 }
 
@@ -81,39 +81,41 @@
 
 /// How an attempt ended, as the log tells it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     /// Its task is done.
     Done = 1,
     /// Its task goes back to the queue.
-    Again = 2,
+    Requeued = 2,
     /// Its task goes back as its one restart for slowness.
-    Restart = 3,
+    Restarted = 3,
 }
 
-impl End {
-    fn from_number(number: u16) -> Option<End> {
-        [End::Done, End::Again, End::Restart].into_iter().find(|end| *end as u16 == number)
+impl AttemptOutcome {
+    fn from_number(number: u16) -> Option<AttemptOutcome> {
+        [AttemptOutcome::Done, AttemptOutcome::Requeued, AttemptOutcome::Restarted]
+            .into_iter()
+            .find(|end| *end as u16 == number)
     }
 }
 
 /// An attempt that may be on its machine from now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Assigned {
+pub struct Assignment {
     /// The job.
     pub job: JobId,
     /// The task.
     pub index: u32,
     /// The machine.
     pub machine: String,
-    /// The worker's session there.
-    pub session: u64,
+    /// The worker's incarnation there.
+    pub incarnation: u64,
     /// The attempt.
     pub attempt: u64,
 }
 
 /// An attempt that is off its machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Released {
+pub struct Release {
     /// The job.
     pub job: JobId,
     /// The task.
@@ -121,16 +123,16 @@
     /// The attempt.
     pub attempt: u64,
     /// How it ended.
-    pub end: End,
+    pub outcome: AttemptOutcome,
 }
 
 /// All that is known of a chunk of a job's tasks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Progress {
+pub struct ProgressPage {
     /// The job.
     pub job: JobId,
     /// The chunk.
-    pub chunk: u32,
+    pub page: u32,
     /// Finished tasks.
     pub done: Vec<u8>,
     /// Tasks that were restarted.
@@ -141,21 +143,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Segment {
     /// Its place in the log.
-    pub seq: u64,
+    pub sequence: u64,
     /// New assignments, and older ones that are told again.
-    pub assigned: Vec<Assigned>,
+    pub assignments: Vec<Assignment>,
     /// Releases.
-    pub released: Vec<Released>,
-    /// Progress told again.
-    pub progress: Vec<Progress>,
+    pub releases: Vec<Release>,
+    /// ProgressPage told again.
+    pub progress_pages: Vec<ProgressPage>,
 }
 
 /// A segment that cannot be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unreadable;
+pub struct UnreadableSegment;
 
 /// Bytes of a segment that fits a value of `value_bytes` once it is written as text.
-pub fn capacity(value_bytes: usize) -> usize {
+pub fn segment_capacity(value_bytes: usize) -> usize {
     // Four characters for three bytes, between quotes, and a little to spare. Rows
     // are counted in 16 bits.
     (value_bytes.saturating_sub(16) / 4 * 3).min(60_000)
@@ -163,7 +165,7 @@
 
 /// A segment in the making.
 #[derive(Debug, Default)]
-pub struct Writer {
+pub struct SegmentWriter {
     jobs: Interner<JobId>,
     machines: Interner<(String, u64)>,
     assigned: Vec<u8>,
@@ -174,18 +176,18 @@
 }
 
 /// The most that a row adds: itself and the names it is the first to speak of.
-pub fn row_bytes(job: &JobId, machine: &str) -> usize {
+pub fn max_row_bytes(job: &JobId, machine: &str) -> usize {
     let names = size_of::<JobRow>() + job.as_str().len() + size_of::<MachineRow>() + machine.len();
     size_of::<AssignedRow>() + names
 }
 
 /// The most that a row of progress adds.
-pub const PROGRESS_BYTES: usize = CHUNK as usize / 4 + 128;
+pub const MAX_PROGRESS_ROW_BYTES: usize = TASKS_PER_PAGE as usize / 4 + 128;
 
-impl Writer {
+impl SegmentWriter {
     /// Its size so far, in bytes.
     pub fn size(&self) -> usize {
-        size_of::<Head>()
+        size_of::<SegmentHeader>()
             + self.jobs.len() * size_of::<JobRow>()
             + self.machines.len() * size_of::<MachineRow>()
             + self.assigned.len()
@@ -204,9 +206,9 @@
         (index as u16).into()
     }
 
-    fn machine(&mut self, machine: &str, session: u64) -> U16 {
+    fn machine(&mut self, machine: &str, incarnation: u64) -> U16 {
         let before = self.machines.len();
-        let index = self.machines.intern(&(machine.to_owned(), session));
+        let index = self.machines.intern(&(machine.to_owned(), incarnation));
         if self.machines.len() > before {
             self.names += machine.len();
         }
@@ -214,14 +216,21 @@
     }
 
     /// Adds an assignment.
-    pub fn assign(&mut self, job: &JobId, index: u32, machine: &str, session: u64, attempt: u64) {
-        let (job, machine) = (self.job(job), self.machine(machine, session));
+    pub fn assign(
+        &mut self,
+        job: &JobId,
+        index: u32,
+        machine: &str,
+        incarnation: u64,
+        attempt: u64,
+    ) {
+        let (job, machine) = (self.job(job), self.machine(machine, incarnation));
         let row = AssignedRow { attempt: attempt.into(), index: index.into(), job, machine };
         self.assigned.extend_from_slice(row.as_bytes());
     }
 
     /// Adds a release.
-    pub fn release(&mut self, job: &JobId, index: u32, attempt: u64, end: End) {
+    pub fn release(&mut self, job: &JobId, index: u32, attempt: u64, end: AttemptOutcome) {
         let job = self.job(job);
         let end = (end as u16).into();
         let row = ReleasedRow { attempt: attempt.into(), index: index.into(), job, end };
@@ -244,7 +253,7 @@
     /// The segment as the state service keeps it.
     pub fn encode(&self, seq: u64) -> String {
         let rows = |bytes: &[u8], size: usize| U16::new((bytes.len() / size) as u16);
-        let head = Head {
+        let head = SegmentHeader {
             magic: MAGIC.into(),
             jobs: (self.jobs.len() as u16).into(),
             machines: (self.machines.len() as u16).into(),
@@ -260,9 +269,11 @@
             let name_len = (job.as_str().len() as u16).into();
             out.extend_from_slice(JobRow { name_len }.as_bytes());
         }
-        for (machine, session) in self.machines.names() {
-            let row =
-                MachineRow { session: (*session).into(), name_len: (machine.len() as u16).into() };
+        for (machine, incarnation) in self.machines.names() {
+            let row = MachineRow {
+                incarnation: (*incarnation).into(),
+                name_len: (machine.len() as u16).into(),
+            };
             out.extend_from_slice(row.as_bytes());
         }
         out.extend_from_slice(&self.assigned);
@@ -283,26 +294,26 @@
 fn rows<'a, T: FromBytes + KnownLayout + Immutable + Unaligned>(
     rest: &mut &'a [u8],
     count: U16,
-) -> Result<&'a [T], Unreadable> {
-    let (rows, after) =
-        <[T]>::ref_from_prefix_with_elems(rest, count.get() as usize).map_err(|_| Unreadable)?;
+) -> Result<&'a [T], UnreadableSegment> {
+    let (rows, after) = <[T]>::ref_from_prefix_with_elems(rest, count.get() as usize)
+        .map_err(|_| UnreadableSegment)?;
     *rest = after;
     Ok(rows)
 }
 
 /// Takes bytes off the front.
-fn bytes<'a>(rest: &mut &'a [u8], count: U16) -> Result<&'a [u8], Unreadable> {
-    let (taken, after) = rest.split_at_checked(count.get() as usize).ok_or(Unreadable)?;
+fn bytes<'a>(rest: &mut &'a [u8], count: U16) -> Result<&'a [u8], UnreadableSegment> {
+    let (taken, after) = rest.split_at_checked(count.get() as usize).ok_or(UnreadableSegment)?;
     *rest = after;
     Ok(taken)
 }
 
 /// Reads a segment. Whatever is not exactly one is unreadable: nothing is guessed.
-pub fn decode(text: &str) -> Result<Segment, Unreadable> {
-    let raw = STANDARD_NO_PAD.decode(text).map_err(|_| Unreadable)?;
-    let (head, mut rest) = Head::ref_from_prefix(&raw).map_err(|_| Unreadable)?;
+pub fn decode(text: &str) -> Result<Segment, UnreadableSegment> {
+    let raw = STANDARD_NO_PAD.decode(text).map_err(|_| UnreadableSegment)?;
+    let (head, mut rest) = SegmentHeader::ref_from_prefix(&raw).map_err(|_| UnreadableSegment)?;
     if head.magic.get() != MAGIC {
-        return Err(Unreadable);
+        return Err(UnreadableSegment);
     }
     let job_rows = rows::<JobRow>(&mut rest, head.jobs)?;
     let machine_rows = rows::<MachineRow>(&mut rest, head.machines)?;
@@ -310,44 +321,46 @@
     let released = rows::<ReleasedRow>(&mut rest, head.released)?;
     let progress = rows::<ProgressRow>(&mut rest, head.progress)?;
     let mut text = |len: U16| {
-        std::str::from_utf8(bytes(&mut rest, len)?).map(str::to_owned).map_err(|_| Unreadable)
+        std::str::from_utf8(bytes(&mut rest, len)?)
+            .map(str::to_owned)
+            .map_err(|_| UnreadableSegment)
     };
     let jobs: Vec<JobId> = job_rows
         .iter()
-        .map(|row| text(row.name_len)?.parse().map_err(|_| Unreadable))
+        .map(|row| text(row.name_len)?.parse().map_err(|_| UnreadableSegment))
         .collect::<Result<_, _>>()?;
     let machines: Vec<(String, u64)> = machine_rows
         .iter()
-        .map(|row| Ok((text(row.name_len)?, row.session.get())))
-        .collect::<Result<_, Unreadable>>()?;
-    let job = |at: U16| jobs.get(at.get() as usize).cloned().ok_or(Unreadable);
-    let mut segment = Segment { seq: head.seq.get(), ..Segment::default() };
+        .map(|row| Ok((text(row.name_len)?, row.incarnation.get())))
+        .collect::<Result<_, UnreadableSegment>>()?;
+    let job = |at: U16| jobs.get(at.get() as usize).cloned().ok_or(UnreadableSegment);
+    let mut segment = Segment { sequence: head.seq.get(), ..Segment::default() };
     for row in assigned {
-        let (machine, session) =
-            machines.get(row.machine.get() as usize).cloned().ok_or(Unreadable)?;
-        segment.assigned.push(Assigned {
+        let (machine, incarnation) =
+            machines.get(row.machine.get() as usize).cloned().ok_or(UnreadableSegment)?;
+        segment.assignments.push(Assignment {
             job: job(row.job)?,
             index: row.index.get(),
             machine,
-            session,
+            incarnation,
             attempt: row.attempt.get(),
         });
     }
     for row in released {
-        segment.released.push(Released {
+        segment.releases.push(Release {
             job: job(row.job)?,
             index: row.index.get(),
             attempt: row.attempt.get(),
-            end: End::from_number(row.end.get()).ok_or(Unreadable)?,
+            outcome: AttemptOutcome::from_number(row.end.get()).ok_or(UnreadableSegment)?,
         });
     }
     for row in progress {
-        segment.progress.push(Progress {
+        segment.progress_pages.push(ProgressPage {
             job: job(row.job)?,
-            chunk: row.chunk.get().into(),
+            page: row.chunk.get().into(),
             done: bytes(&mut rest, row.done_len)?.to_vec(),
             restarted: bytes(&mut rest, row.restarted_len)?.to_vec(),
         });
     }
-    if rest.is_empty() { Ok(segment) } else { Err(Unreadable) }
+    if rest.is_empty() { Ok(segment) } else { Err(UnreadableSegment) }
 }
--- a/crates/gladekeel-controller/src/cloud.rs
+++ b/crates/gladekeel-controller/src/cloud_api.rs
@@ -7,15 +7,15 @@
 
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CloudCall {
+pub enum CloudRequest {
     /// Read the machine types and their prices.
-    Types,
+    ListMachineTypes,
     /// Rent machines.
     Rent(RentRequest),
     /// Delete machines.
     Delete(Vec<String>),
     /// Read a page of the machine list.
-    List {
+    ListMachines {
         /// Begin after this machine.
         after: Option<String>,
     },
@@ -35,27 +35,29 @@
     /// A page of the list.
     List(MachinePage),
     /// Over the budget; nothing was done.
-    Busy,
+    RateLimited,
     /// The cloud refused; nothing was done.
-    Trouble,
+    Unavailable,
     /// The cloud finds the request malformed; nothing was done.
-    Bad,
+    Rejected,
     /// No answer: it may have been carried out, or may be later.
     Unknown,
 }
 
-impl CloudCall {
+impl CloudRequest {
     /// Method, target and body of the request.
     pub fn encode(&self) -> (&'static str, String, Vec<u8>) {
         let json = |value: serde_json::Result<Vec<u8>>| value.expect("wire types always serialise");
         match self {
-            CloudCall::Types => ("GET", "/flavors".into(), Vec::new()),
-            CloudCall::Rent(rent) => ("POST", "/machines".into(), json(serde_json::to_vec(rent))),
-            CloudCall::Delete(names) => {
+            CloudRequest::ListMachineTypes => ("GET", "/flavors".into(), Vec::new()),
+            CloudRequest::Rent(rent) => {
+                ("POST", "/machines".into(), json(serde_json::to_vec(rent)))
+            }
+            CloudRequest::Delete(names) => {
                 let body = MachineNames { machines: names.clone() };
                 ("POST", "/machines/delete".into(), json(serde_json::to_vec(&body)))
             }
-            CloudCall::List { after } => {
+            CloudRequest::ListMachines { after } => {
                 let since = after.as_ref().map(|a| format!("since={a}&")).unwrap_or_default();
                 ("GET", format!("/machines?{since}limit={MAX_MACHINES_PER_PAGE}"), Vec::new())
             }
@@ -66,18 +68,22 @@
     pub fn decode(&self, status: u16, body: &[u8]) -> CloudOutcome {
         use CloudOutcome::*;
         match (status, self) {
-            (429, _) => Busy,
-            (503, CloudCall::Rent(_)) => match serde_json::from_slice::<ErrorBody>(body) {
+            (429, _) => RateLimited,
+            (503, CloudRequest::Rent(_)) => match serde_json::from_slice::<ErrorBody>(body) {
                 Ok(e) if e.error == "no capacity" => NoCapacity,
-                _ => Trouble,
+                _ => Unavailable,
             },
-            (503, _) => Trouble,
-            (400, _) => Bad,
-            (200, CloudCall::Types) => serde_json::from_slice(body).map_or(Unknown, Types),
-            (200, CloudCall::Rent(_)) => serde_json::from_slice::<MachineNames>(body)
+            (503, _) => Unavailable,
+            (400, _) => Rejected,
+            (200, CloudRequest::ListMachineTypes) => {
+                serde_json::from_slice(body).map_or(Unknown, Types)
+            }
+            (200, CloudRequest::Rent(_)) => serde_json::from_slice::<MachineNames>(body)
                 .map_or(Unknown, |names| Rented(names.machines)),
-            (200, CloudCall::Delete(_)) => Deleted,
-            (200, CloudCall::List { .. }) => serde_json::from_slice(body).map_or(Unknown, List),
+            (200, CloudRequest::Delete(_)) => Deleted,
+            (200, CloudRequest::ListMachines { .. }) => {
+                serde_json::from_slice(body).map_or(Unknown, List)
+            }
             _ => Unknown,
         }
     }
--- a/crates/gladekeel-controller/src/election.rs
+++ b/crates/gladekeel-controller/src/election.rs
@@ -7,35 +7,35 @@
 /// How long the leader's key outlives its last renewal.
 const TTL_MS: u64 = 3000;
 /// How often the lease is renewed.
-const TOUCH_S: f64 = 0.8;
+const RENEWAL_INTERVAL_S: f64 = 0.8;
 
 /// A node's part in the election.
 #[derive(Debug, Default)]
 pub struct Election {
-    lease: Option<Lease>,
-    flying: bool,
+    lease: Option<LeadershipLease>,
+    in_flight: bool,
     not_before: f64,
     /// Not a candidate before this time: it resigned.
-    pub stand_after: f64,
+    pub candidate_after: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Lease {
+struct LeadershipLease {
     id: u64,
-    touched: f64,
+    renewed_at: f64,
 }
 
 /// What the node sees of the leader's key, as of a recent contact.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
+pub enum ObservedLeader {
     /// Nobody leads.
-    Nobody,
+    Vacant,
     /// This incarnation leads.
-    Me,
+    ThisIncarnation,
     /// An earlier incarnation of this node, which is dead, under this version.
-    Ghost(u64),
+    StaleIncarnation(u64),
     /// Another node leads.
-    Other,
+    OtherNode,
 }
 
 impl Election {
@@ -43,32 +43,42 @@
     pub fn next(
         &mut self,
         now: f64,
-        seen: Seen,
+        seen: ObservedLeader,
         record: &LeaderRecord,
         renew_token: Option<u64>,
     ) -> Option<StoreRequest> {
-        if self.flying || now < self.not_before {
+        if self.in_flight || now < self.not_before {
             return None;
         }
         let call = match (seen, self.lease) {
-            (Seen::Me, Some(lease)) => match renew_token {
+            (ObservedLeader::ThisIncarnation, Some(lease)) => match renew_token {
                 // The same leader under a higher token.
                 Some(token) => {
                     self.not_before = now + 0.3;
                     commit(record, token, lease.id)
                 }
-                None if now - lease.touched >= TOUCH_S => StoreRequest::RenewLease(lease.id),
+                None if now - lease.renewed_at >= RENEWAL_INTERVAL_S => {
+                    StoreRequest::RenewLease(lease.id)
+                }
                 None => return None,
             },
             // The key hangs on a lease that this incarnation does not know: it runs out.
-            (Seen::Me | Seen::Other, None) => return None,
-            (Seen::Other, Some(lease)) => StoreRequest::RevokeLease(lease.id),
-            (Seen::Nobody | Seen::Ghost(_), _) if now < self.stand_after => return None,
-            (Seen::Nobody | Seen::Ghost(_), None) => StoreRequest::GrantLease { ttl_ms: TTL_MS },
-            (Seen::Nobody, Some(lease)) => commit(record, 0, lease.id),
-            (Seen::Ghost(version), Some(lease)) => commit(record, version, lease.id),
+            (ObservedLeader::ThisIncarnation | ObservedLeader::OtherNode, None) => return None,
+            (ObservedLeader::OtherNode, Some(lease)) => StoreRequest::RevokeLease(lease.id),
+            (ObservedLeader::Vacant | ObservedLeader::StaleIncarnation(_), _)
+                if now < self.candidate_after =>
+            {
+                return None;
+            }
+            (ObservedLeader::Vacant | ObservedLeader::StaleIncarnation(_), None) => {
+                StoreRequest::GrantLease { ttl_ms: TTL_MS }
+            }
+            (ObservedLeader::Vacant, Some(lease)) => commit(record, 0, lease.id),
+            (ObservedLeader::StaleIncarnation(version), Some(lease)) => {
+                commit(record, version, lease.id)
+            }
         };
-        self.flying = true;
+        self.in_flight = true;
         Some(call)
     }
 
@@ -81,15 +91,15 @@
         call: &StoreRequest,
         outcome: &StoreOutcome,
     ) -> bool {
-        self.flying = false;
+        self.in_flight = false;
         match (call, outcome) {
             (StoreRequest::GrantLease { .. }, StoreOutcome::LeaseGranted(id)) => {
-                self.lease = Some(Lease { id: *id, touched: sent_at });
+                self.lease = Some(LeadershipLease { id: *id, renewed_at: sent_at });
                 false
             }
             (StoreRequest::RenewLease(_), StoreOutcome::Acknowledged) => {
                 if let Some(lease) = &mut self.lease {
-                    lease.touched = sent_at;
+                    lease.renewed_at = sent_at;
                 }
                 false
             }
@@ -115,7 +125,7 @@
 
     /// Gives up the lease: the key goes with it, and another node can lead at once.
     pub fn resign(&mut self, now: f64, pause_s: f64) -> Option<StoreRequest> {
-        self.stand_after = now + pause_s;
+        self.candidate_after = now + pause_s;
         let lease = self.lease.take()?;
         Some(StoreRequest::RevokeLease(lease.id))
     }
--- a/crates/gladekeel-controller/src/sharing.rs
+++ b/crates/gladekeel-controller/src/heartbeat_balancing.rs
@@ -29,7 +29,7 @@
 
 /// Who hears a worker's reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Listener {
+pub enum HeartbeatReceiver {
     /// This node, which leads.
     Leader,
     /// Another node, by its index among the peers.
@@ -37,129 +37,141 @@
 }
 
 #[derive(Debug)]
-struct Reporter {
-    listener: Listener,
-    reported_at: f64,
-    moved_at: f64,
+struct ReportingWorker {
+    receiver: HeartbeatReceiver,
+    last_heartbeat_at: f64,
+    redirected_at: f64,
 }
 
 /// The workers that report, by who hears them.
 #[derive(Debug)]
-pub struct ReportSharing {
-    reporters: HashMap<String, Reporter>,
+pub struct HeartbeatBalancer {
+    workers: HashMap<String, ReportingWorker>,
     /// How many workers each peer hears, and last the leader.
-    heard: Vec<usize>,
+    workers_per_receiver: Vec<usize>,
     /// Workers that the leader can hear itself.
     own_limit: f64,
-    forget_after_s: f64,
-    forgot_at: f64,
+    expire_after_s: f64,
+    expired_at: f64,
 }
 
-impl ReportSharing {
+impl HeartbeatBalancer {
     /// Nobody has reported yet, to any of so many peers.
-    pub fn new(params: &Deployment, peers: usize) -> ReportSharing {
-        let report_s = params.workers.heartbeat_interval_s;
-        ReportSharing {
-            reporters: HashMap::new(),
-            heard: vec![0; peers + 1],
-            own_limit: params.limits.cpu_share * REPORTS_A_CORE * OWN_PART * report_s,
-            forget_after_s: FORGOTTEN_REPORTS * report_s,
-            forgot_at: 0.0,
+    pub fn new(deployment: &Deployment, peers: usize) -> HeartbeatBalancer {
+        let report_s = deployment.workers.heartbeat_interval_s;
+        HeartbeatBalancer {
+            workers: HashMap::new(),
+            workers_per_receiver: vec![0; peers + 1],
+            own_limit: deployment.limits.cpu_share * REPORTS_A_CORE * OWN_PART * report_s,
+            expire_after_s: FORGOTTEN_REPORTS * report_s,
+            expired_at: 0.0,
         }
     }
 
     /// Takes note of a report, and tells where the worker should report to instead, if
     /// anywhere. `usable` are the peers that pass reports on.
-    pub fn place(
+    pub fn rebalance(
         &mut self,
         now: f64,
         machine: &str,
-        listener: Listener,
+        listener: HeartbeatReceiver,
         usable: &[bool],
-    ) -> Option<Listener> {
-        self.forget_silent(now);
-        self.note(now, machine, listener);
-        if now - self.reporters[machine].moved_at < STAYS_S {
+    ) -> Option<HeartbeatReceiver> {
+        self.expire_silent(now);
+        self.record(now, machine, listener);
+        if now - self.workers[machine].redirected_at < STAYS_S {
             return None;
         }
-        let target = self.better_than(listener, usable)?;
-        self.note(now, machine, target);
-        if let Some(reporter) = self.reporters.get_mut(machine) {
-            reporter.moved_at = now;
+        let target = self.underloaded_receiver(listener, usable)?;
+        self.record(now, machine, target);
+        if let Some(reporter) = self.workers.get_mut(machine) {
+            reporter.redirected_at = now;
         }
         Some(target)
     }
 
     /// How many workers each peer hears, and last the leader.
-    pub fn heard(&self) -> &[usize] {
-        &self.heard
+    pub fn workers_per_receiver(&self) -> &[usize] {
+        &self.workers_per_receiver
     }
 
     /// Who has too few workers, if this listener has too many.
-    fn better_than(&self, listener: Listener, usable: &[bool]) -> Option<Listener> {
-        let all = self.reporters.len() as f64;
+    fn underloaded_receiver(
+        &self,
+        listener: HeartbeatReceiver,
+        usable: &[bool],
+    ) -> Option<HeartbeatReceiver> {
+        let all = self.workers.len() as f64;
         if all <= self.own_limit || !usable.contains(&true) {
             return None;
         }
-        let fair: Vec<f64> = parts(usable).into_iter().map(|part| part * all).collect();
+        let fair: Vec<f64> = target_shares(usable).into_iter().map(|part| part * all).collect();
         let at = self.index(listener);
-        if self.heard[at] as f64 <= fair[at] * UNEVEN + UNEVEN_SPARE {
+        if self.workers_per_receiver[at] as f64 <= fair[at] * UNEVEN + UNEVEN_SPARE {
             return None;
         }
-        let lacks = |at: &usize| (fair[*at] - self.heard[*at] as f64) / fair[*at];
+        let lacks = |at: &usize| (fair[*at] - self.workers_per_receiver[*at] as f64) / fair[*at];
         let target = (0..fair.len())
             .filter(|other| *other != at && fair[*other] > 0.0 && lacks(other) > 0.0)
             .max_by(|a, b| lacks(a).total_cmp(&lacks(b)))?;
-        Some(if target < usable.len() { Listener::Peer(target) } else { Listener::Leader })
+        Some(if target < usable.len() {
+            HeartbeatReceiver::Peer(target)
+        } else {
+            HeartbeatReceiver::Leader
+        })
     }
 
-    fn index(&self, listener: Listener) -> usize {
+    fn index(&self, listener: HeartbeatReceiver) -> usize {
         match listener {
-            Listener::Peer(peer) => peer,
-            Listener::Leader => self.heard.len() - 1,
+            HeartbeatReceiver::Peer(peer) => peer,
+            HeartbeatReceiver::Leader => self.workers_per_receiver.len() - 1,
         }
     }
 
-    fn note(&mut self, now: f64, machine: &str, listener: Listener) {
-        let before = if let Some(reporter) = self.reporters.get_mut(machine) {
-            reporter.reported_at = now;
-            Some(std::mem::replace(&mut reporter.listener, listener))
+    fn record(&mut self, now: f64, machine: &str, listener: HeartbeatReceiver) {
+        let before = if let Some(reporter) = self.workers.get_mut(machine) {
+            reporter.last_heartbeat_at = now;
+            Some(std::mem::replace(&mut reporter.receiver, listener))
         } else {
-            let reporter = Reporter { listener, reported_at: now, moved_at: f64::NEG_INFINITY };
-            self.reporters.insert(machine.to_owned(), reporter);
+            let reporter = ReportingWorker {
+                receiver: listener,
+                last_heartbeat_at: now,
+                redirected_at: f64::NEG_INFINITY,
+            };
+            self.workers.insert(machine.to_owned(), reporter);
             None
         };
         if let Some(before) = before {
             let at = self.index(before);
-            self.heard[at] -= 1;
+            self.workers_per_receiver[at] -= 1;
         }
         let at = self.index(listener);
-        self.heard[at] += 1;
+        self.workers_per_receiver[at] += 1;
     }
 
     /// Forgets workers that no longer report.
-    fn forget_silent(&mut self, now: f64) {
-        if now - self.forgot_at < self.forget_after_s {
+    fn expire_silent(&mut self, now: f64) {
+        if now - self.expired_at < self.expire_after_s {
             return;
         }
-        self.forgot_at = now;
-        let after_s = self.forget_after_s;
-        let mut reporters = std::mem::take(&mut self.reporters);
+        self.expired_at = now;
+        let after_s = self.expire_after_s;
+        let mut reporters = std::mem::take(&mut self.workers);
         reporters.retain(|_, reporter| {
-            let stays = now - reporter.reported_at < after_s;
+            let stays = now - reporter.last_heartbeat_at < after_s;
             if !stays {
-                let at = self.index(reporter.listener);
-                self.heard[at] -= 1;
+                let at = self.index(reporter.receiver);
+                self.workers_per_receiver[at] -= 1;
             }
             stays
         });
-        self.reporters = reporters;
+        self.workers = reporters;
     }
 }
 
 /// The part of all workers that each peer should hear, and last the leader. The leader has the
 /// deciding to do: it hears some only if a single other controller is left.
-fn parts(usable: &[bool]) -> Vec<f64> {
+fn target_shares(usable: &[bool]) -> Vec<f64> {
     let others = usable.iter().filter(|usable| **usable).count().max(1);
     let own = if others == 1 { OWN_PART_OF_TWO } else { 0.0 };
     let each = (1.0 - own) / others as f64;
--- a/crates/gladekeel-controller/src/keys.rs
+++ b/crates/gladekeel-controller/src/keys.rs
@@ -9,7 +9,7 @@
 //! | `gk/types/<n>` | those that `gk/types` has no room for | the leader |
 //! | `gk/options` | the operators' settings | any node, for an operator |
 //! | `gk/drain/<machine>` | the machine is to be drained | any node, for an operator |
-//! | `gl/<slot>` | a segment of the leader's log, see [`crate::log`] | the leader |
+//! | `gl/<slot>` | a segment of the leader's log, see [`crate::assignment_log`] | the leader |
 //!
 //! Every node follows `gk/`. Only a node that begins to lead reads `gl/`.
 
@@ -17,58 +17,58 @@
 use serde::{Deserialize, Serialize};
 
 /// Prefix of all keys.
-pub const ALL: &str = "gk/";
+pub const REPLICATED_PREFIX: &str = "gk/";
 /// Who leads.
 pub const LEADER: &str = "gk/leader";
 /// Machine types.
-pub const TYPES: &str = "gk/types";
+pub const MACHINE_TYPES: &str = "gk/types";
 /// The operators' settings.
 pub const OPTIONS: &str = "gk/options";
 /// Prefix of machines to drain.
-pub const DRAIN: &str = "gk/drain/";
+pub const DRAIN_PREFIX: &str = "gk/drain/";
 /// Prefix of jobs.
-pub const JOB: &str = "gk/job/";
+pub const JOB_PREFIX: &str = "gk/job/";
 /// Field of a stored job: the time of day at which it was accepted.
 pub const ACCEPTED_AT: &str = "accepted_at";
 /// Prefix of final states.
-pub const FINAL_STATE: &str = "gk/fate/";
+pub const FINAL_STATE_PREFIX: &str = "gk/fate/";
 /// Prefix of the log's segments.
-pub const LOG: &str = "gl/";
+pub const ASSIGNMENT_LOG_PREFIX: &str = "gl/";
 /// Prefix of the pages in which the first version kept assignments.
-pub const OLD_PAGES: &str = "gk/assign/";
+pub const LEGACY_ASSIGNMENTS_PREFIX: &str = "gk/assign/";
 
 /// Tasks per chunk of a job's progress: two bitmaps of it fit into any segment.
-pub const CHUNK: u32 = 4096;
+pub const TASKS_PER_PAGE: u32 = 4096;
 
 /// The key of a job.
 pub fn job(id: &JobId) -> String {
-    format!("{JOB}{id}")
+    format!("{JOB_PREFIX}{id}")
 }
 
 /// The key of a job's final state.
 pub fn final_state(id: &JobId) -> String {
-    format!("{FINAL_STATE}{id}")
+    format!("{FINAL_STATE_PREFIX}{id}")
 }
 
 /// The key that says that a machine is to be drained.
 pub fn drain(machine: &str) -> String {
-    format!("{DRAIN}{machine}")
+    format!("{DRAIN_PREFIX}{machine}")
 }
 
 /// The key of a part of the machine types: the first one stands alone where it can.
-pub fn types_part(part: u32) -> String {
-    if part == 0 { TYPES.to_owned() } else { format!("{TYPES}/{part}") }
+pub fn machine_types_part(part: u32) -> String {
+    if part == 0 { MACHINE_TYPES.to_owned() } else { format!("{MACHINE_TYPES}/{part}") }
 }
 
 /// The part of the machine types that a key holds, if it does.
-pub fn part_of_types(key: &str) -> Option<u32> {
-    let rest = key.strip_prefix(TYPES)?;
+pub fn parse_machine_types_part(key: &str) -> Option<u32> {
+    let rest = key.strip_prefix(MACHINE_TYPES)?;
     if rest.is_empty() { Some(0) } else { rest.strip_prefix('/')?.parse().ok() }
 }
 
 /// The key of a slot of the log.
 pub fn log(slot: u32) -> String {
-    format!("{LOG}{slot:06}")
+    format!("{ASSIGNMENT_LOG_PREFIX}{slot:06}")
 }
 
 /// Who leads.
@@ -78,29 +78,29 @@
     pub node: String,
     /// Its incarnation: a node that was restarted is another candidate.
     #[serde(rename = "run")]
-    pub run: u64,
+    pub incarnation: u64,
 }
 
 /// A set of small numbers that knows how many it has.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Bits {
+pub struct TaskBitmap {
     bytes: Vec<u8>,
     count: u32,
 }
 
-impl Bits {
+impl TaskBitmap {
     /// Whether `index` is in the set.
-    pub fn has(&self, index: u32) -> bool {
+    pub fn contains(&self, index: u32) -> bool {
         self.bytes.get(index as usize / 8).is_some_and(|byte| byte >> (index % 8) & 1 == 1)
     }
 
     /// Adds `index`; tells whether it is new.
-    pub fn add(&mut self, index: u32) -> bool {
+    pub fn insert(&mut self, index: u32) -> bool {
         let at = index as usize / 8;
         if self.bytes.len() <= at {
             self.bytes.resize(at + 1, 0);
         }
-        let new = !self.has(index);
+        let new = !self.contains(index);
         self.bytes[at] |= 1 << (index % 8);
         self.count += u32::from(new);
         new
@@ -112,8 +112,8 @@
     }
 
     /// The part for one chunk of progress, without trailing zeros.
-    pub fn chunk(&self, chunk: u32) -> &[u8] {
-        let size = CHUNK as usize / 8;
+    pub fn page(&self, chunk: u32) -> &[u8] {
+        let size = TASKS_PER_PAGE as usize / 8;
         let from = (chunk as usize * size).min(self.bytes.len());
         let part = &self.bytes[from..(from + size).min(self.bytes.len())];
         let used = part.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
@@ -121,12 +121,13 @@
     }
 
     /// Adds what a chunk holds, below `limit`.
-    pub fn add_chunk(&mut self, chunk: u32, bytes: &[u8], limit: u32) {
-        for (at, byte) in bytes.iter().enumerate().take(CHUNK as usize / 8) {
+    pub fn insert_page(&mut self, chunk: u32, bytes: &[u8], limit: u32) {
+        for (at, byte) in bytes.iter().enumerate().take(TASKS_PER_PAGE as usize / 8) {
             for bit in (0..8).filter(|bit| byte >> bit & 1 == 1) {
-                let index = chunk.saturating_mul(CHUNK).saturating_add(at as u32 * 8 + bit);
+                let index =
+                    chunk.saturating_mul(TASKS_PER_PAGE).saturating_add(at as u32 * 8 + bit);
                 if index < limit {
-                    self.add(index);
+                    self.insert(index);
                 }
             }
         }
--- a/crates/gladekeel-controller/src/leader/attempt.rs
+++ b/crates/gladekeel-controller/src/leader/attempt.rs
@@ -1,16 +1,16 @@
 //! A task on a machine, from its proposal to the commit of its release.
 
-pub use crate::log::End as Outcome;
+pub use crate::assignment_log::AttemptOutcome as Outcome;
 use gladekeel_sched::Resources;
 use gladekeel_wire::worker::TaskState;
 
 /// How far an attempt's assignment is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum AssignmentPhase {
     /// Decided, not committed: no `run` may be sent.
     Proposed,
     /// In the committed log: it may be on its machine.
-    Live,
+    Committed,
     /// Proved to be off its machine; the log does not say so yet.
     Releasing(Outcome),
 }
@@ -23,14 +23,14 @@
     /// To make room.
     Preempted,
     /// It is slow and starts anew elsewhere.
-    Slow,
+    Straggler,
     /// The machine is going away.
     Drained,
     /// Another task of its gang is gone, and what has not been saved is lost.
-    Regroup,
+    GangRestart,
     /// Its gang was not complete in time. A fetch goes on to its end, so that the next
     /// attempt finds the image; stopped before, the gang might never meet.
-    Incomplete,
+    GangIncomplete,
 }
 
 /// A task on a machine.
@@ -39,38 +39,38 @@
     /// The job.
     pub job: u32,
     /// The task's number.
-    pub index: u32,
+    pub task_index: u32,
     /// The machine.
     pub machine: u32,
     /// The machine's zone, as far as known.
     pub zone: Option<u32>,
-    /// The machine's session.
-    pub session: u64,
+    /// The machine's incarnation.
+    pub incarnation: u64,
     /// How far the assignment is.
-    pub phase: Phase,
+    pub phase: AssignmentPhase,
     /// What the worker last said of it under this token.
-    pub seen: Option<TaskState>,
+    pub reported_state: Option<TaskState>,
     /// When it was first seen running.
-    pub run_since: Option<f64>,
+    pub running_since: Option<f64>,
     /// Why it should stop, if it should.
-    pub stop: Option<StopReason>,
+    pub stop_reason: Option<StopReason>,
     /// How often the stop was sent.
-    pub stop_sent: u32,
+    pub stops_sent: u32,
     /// Whether its start was sent directly.
-    pub sent: bool,
+    pub start_sent: bool,
     /// What it takes.
-    pub room: Resources,
+    pub resources: Resources,
     /// Its image.
     pub image: u32,
     /// Whether an earlier token placed it: how long it has run is not known then.
-    pub restored: bool,
+    pub recovered: bool,
     /// The newest segment of the log that assigns it.
-    pub logged: u64,
+    pub segment: u64,
 }
 
 impl Attempt {
-    /// Whether it counts as on its machine, in this session of it.
-    pub fn is_live_in(&self, session: u64) -> bool {
-        self.phase == Phase::Live && self.session == session
+    /// Whether it counts as on its machine, in this incarnation of it.
+    pub fn is_committed_in(&self, incarnation: u64) -> bool {
+        self.phase == AssignmentPhase::Committed && self.incarnation == incarnation
     }
 }
--- a/crates/gladekeel-controller/src/leader/attempts.rs
+++ b/crates/gladekeel-controller/src/leader/attempts.rs
@@ -6,7 +6,7 @@
 
 use super::{
     AttemptId,
-    attempt::{Attempt, Phase},
+    attempt::{AssignmentPhase, Attempt},
 };
 use gladekeel_wire::worker::TaskState;
 use std::{
@@ -68,7 +68,7 @@
 
     /// Whether none has run or is being stopped, as far as known. Of what an earlier
     /// leader placed it is not known whether it has run.
-    pub fn none_begun(&self) -> bool {
+    pub fn none_started(&self) -> bool {
         self.begun == 0
     }
 
@@ -85,7 +85,7 @@
 
 /// Every attempt that the leader counts as on a machine.
 #[derive(Debug, Default)]
-pub(super) struct Attempts {
+pub(super) struct AttemptTable {
     all: BTreeMap<AttemptId, Attempt>,
     by_job: BTreeMap<u32, JobAttempts>,
     /// By machine and image, how many wait for the image or have not been seen to run.
@@ -94,7 +94,7 @@
     lookups: Cell<u64>,
 }
 
-impl Attempts {
+impl AttemptTable {
     /// How many there are.
     pub fn len(&self) -> usize {
         self.all.len()
@@ -123,7 +123,7 @@
     }
 
     /// Images that attempts on a machine have not been seen to run with.
-    pub fn images_not_run(&self, machine: u32) -> impl Iterator<Item = u32> {
+    pub fn images_not_yet_running(&self, machine: u32) -> impl Iterator<Item = u32> {
         self.not_run.get(&machine).into_iter().flat_map(|images| images.keys().copied())
     }
 
@@ -239,14 +239,14 @@
 
 impl Tally {
     fn of(attempt: &Attempt) -> Tally {
-        let exited = attempt.seen == Some(TaskState::Exited);
-        let stopping = attempt.stop.is_some();
+        let exited = attempt.reported_state == Some(TaskState::Exited);
+        let stopping = attempt.stop_reason.is_some();
         Tally {
-            uncommitted: attempt.phase == Phase::Proposed,
+            uncommitted: attempt.phase == AssignmentPhase::Proposed,
             stopping,
-            begun: attempt.run_since.is_some() || stopping || attempt.restored,
-            unfinished: attempt.phase == Phase::Live && !exited,
-            not_run: attempt.run_since.is_none() && !exited,
+            begun: attempt.running_since.is_some() || stopping || attempt.recovered,
+            unfinished: attempt.phase == AssignmentPhase::Committed && !exited,
+            not_run: attempt.running_since.is_none() && !exited,
         }
     }
 }
--- a/crates/gladekeel-controller/src/leader/catalog.rs
+++ b/crates/gladekeel-controller/src/leader/catalog.rs
@@ -10,23 +10,23 @@
 pub(super) struct Catalog {
     pub teams: Interner<String>,
     pub zones: Interner<String>,
-    pub kinds: Interner<String>,
+    pub machine_type_names: Interner<String>,
     pub images: Interner<String>,
     /// By kind; none for kinds that jobs name but the cloud does not.
-    pub types: Vec<Option<MachineType>>,
+    pub machine_types: Vec<Option<MachineType>>,
 }
 
 impl Catalog {
     /// Gets ready for a new token. Names keep their indices, since what is known of machines
     /// goes on and speaks of kinds, zones and images by them.
-    pub fn renew(&mut self, params: &Deployment, types: Option<&MachineTypes>) {
-        for team in &params.teams {
+    pub fn renew(&mut self, deployment: &Deployment, types: Option<&MachineTypes>) {
+        for team in &deployment.teams {
             self.teams.intern(&team.name);
         }
-        for zone in &params.zones {
+        for zone in &deployment.zones {
             self.zones.intern(zone);
         }
-        self.types.fill(None);
+        self.machine_types.fill(None);
         if let Some(types) = types {
             self.add_types(types);
         }
@@ -34,29 +34,29 @@
 
     pub fn add_types(&mut self, types: &MachineTypes) {
         for machine_type in &types.types {
-            let kind = self.kind(&machine_type.name);
-            self.types[kind as usize] = Some(machine_type.clone());
+            let kind = self.intern_machine_type(&machine_type.name);
+            self.machine_types[kind as usize] = Some(machine_type.clone());
             for zone in &machine_type.zones {
                 self.zones.intern(zone);
             }
         }
     }
 
-    pub fn kind(&mut self, name: &str) -> u32 {
-        let kind = self.kinds.intern(&name.to_owned());
-        if self.types.len() <= kind as usize {
-            self.types.resize(kind as usize + 1, None);
+    pub fn intern_machine_type(&mut self, name: &str) -> u32 {
+        let kind = self.machine_type_names.intern(&name.to_owned());
+        if self.machine_types.len() <= kind as usize {
+            self.machine_types.resize(kind as usize + 1, None);
         }
         kind
     }
 
     /// A kind's type, if the cloud has it.
     pub fn machine_type(&self, kind: u32) -> Option<&MachineType> {
-        self.types.get(kind as usize)?.as_ref()
+        self.machine_types.get(kind as usize)?.as_ref()
     }
 
     /// What a machine of this kind offers.
-    pub fn room(&self, kind: u32) -> Option<Resources> {
+    pub fn capacity(&self, kind: u32) -> Option<Resources> {
         self.machine_type(kind).map(|t| Resources::allocatable(t.cpus, t.gpus, t.memory_gb))
     }
 }
--- a/crates/gladekeel-controller/src/leader/cloud_calls.rs
+++ b/crates/gladekeel-controller/src/leader/cloud_calls.rs
@@ -3,7 +3,7 @@
 //! What should be rented or returned is decided elsewhere; this module asks for it.
 
 use super::{Leader, Machine, machine::DeletionReason};
-use crate::cloud::{CloudCall, CloudOutcome};
+use crate::cloud_api::{CloudOutcome, CloudRequest};
 use gladekeel_wire::cloud::{
     ListedMachine, MAX_MACHINES_PER_DELETE_REQUEST, MAX_MACHINES_PER_PAGE,
     MAX_MACHINES_PER_RENT_REQUEST, MachinePage, MachineState, MachineTypes, RentRequest,
@@ -19,7 +19,7 @@
 
 /// Machines of one type and zone, spot or not: what a rental asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) struct Pool {
+pub(super) struct MachinePool {
     /// The type.
     pub kind: u32,
     /// The zone.
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct Rental {
     rent: RentRequest,
-    pool: Pool,
+    pool: MachinePool,
     in_flight: bool,
     /// Not repeated before this time.
     not_before: f64,
@@ -40,15 +40,15 @@
 
 /// Requests to the cloud, under way and to be made, and what their answers told.
 #[derive(Debug, Default)]
-pub(super) struct CloudCalls {
+pub(super) struct CloudRequestQueue {
     deleted: HashMap<String, f64>,
     /// The same in order, to forget the oldest ones.
     deleted_order: VecDeque<String>,
-    empty_until: HashMap<Pool, f64>,
+    empty_until: HashMap<MachinePool, f64>,
     /// Rentals under way or to be repeated, since they had no answer.
     rents: Vec<Rental>,
     /// Rentals decided and not yet asked for.
-    wanted: Vec<(Pool, u32)>,
+    wanted: Vec<(MachinePool, u32)>,
     /// Kinds of requests under way.
     in_flight: BTreeSet<u8>,
     types_at: Option<f64>,
@@ -71,33 +71,33 @@
 const LIST: u8 = 3;
 
 /// Requests of which one is under way at a time.
-fn lane(call: &CloudCall) -> Option<u8> {
+fn lane(call: &CloudRequest) -> Option<u8> {
     match call {
-        CloudCall::Types => Some(TYPES),
-        CloudCall::Rent(_) => None,
-        CloudCall::Delete(_) => Some(DELETE),
-        CloudCall::List { .. } => Some(LIST),
+        CloudRequest::ListMachineTypes => Some(TYPES),
+        CloudRequest::Rent(_) => None,
+        CloudRequest::Delete(_) => Some(DELETE),
+        CloudRequest::ListMachines { .. } => Some(LIST),
     }
 }
 
-impl CloudCalls {
+impl CloudRequestQueue {
     /// Whether the machine was deleted for certain.
     pub fn is_gone(&self, name: &str) -> bool {
         self.deleted.contains_key(name)
     }
 
     /// Whether rentals of these machines may succeed, as far as the last answers tell.
-    pub fn may_have_capacity(&self, pool: Pool, now: f64) -> bool {
+    pub fn may_have_capacity(&self, pool: MachinePool, now: f64) -> bool {
         self.empty_until.get(&pool).is_none_or(|until| now >= *until)
     }
 
     /// Rentals that have no final answer yet, with how many machines they ask for.
-    pub fn open_rentals(&self) -> impl Iterator<Item = (Pool, u32)> {
+    pub fn open_rentals(&self) -> impl Iterator<Item = (MachinePool, u32)> {
         self.rents.iter().map(|rental| (rental.pool, rental.rent.count))
     }
 
     /// Machines to rent as soon as requests allow it.
-    pub fn want(&mut self, pool: Pool, count: u32) {
+    pub fn want(&mut self, pool: MachinePool, count: u32) {
         self.wanted.push((pool, count));
     }
 
@@ -118,29 +118,31 @@
 }
 
 impl Leader {
-    pub(super) fn next_cloud_call(&mut self, now: f64) -> Option<CloudCall> {
+    pub(super) fn next_cloud_call(&mut self, now: f64) -> Option<CloudRequest> {
         if now < self.cluster.cloud.not_before {
             return None;
         }
         let cloud = &mut self.cluster.cloud;
         // Long lists are read less often: they would use up the calls.
         let list_s =
-            self.params.cloud.list_lag_s.max(2.0) + 2.0 * f64::from(cloud.pages.max(1) - 1);
+            self.deployment.cloud.list_lag_s.max(2.0) + 2.0 * f64::from(cloud.pages.max(1) - 1);
         let due = |at: Option<f64>, every: f64| at.is_none_or(|at| now - at >= every);
         let call = if due(cloud.types_at, TYPES_EVERY_S) && !cloud.in_flight.contains(&TYPES) {
-            CloudCall::Types
+            CloudRequest::ListMachineTypes
         } else if !cloud.in_flight.contains(&DELETE)
             && due(cloud.delete_at, DELETE_EVERY_S)
             && let Some(names) = self.next_deletion()
         {
             self.cluster.cloud.delete_at = Some(now);
-            CloudCall::Delete(names)
+            CloudRequest::Delete(names)
         } else if let Some(rent) = self.next_rent(now) {
-            CloudCall::Rent(rent)
+            CloudRequest::Rent(rent)
         } else if !self.cluster.cloud.in_flight.contains(&LIST)
             && (!self.cluster.cloud.list.is_empty() || due(self.cluster.cloud.list_at, list_s))
         {
-            CloudCall::List { after: self.cluster.cloud.list.last().map(|row| row.name.clone()) }
+            CloudRequest::ListMachines {
+                after: self.cluster.cloud.list.last().map(|row| row.name.clone()),
+            }
         } else {
             return None;
         };
@@ -153,7 +155,7 @@
     fn next_deletion(&mut self) -> Option<Vec<String>> {
         let wanted = |ix: &u32| {
             let machine = self.cluster.machines.get(ix)?;
-            (machine.delete.is_some() && !machine.gone)
+            (machine.deletion_reason.is_some() && !machine.deleted)
                 .then_some((machine.attempts.is_empty(), *ix))
         };
         let mut wanted: Vec<(bool, u32)> = self.cluster.leaving.iter().filter_map(wanted).collect();
@@ -161,7 +163,7 @@
         let mut names = Vec::new();
         for (_, ix) in wanted.into_iter().take(MAX_MACHINES_PER_DELETE_REQUEST) {
             if let Some(machine) = self.cluster.machines.get_mut(&ix) {
-                machine.delete_sent = true;
+                machine.deletion_requested = true;
                 names.push(machine.name.clone());
             }
         }
@@ -189,7 +191,7 @@
             let rent = RentRequest {
                 // Token, counter and the node's own random number: never used twice.
                 request_id: format!("gk-{}-{}-{:08x}", self.token, cloud.counter, self.salt as u32),
-                machine_type: self.catalog.kinds.name(pool.kind).clone(),
+                machine_type: self.catalog.machine_type_names.name(pool.kind).clone(),
                 zone: self.catalog.zones.name(pool.zone).clone(),
                 spot: pool.spot,
                 count: count.min(MAX_MACHINES_PER_RENT_REQUEST),
@@ -207,22 +209,24 @@
         Some(rents.swap_remove(at))
     }
 
-    pub(super) fn on_cloud(&mut self, now: f64, call: &CloudCall, outcome: CloudOutcome) {
+    pub(super) fn on_cloud(&mut self, now: f64, call: &CloudRequest, outcome: CloudOutcome) {
         if let Some(lane) = lane(call) {
             self.cluster.cloud.in_flight.remove(&lane);
         }
         match (call, outcome) {
-            (CloudCall::Types, CloudOutcome::Types(types)) => self.on_types(now, types),
-            (CloudCall::Rent(rent), CloudOutcome::Rented(names)) => {
+            (CloudRequest::ListMachineTypes, CloudOutcome::Types(types)) => {
+                self.on_types(now, types);
+            }
+            (CloudRequest::Rent(rent), CloudOutcome::Rented(names)) => {
                 self.on_rented(now, rent, names);
             }
-            (CloudCall::Rent(rent), CloudOutcome::NoCapacity | CloudOutcome::Bad) => {
+            (CloudRequest::Rent(rent), CloudOutcome::NoCapacity | CloudOutcome::Rejected) => {
                 if let Some(rental) = self.rental(rent) {
                     self.cluster.cloud.empty_until.insert(rental.pool, now + NO_CAPACITY_S);
                 }
             }
-            (CloudCall::Rent(rent), outcome) => {
-                let wait_s = if outcome == CloudOutcome::Busy { 0.5 } else { 1.0 };
+            (CloudRequest::Rent(rent), outcome) => {
+                let wait_s = if outcome == CloudOutcome::RateLimited { 0.5 } else { 1.0 };
                 self.cluster.cloud.not_before = now + wait_s;
                 let request = &rent.request_id;
                 let rents = &mut self.cluster.cloud.rents;
@@ -231,23 +235,25 @@
                     rental.not_before = now + wait_s;
                 }
             }
-            (CloudCall::Delete(names), CloudOutcome::Deleted) => self.on_deleted(now, names),
-            (CloudCall::List { .. }, CloudOutcome::List(page)) => self.on_list(now, page),
-            (CloudCall::List { .. }, _) => {
+            (CloudRequest::Delete(names), CloudOutcome::Deleted) => self.on_deleted(now, names),
+            (CloudRequest::ListMachines { .. }, CloudOutcome::List(page)) => {
+                self.on_list(now, page);
+            }
+            (CloudRequest::ListMachines { .. }, _) => {
                 self.cluster.cloud.list.clear();
                 self.cluster.cloud.list_at = Some(now);
             }
-            (CloudCall::Types, _) => {
+            (CloudRequest::ListMachineTypes, _) => {
                 self.cluster.cloud.types_at = Some(now - TYPES_EVERY_S + 2.0);
             }
-            (_, CloudOutcome::Busy) => self.cluster.cloud.not_before = now + 0.5,
+            (_, CloudOutcome::RateLimited) => self.cluster.cloud.not_before = now + 0.5,
             _ => self.cluster.cloud.not_before = now + 1.0,
         }
     }
 
     fn on_types(&mut self, now: f64, types: MachineTypes) {
         self.cluster.cloud.types_at = Some(now);
-        let first = self.catalog.kinds.is_empty();
+        let first = self.catalog.machine_type_names.is_empty();
         let stable = |t: &gladekeel_wire::cloud::MachineType| {
             let mut t = t.clone();
             t.spot_price = None;
@@ -255,15 +261,15 @@
         };
         // Prices move all the time; the store has what a restarted node must know.
         let changed = types.types.iter().any(|t| {
-            let known = self.catalog.kinds.get(t.name.as_str());
+            let known = self.catalog.machine_type_names.get(t.name.as_str());
             let known = known.and_then(|kind| self.catalog.machine_type(kind));
             known.map(stable) != Some(stable(t))
         });
         if first || changed {
-            self.commits.types = Some(types.clone());
+            self.log_writer.types = Some(types.clone());
         }
         self.catalog.add_types(&types);
-        self.timers.request_round();
+        self.timers.request_cycle();
     }
 
     fn on_rented(&mut self, now: f64, rent: &RentRequest, names: Vec<String>) {
@@ -280,11 +286,11 @@
             self.cluster.cloud.empty_until.insert(pool, now + NO_CAPACITY_S);
         }
         for name in names {
-            self.cluster.counts.rented += 1;
+            self.cluster.counters.rented += 1;
             let ix = self.cluster.machine_names.intern(&name);
             let machine =
                 self.cluster.machines.entry(ix).or_insert_with(|| Machine::new(&name, now));
-            machine.kind = Some(pool.kind);
+            machine.machine_type = Some(pool.kind);
             machine.spot = pool.spot;
             machine.confirmed = true;
             self.set_zone(ix, pool.zone);
@@ -295,13 +301,13 @@
         for name in names {
             let Some(ix) = self.cluster.machine_names.get(name.as_str()) else { continue };
             let Some(machine) = self.cluster.machines.get_mut(&ix) else { continue };
-            machine.gone = true;
-            self.cluster.counts.deleted += 1;
+            machine.deleted = true;
+            self.cluster.counters.deleted += 1;
             self.cluster.cloud.deleted.insert(name.clone(), now);
             self.cluster.cloud.deleted_order.push_back(name.clone());
         }
-        self.timers.request_round();
-        self.watch_machines(now);
+        self.timers.request_cycle();
+        self.evacuate_leaving_machines(now);
     }
 
     fn on_list(&mut self, now: f64, page: MachinePage) {
@@ -326,31 +332,31 @@
                 machine.rented_at = now - row.age_s;
                 machine
             });
-            machine.kind = Some(self.catalog.kind(&row.machine_type));
+            machine.machine_type = Some(self.catalog.intern_machine_type(&row.machine_type));
             machine.spot = row.spot;
             machine.listed = true;
             machine.confirmed = true;
             if machine.addr.is_none() {
                 machine.addr = row.addr;
             }
-            machine.missing = 0;
-            machine.list_state = Some(row.state);
-            if row.state == MachineState::Failed && machine.delete.is_none() {
-                machine.delete = Some(DeletionReason::Failed);
+            machine.missing_from_lists = 0;
+            machine.listed_state = Some(row.state);
+            if row.state == MachineState::Failed && machine.deletion_reason.is_none() {
+                machine.deletion_reason = Some(DeletionReason::Failed);
                 self.cluster.leaving.insert(ix);
             }
             let zone = self.catalog.zones.intern(&row.zone);
             self.set_zone(ix, zone);
         }
-        let late_s = self.params.workers.heartbeat_timeout_s();
+        let late_s = self.deployment.workers.heartbeat_timeout_s();
         for (ix, machine) in &mut self.cluster.machines {
             // One that only the log tells of was up before this leader began.
             let was_listed = machine.listed || machine.rented_at == f64::NEG_INFINITY;
-            if was_listed && !listed.contains(ix) && now - machine.quiet_since > late_s {
+            if was_listed && !listed.contains(ix) && now - machine.silent_since > late_s {
                 // Lists may be older than the one before: one of them proves little.
-                machine.missing += 1;
-                if machine.missing >= 2 && machine.delete.is_none() {
-                    machine.delete = Some(DeletionReason::NoLongerListed);
+                machine.missing_from_lists += 1;
+                if machine.missing_from_lists >= 2 && machine.deletion_reason.is_none() {
+                    machine.deletion_reason = Some(DeletionReason::NoLongerListed);
                     self.cluster.leaving.insert(*ix);
                 }
             }
--- a/crates/gladekeel-controller/src/leader/commit.rs
+++ b/crates/gladekeel-controller/src/leader/commit.rs
@@ -11,9 +11,9 @@
 
 mod draft;
 
-use super::{AttemptId, Job, Leader, Phase, StopReason};
-use crate::{keys, log, world::World};
-use draft::Draft;
+use super::{AssignmentPhase, AttemptId, Job, Leader, StopReason};
+use crate::{assignment_log, keys, store_view::StoreView};
+use draft::WriteBatch;
 use gladekeel_store::{StoreOutcome, TokenBucket};
 use gladekeel_wire::{
     cloud::MachineTypes, job::JobState, settings::Deployment, store::Transaction,
@@ -21,7 +21,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Time between transactions: what comes in meanwhile goes together.
-const GAP_S: f64 = 0.15;
+const GROUP_COMMIT_INTERVAL_S: f64 = 0.15;
 /// How much longer a transaction waits for budget if there is more to write than the budget
 /// allows: a wide one fills its segments, several narrow ones do not.
 const WIDEN_S: f64 = 0.3;
@@ -60,7 +60,7 @@
 
 /// What is to be written, and what is under way.
 #[derive(Debug, Default)]
-pub(super) struct Commits {
+pub(super) struct AssignmentLogWriter {
     /// Proposed attempts.
     pub proposed: BTreeSet<AttemptId>,
     /// Attempts that are off their machines.
@@ -88,7 +88,7 @@
     value_bytes: usize,
     /// Puts and deletes of a transaction.
     max_ops: usize,
-    sent: Option<Sent>,
+    sent: Option<InFlightTransaction>,
     not_before: f64,
 }
 
@@ -106,7 +106,7 @@
 
 /// What a transaction under way contains.
 #[derive(Debug, Default)]
-struct Sent {
+struct InFlightTransaction {
     segments: Vec<SentSegment>,
     proposed: BTreeSet<AttemptId>,
     released: BTreeSet<AttemptId>,
@@ -117,19 +117,19 @@
     types: Option<u32>,
     writes: usize,
     /// Key and text of the first segment: what shows that the transaction was made.
-    mark: Option<(String, String)>,
+    commit_marker: Option<(String, String)>,
 }
 
-impl Commits {
-    pub fn new(params: &Deployment, world: &World) -> Commits {
-        let value_bytes = (params.store.value_kb * 1024.0) as usize;
-        Commits {
-            types_versions: world.types.versions(),
-            drain_versions: world.drains.clone(),
-            capacity: log::capacity(value_bytes),
+impl AssignmentLogWriter {
+    pub fn new(deployment: &Deployment, store: &StoreView) -> AssignmentLogWriter {
+        let value_bytes = (deployment.store.value_kb * 1024.0) as usize;
+        AssignmentLogWriter {
+            types_versions: store.machine_types.versions(),
+            drain_versions: store.drain_orders.clone(),
+            capacity: assignment_log::segment_capacity(value_bytes),
             value_bytes,
-            max_ops: params.store.txn_ops,
-            ..Commits::default()
+            max_ops: deployment.store.txn_ops,
+            ..AssignmentLogWriter::default()
         }
     }
 
@@ -159,16 +159,16 @@
     }
 
     /// Bytes of a transaction that releases may take: half of them, or what starts leave.
-    fn release_bytes(&self, draft: &Draft) -> usize {
+    fn release_bytes(&self, draft: &WriteBatch) -> usize {
         let all = draft.ops_left() * self.capacity;
         (all / 2).max(all.saturating_sub(self.proposed.len() * ASSIGNED_BYTES))
     }
 
     /// How many more assignments a round should decide: about what can be written
     /// in a second.
-    pub fn batch(&self, params: &Deployment) -> usize {
+    pub fn batch(&self, deployment: &Deployment) -> usize {
         let row = 48.0;
-        let bytes = (self.capacity as f64) * params.store.write_rps * 0.6;
+        let bytes = (self.capacity as f64) * deployment.store.write_rps * 0.6;
         ((bytes / row) as usize).clamp(200, 4000).saturating_sub(self.proposed.len())
     }
 
@@ -201,10 +201,10 @@
         now: f64,
         budget: &mut TokenBucket,
     ) -> Option<Transaction> {
-        if self.commits.sent.is_some()
-            || self.fence
-            || now < self.commits.not_before
-            || self.commits.idle()
+        if self.log_writer.sent.is_some()
+            || self.needs_new_token
+            || now < self.log_writer.not_before
+            || self.log_writer.idle()
         {
             return None;
         }
@@ -213,19 +213,19 @@
         if level < 1.0 {
             return None;
         }
-        let max_ops = self.commits.max_ops.min(level as usize);
-        let most_ops = self.commits.max_ops.min(budget.burst() as usize);
-        let wanted_ops = self.commits.wanted_ops().min(most_ops);
-        if max_ops < wanted_ops && now < self.commits.not_before + WIDEN_S {
+        let max_ops = self.log_writer.max_ops.min(level as usize);
+        let most_ops = self.log_writer.max_ops.min(budget.burst() as usize);
+        let wanted_ops = self.log_writer.wanted_ops().min(most_ops);
+        if max_ops < wanted_ops && now < self.log_writer.not_before + WIDEN_S {
             return None;
         }
-        let mut draft = Draft::new(max_ops, self.commits.capacity);
+        let mut draft = WriteBatch::new(max_ops, self.log_writer.capacity);
         draft.guard(keys::LEADER.into(), self.token);
         // Each of the three has its part under load: without releases no room comes free,
         // without starts machines stand idle, and users wait for final states.
-        let for_finished = self.commits.finished.len().min((max_ops / FINISHED_PART).max(1));
+        let for_finished = self.log_writer.finished.len().min((max_ops / FINISHED_PART).max(1));
         draft.reserve(if max_ops > 1 { for_finished } else { 0 });
-        let release_bytes = self.commits.release_bytes(&draft);
+        let release_bytes = self.log_writer.release_bytes(&draft);
         let releases_fit = self.draft_released(&mut draft, release_bytes);
         let starts_fit = self.draft_proposed(&mut draft);
         draft.reserve(0);
@@ -242,14 +242,14 @@
         }
         self.seal(&mut draft);
         budget.try_take(now, draft.sent.writes as f64);
-        self.commits.not_before = now + GAP_S;
-        self.commits.sent = Some(draft.sent);
+        self.log_writer.not_before = now + GROUP_COMMIT_INTERVAL_S;
+        self.log_writer.sent = Some(draft.sent);
         Some(draft.txn)
     }
 
     /// Frees the oldest segments as far as nothing in them counts any more.
     pub(super) fn reclaim(&mut self) {
-        while let Some(mut oldest) = self.commits.segments.pop_front() {
+        while let Some(mut oldest) = self.log_writer.segments.pop_front() {
             while oldest.attempts.pop_if(|id| !self.assigns(oldest.seq, *id)).is_some() {}
             while oldest
                 .chunks
@@ -257,9 +257,9 @@
                 .is_some()
             {}
             if oldest.attempts.is_empty() && oldest.chunks.is_empty() {
-                self.commits.free.push_back((oldest.slot, oldest.version));
+                self.log_writer.free.push_back((oldest.slot, oldest.version));
             } else {
-                self.commits.segments.push_front(oldest);
+                self.log_writer.segments.push_front(oldest);
                 break;
             }
         }
@@ -268,20 +268,20 @@
     /// Sets the version of a drain order's key.
     pub(super) fn set_drain_version(&mut self, machine: &str, version: Option<u64>) {
         match version {
-            Some(version) => self.commits.drain_versions.insert(machine.to_owned(), version),
-            None => self.commits.drain_versions.remove(machine),
+            Some(version) => self.log_writer.drain_versions.insert(machine.to_owned(), version),
+            None => self.log_writer.drain_versions.remove(machine),
         };
     }
 
     /// Where to look whether the transaction under way was made, and what is there then.
-    pub fn commit_mark(&self) -> Option<&(String, String)> {
-        self.commits.sent.as_ref()?.mark.as_ref()
+    pub fn commit_marker(&self) -> Option<&(String, String)> {
+        self.log_writer.sent.as_ref()?.commit_marker.as_ref()
     }
 
     /// Applies the outcome of the transaction under way. Returns whether the store
     /// should be read at once.
     pub fn commit_answered(&mut self, now: f64, outcome: &StoreOutcome) -> bool {
-        let Some(sent) = self.commits.sent.take() else { return false };
+        let Some(sent) = self.log_writer.sent.take() else { return false };
         match outcome {
             StoreOutcome::Committed(revision) => {
                 self.committed(now, sent, *revision);
@@ -290,64 +290,64 @@
             StoreOutcome::RateLimited | StoreOutcome::Unavailable => {
                 // Not executed: the same changes go into the next transaction.
                 self.undo(sent);
-                self.commits.not_before = now + 0.25;
+                self.log_writer.not_before = now + 0.25;
                 false
             }
             // A commit puts nothing on a lease, so what was refused is its size: the limits
             // are lower than the settings say. Nothing was done.
             StoreOutcome::LeaseNotFound => {
-                self.commits.shrink(sent.writes);
+                self.log_writer.shrink(sent.writes);
                 self.undo(sent);
-                self.commits.not_before = now + 0.25;
+                self.log_writer.not_before = now + 0.25;
                 false
             }
             StoreOutcome::Conflict(failed) => {
                 let theirs = |key: &String| {
-                    [keys::FINAL_STATE, keys::JOB, keys::DRAIN]
+                    [keys::FINAL_STATE_PREFIX, keys::JOB_PREFIX, keys::DRAIN_PREFIX]
                         .iter()
                         .any(|own| key.starts_with(own))
                 };
                 self.undo(sent);
-                self.commits.not_before = now + 0.25;
+                self.log_writer.not_before = now + 0.25;
                 // A job that was cancelled meanwhile is somebody else's write; anything
                 // else means that the leader's picture of the store is wrong.
-                self.fence |= failed.is_empty() || !failed.iter().all(theirs);
+                self.needs_new_token |= failed.is_empty() || !failed.iter().all(theirs);
                 true
             }
             _ => {
                 // No answer: it may apply at any later time. A new token makes it fail
                 // if it has not yet, and the store is read again after that.
                 tracing::warn!("a commit had no answer; asking for a new token");
-                self.fence = true;
+                self.needs_new_token = true;
                 true
             }
         }
     }
 
     /// Gives the slots back, in their order.
-    fn undo(&mut self, sent: Sent) {
+    fn undo(&mut self, sent: InFlightTransaction) {
         for segment in sent.segments.into_iter().rev() {
-            self.commits.free.push_front((segment.slot, segment.version));
+            self.log_writer.free.push_front((segment.slot, segment.version));
         }
     }
 
-    fn committed(&mut self, now: f64, sent: Sent, revision: u64) {
-        self.cluster.counts.commits += 1;
-        self.cluster.counts.writes += sent.writes as u64;
+    fn committed(&mut self, now: f64, sent: InFlightTransaction, revision: u64) {
+        self.cluster.counters.commits += 1;
+        self.cluster.counters.writes += sent.writes as u64;
         for ix in sent.final_states {
             self.final_state_committed(now, ix);
         }
         for ix in sent.cleared {
-            self.commits.cleared.remove(&ix);
+            self.log_writer.cleared.remove(&ix);
             self.jobs.remove(&ix);
         }
         for machine in sent.drains {
-            self.commits.drains.remove(&machine);
-            self.commits.drain_versions.remove(&machine);
+            self.log_writer.drains.remove(&machine);
+            self.log_writer.drain_versions.remove(&machine);
         }
         if let Some(parts) = sent.types {
-            self.commits.types_versions = (0..parts).map(|part| (part, revision)).collect();
-            self.commits.types = None;
+            self.log_writer.types_versions = (0..parts).map(|part| (part, revision)).collect();
+            self.log_writer.types = None;
         }
         for segment in sent.segments {
             self.segment_committed(segment, revision);
@@ -356,8 +356,8 @@
             self.assignment_committed(id);
         }
         for id in sent.released {
-            self.commits.released.remove(&id);
-            if let Some(Phase::Releasing(end)) = self.attempts.get(id).map(|a| a.phase) {
+            self.log_writer.released.remove(&id);
+            if let Some(AssignmentPhase::Releasing(end)) = self.attempts.get(id).map(|a| a.phase) {
                 self.free(id, end, now);
             }
         }
@@ -365,16 +365,16 @@
     }
 
     fn final_state_committed(&mut self, now: f64, ix: u32) {
-        self.commits.finished.remove(&ix);
+        self.log_writer.finished.remove(&ix);
         let Some(job) = self.jobs.get_mut(&ix) else { return };
         job.final_state = Some(JobState::Done);
         if self.attempts.of_job(ix).is_empty() {
-            self.commits.cleared.insert(ix);
+            self.log_writer.cleared.insert(ix);
         }
         tracing::info!(
             job = %job.id,
             class = job.spec.class,
-            took_s = now - job.known_at,
+            took_s = now - job.submitted_at,
             deadline_s = job.spec.deadline_s,
             "job done"
         );
@@ -383,30 +383,30 @@
     fn segment_committed(&mut self, segment: SentSegment, revision: u64) {
         let SentSegment { slot, seq, attempts, chunks, whole, .. } = segment;
         for id in &attempts {
-            self.attempts.update(*id, |attempt| attempt.logged = seq);
+            self.attempts.update(*id, |attempt| attempt.segment = seq);
         }
         for (ix, chunk) in whole {
             if let Some(job) = self.jobs.get_mut(&ix) {
-                job.progress_segment.insert(chunk, seq);
+                job.progress_segments.insert(chunk, seq);
             }
         }
         let version = revision;
-        self.commits.segments.push_back(LogSegment { slot, version, seq, attempts, chunks });
+        self.log_writer.segments.push_back(LogSegment { slot, version, seq, attempts, chunks });
     }
 
     /// An assignment is in the log: its task may be sent out, a gang's once all of it is.
     fn assignment_committed(&mut self, id: AttemptId) {
-        self.commits.proposed.remove(&id);
+        self.log_writer.proposed.remove(&id);
         let live = self.attempts.update(id, |attempt| {
-            attempt.phase = Phase::Live;
+            attempt.phase = AssignmentPhase::Committed;
             (attempt.job, attempt.machine)
         });
         let Some((job_ix, machine)) = live else { return };
-        self.direct.wanted.insert(machine);
-        self.cluster.counts.starts += 1;
+        self.commands.wanted.insert(machine);
+        self.cluster.counters.starts += 1;
         let is_gang = self.jobs.get(&job_ix).is_some_and(Job::is_gang);
         if is_gang && self.attempts.of_job(job_ix).uncommitted() == 0 {
-            self.direct.wanted.extend(self.attempts.of_job(job_ix).machines());
+            self.commands.wanted.extend(self.attempts.of_job(job_ix).machines());
         }
     }
 
@@ -419,7 +419,7 @@
             if !self.jobs.get(&job_ix).is_some_and(Job::is_gang) {
                 self.withdraw_one(*id, now);
             } else if gangs.insert(job_ix) {
-                self.stop_gang(job_ix, StopReason::Regroup);
+                self.stop_gang(job_ix, StopReason::GangRestart);
                 self.withdraw_one(*id, now);
                 for other in self.attempts.ids_of_job(job_ix) {
                     self.withdraw_one(other, now);
@@ -429,11 +429,11 @@
     }
 
     fn withdraw_one(&mut self, id: AttemptId, now: f64) {
-        let proposed = self.attempts.get(id).is_some_and(|a| a.phase == Phase::Proposed);
-        let sent = self.commits.sent.as_ref().is_some_and(|sent| sent.proposed.contains(&id));
+        let proposed = self.attempts.get(id).is_some_and(|a| a.phase == AssignmentPhase::Proposed);
+        let sent = self.log_writer.sent.as_ref().is_some_and(|sent| sent.proposed.contains(&id));
         if proposed && !sent {
-            self.commits.proposed.remove(&id);
-            self.free(id, log::End::Again, now);
+            self.log_writer.proposed.remove(&id);
+            self.free(id, assignment_log::AttemptOutcome::Requeued, now);
         }
     }
 }
--- a/crates/gladekeel-controller/src/leader/commit/draft.rs
+++ b/crates/gladekeel-controller/src/leader/commit/draft.rs
@@ -1,10 +1,10 @@
 //! Putting the next transaction together: what goes into it, and into which segments.
 
-use super::{AttemptId, RELEASED_BYTES, Sent, SentSegment};
+use super::{AttemptId, InFlightTransaction, RELEASED_BYTES, SentSegment};
 use crate::{
+    assignment_log::{self, SegmentWriter},
     keys,
-    leader::{Leader, Phase},
-    log::{self, Writer},
+    leader::{AssignmentPhase, Leader},
     stored_types,
 };
 use gladekeel_wire::{
@@ -21,10 +21,10 @@
 const CLEANED: usize = 3;
 
 /// A transaction in the making.
-pub(super) struct Draft {
+pub(super) struct WriteBatch {
     pub txn: Transaction,
-    pub sent: Sent,
-    segments: Vec<(Writer, SentSegment)>,
+    pub sent: InFlightTransaction,
+    segments: Vec<(SegmentWriter, SentSegment)>,
     bytes: usize,
     max_ops: usize,
     /// Operations that are kept for what is added later.
@@ -32,12 +32,12 @@
     capacity: usize,
 }
 
-impl Draft {
+impl WriteBatch {
     /// An empty one, for so many operations and segments of so many bytes.
-    pub fn new(max_ops: usize, capacity: usize) -> Draft {
-        Draft {
+    pub fn new(max_ops: usize, capacity: usize) -> WriteBatch {
+        WriteBatch {
             txn: Transaction::default(),
-            sent: Sent::default(),
+            sent: InFlightTransaction::default(),
             segments: Vec::new(),
             bytes: 0,
             max_ops,
@@ -71,7 +71,7 @@
     }
 
     /// A segment with room for so many bytes more.
-    fn segment(&mut self, bytes: usize) -> Option<&mut (Writer, SentSegment)> {
+    fn segment(&mut self, bytes: usize) -> Option<&mut (SegmentWriter, SentSegment)> {
         let full =
             self.segments.last().is_none_or(|(writer, _)| writer.size() + bytes > self.capacity);
         if full {
@@ -107,37 +107,39 @@
 
 impl Leader {
     /// Gives the draft's segments their slots.
-    pub(super) fn seal(&mut self, draft: &mut Draft) {
+    pub(super) fn seal(&mut self, draft: &mut WriteBatch) {
         for (writer, mut segment) in std::mem::take(&mut draft.segments) {
-            (segment.slot, segment.version) = self.commits.free.pop_front().unwrap_or_else(|| {
-                self.commits.slots += 1;
-                (self.commits.slots - 1, 0)
-            });
-            segment.seq = self.commits.next_seq;
-            self.commits.next_seq += 1;
+            (segment.slot, segment.version) =
+                self.log_writer.free.pop_front().unwrap_or_else(|| {
+                    self.log_writer.slots += 1;
+                    (self.log_writer.slots - 1, 0)
+                });
+            segment.seq = self.log_writer.next_seq;
+            self.log_writer.next_seq += 1;
             let (key, text) = (keys::log(segment.slot), writer.encode(segment.seq));
             draft.put(key.clone(), segment.version, &text);
-            draft.sent.mark.get_or_insert((key, text));
+            draft.sent.commit_marker.get_or_insert((key, text));
             draft.sent.segments.push(segment);
         }
         draft.sent.writes = draft.txn.writes.len();
     }
 
     /// Adds releases of about so many bytes; tells whether all of them fit.
-    pub(super) fn draft_released(&self, draft: &mut Draft, most_bytes: usize) -> bool {
-        for id in &self.commits.released {
+    pub(super) fn draft_released(&self, draft: &mut WriteBatch, most_bytes: usize) -> bool {
+        for id in &self.log_writer.released {
             if draft.sent.released.len() * RELEASED_BYTES >= most_bytes {
                 return false;
             }
             let Some(attempt) = self.attempts.get(*id) else { continue };
-            let Phase::Releasing(end) = attempt.phase else { continue };
+            let AssignmentPhase::Releasing(end) = attempt.phase else { continue };
             let job = self.job_names.name(attempt.job);
-            let Some((writer, segment)) = draft.segment(log::row_bytes(job, "")) else {
+            let Some((writer, segment)) = draft.segment(assignment_log::max_row_bytes(job, ""))
+            else {
                 return false;
             };
-            writer.release(job, attempt.index, id.logged(), end);
-            if end != log::End::Again {
-                let chunk = (attempt.job, attempt.index / keys::CHUNK);
+            writer.release(job, attempt.task_index, id.logged(), end);
+            if end != assignment_log::AttemptOutcome::Requeued {
+                let chunk = (attempt.job, attempt.task_index / keys::TASKS_PER_PAGE);
                 if segment.chunks.last() != Some(&chunk) {
                     segment.chunks.push(chunk);
                 }
@@ -149,16 +151,16 @@
 
     /// Whether every release of a job that waits is in the draft: its final state is written
     /// with its last finish or later.
-    fn has_all_releases(&self, draft: &Draft, job: u32) -> bool {
-        let waits = |id: &&AttemptId| self.commits.released.contains(*id);
+    fn has_all_releases(&self, draft: &WriteBatch, job: u32) -> bool {
+        let waits = |id: &&AttemptId| self.log_writer.released.contains(*id);
         let ids = self.attempts.of_job(job).ids();
         ids.iter().filter(waits).all(|id| draft.sent.released.contains(id))
     }
 
     /// Adds jobs that are done; tells whether all of them fit.
-    pub(super) fn draft_finished(&self, draft: &mut Draft) -> bool {
+    pub(super) fn draft_finished(&self, draft: &mut WriteBatch) -> bool {
         let mut all_fit = true;
-        for ix in &self.commits.finished {
+        for ix in &self.log_writer.finished {
             let Some(job) = self.jobs.get(ix).filter(|job| job.final_state.is_none()) else {
                 continue;
             };
@@ -176,20 +178,21 @@
         all_fit
     }
 
-    fn draft_assigned(&self, draft: &mut Draft, id: AttemptId) -> bool {
+    fn draft_assigned(&self, draft: &mut WriteBatch, id: AttemptId) -> bool {
         let Some(attempt) = self.attempts.get(id) else { return true };
         let job = self.job_names.name(attempt.job);
         let machine = self.cluster.machine_names.name(attempt.machine);
-        let Some((writer, segment)) = draft.segment(log::row_bytes(job, machine)) else {
+        let Some((writer, segment)) = draft.segment(assignment_log::max_row_bytes(job, machine))
+        else {
             return false;
         };
-        writer.assign(job, attempt.index, machine, attempt.session, id.logged());
+        writer.assign(job, attempt.task_index, machine, attempt.incarnation, id.logged());
         segment.attempts.push(id);
         true
     }
 
-    pub(super) fn draft_proposed(&self, draft: &mut Draft) -> bool {
-        for id in &self.commits.proposed {
+    pub(super) fn draft_proposed(&self, draft: &mut WriteBatch) -> bool {
+        for id in &self.log_writer.proposed {
             if !self.draft_assigned(draft, *id) {
                 return false;
             }
@@ -199,14 +202,14 @@
     }
 
     /// Tells again what still counts of the oldest segments, once there are many.
-    pub(super) fn draft_cleaning(&self, draft: &mut Draft) {
+    pub(super) fn draft_cleaning(&self, draft: &mut WriteBatch) {
         // A log that holds much that counts may be longer.
-        let live = self.attempts.len() * 48 / self.commits.capacity.max(1);
+        let live = self.attempts.len() * 48 / self.log_writer.capacity.max(1);
         let long = LONG_LOG.max(4 * live);
-        let over = self.commits.segments.len().saturating_sub(long).min(CLEANED);
-        for old in self.commits.segments.iter().take(over) {
+        let over = self.log_writer.segments.len().saturating_sub(long).min(CLEANED);
+        for old in self.log_writer.segments.iter().take(over) {
             for id in &old.attempts {
-                let counts = self.assigns(old.seq, *id) && !self.commits.released.contains(id);
+                let counts = self.assigns(old.seq, *id) && !self.log_writer.released.contains(id);
                 if counts && !self.draft_assigned(draft, *id) {
                     return;
                 }
@@ -217,8 +220,11 @@
                     continue;
                 }
                 let Some(job) = self.jobs.get(ix) else { continue };
-                let Some((writer, segment)) = draft.segment(log::PROGRESS_BYTES) else { return };
-                let (done, restarted) = (job.done.chunk(*chunk), job.restarted.chunk(*chunk));
+                let Some((writer, segment)) = draft.segment(assignment_log::MAX_PROGRESS_ROW_BYTES)
+                else {
+                    return;
+                };
+                let (done, restarted) = (job.done.page(*chunk), job.restarted.page(*chunk));
                 writer.progress(&job.id, *chunk, done, restarted);
                 segment.chunks.push((*ix, *chunk));
                 segment.whole.push((*ix, *chunk));
@@ -228,34 +234,34 @@
 
     /// Adds the machine types, all parts at once: who reads some of them must not take a job
     /// for one that fits no type.
-    fn draft_types(&self, draft: &mut Draft) {
-        let Some(types) = &self.commits.types else { return };
-        let versions = &self.commits.types_versions;
-        let parts = stored_types::split(types, self.commits.value_bytes);
+    fn draft_types(&self, draft: &mut WriteBatch) {
+        let Some(types) = &self.log_writer.types else { return };
+        let versions = &self.log_writer.types_versions;
+        let parts = stored_types::split(types, self.log_writer.value_bytes);
         let stale = versions.iter().filter(|(part, _)| **part as usize >= parts.len());
         if !draft.fits(parts.len() + stale.clone().count()) {
             return;
         }
         for (part, types) in (0..).zip(&parts) {
             let version = versions.get(&part).copied().unwrap_or(0);
-            draft.put(keys::types_part(part), version, types);
+            draft.put(keys::machine_types_part(part), version, types);
         }
         for (part, version) in stale {
-            draft.delete(keys::types_part(*part), *version);
+            draft.delete(keys::machine_types_part(*part), *version);
         }
         draft.sent.types = Some(parts.len() as u32);
     }
 
-    pub(super) fn draft_clearing(&self, draft: &mut Draft) {
+    pub(super) fn draft_clearing(&self, draft: &mut WriteBatch) {
         self.draft_types(draft);
-        for machine in &self.commits.drains {
+        for machine in &self.log_writer.drains {
             if draft.fits(1) {
-                let version = self.commits.drain_versions.get(machine).copied().unwrap_or(0);
+                let version = self.log_writer.drain_versions.get(machine).copied().unwrap_or(0);
                 draft.delete(keys::drain(machine), version);
                 draft.sent.drains.push(machine.clone());
             }
         }
-        for ix in &self.commits.cleared {
+        for ix in &self.log_writer.cleared {
             let Some(job) = self.jobs.get(ix) else { continue };
             if !draft.fits(1) {
                 return;
@@ -267,14 +273,14 @@
 
     /// Whether a segment is the newest one that assigns an attempt.
     pub(super) fn assigns(&self, seq: u64, id: AttemptId) -> bool {
-        self.attempts.get(id).is_some_and(|attempt| attempt.logged == seq)
+        self.attempts.get(id).is_some_and(|attempt| attempt.segment == seq)
     }
 
     /// Whether what a segment tells of a chunk is told by no newer one.
     pub(super) fn tells(&self, seq: u64, job: u32, chunk: u32) -> bool {
         self.jobs.get(&job).is_some_and(|job| {
             job.final_state.is_none()
-                && job.progress_segment.get(&chunk).is_none_or(|told| *told <= seq)
+                && job.progress_segments.get(&chunk).is_none_or(|told| *told <= seq)
         })
     }
 }
--- a/crates/gladekeel-controller/src/leader/contact.rs
+++ b/crates/gladekeel-controller/src/leader/contact.rs
@@ -10,7 +10,7 @@
 
 /// Reports as they arrive, for all machines together and by zone.
 #[derive(Debug)]
-pub(super) struct Contact {
+pub(super) struct ZoneReachability {
     /// When any machine was heard.
     heard_at: f64,
     /// How many machines should report, as of the last look.
@@ -27,10 +27,10 @@
     heard_at: f64,
 }
 
-impl Contact {
+impl ZoneReachability {
     /// Nothing was heard yet; silence counts from now.
-    pub fn new(now: f64, workers: &WorkerTimings) -> Contact {
-        Contact {
+    pub fn new(now: f64, workers: &WorkerTimings) -> ZoneReachability {
+        ZoneReachability {
             heard_at: now,
             reporting: 0,
             zones: BTreeMap::new(),
@@ -40,25 +40,25 @@
     }
 
     /// Records that a machine of a zone was heard.
-    pub fn heard(&mut self, zone: u32, now: f64) {
+    pub fn record_heartbeat(&mut self, zone: u32, now: f64) {
         self.heard_at = now;
         self.zones.entry(zone).or_default().heard_at = now;
     }
 
     /// Sets how many machines should report, in all.
-    pub fn set_reporting(&mut self, all: usize) {
+    pub fn set_expected(&mut self, all: usize) {
         self.reporting = all;
     }
 
     /// Sets how many machines of a zone should report.
-    pub fn set_reporting_of(&mut self, zone: u32, all: usize, now: f64) {
+    pub fn set_expected_in(&mut self, zone: u32, all: usize, now: f64) {
         let new = Zone { reporting: 0, heard_at: now };
         self.zones.entry(zone).or_insert(new).reporting = all;
     }
 
     /// Whether none of a zone's machines is heard although by their number some should
     /// be: work that is placed there now would wait behind a cut.
-    pub fn is_quiet(&self, zone: u32, now: f64) -> bool {
+    pub fn is_unreachable(&self, zone: u32, now: f64) -> bool {
         self.zones.get(&zone).is_some_and(|zone| {
             let due_s = QUIET_REPORTS * self.report_s / zone.reporting.max(1) as f64;
             now - zone.heard_at > due_s.clamp(QUIET_LEAST_S, self.late_s)
@@ -66,8 +66,8 @@
     }
 
     /// The zones that are quiet.
-    pub fn quiet_zones(&self, now: f64) -> impl Iterator<Item = u32> {
-        self.zones.keys().copied().filter(move |zone| self.is_quiet(*zone, now))
+    pub fn unreachable_zones(&self, now: f64) -> impl Iterator<Item = u32> {
+        self.zones.keys().copied().filter(move |zone| self.is_unreachable(*zone, now))
     }
 
     /// Machines that should report, and how long none of them has.
--- a/crates/gladekeel-controller/src/leader/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/evacuation.rs
@@ -1,31 +1,37 @@
 //! Tasks on machines that go away: stopped in time, released once the machine is gone.
 
-use super::{Attempt, Job, Leader, Phase, StopReason, attempt::Outcome, machine::DeletionReason};
+use super::{
+    AssignmentPhase, Attempt, Job, Leader, StopReason, attempt::Outcome, machine::DeletionReason,
+};
 use std::collections::BTreeMap;
 
 impl Leader {
     /// Looks after machines that went away and tasks that must leave.
-    pub(super) fn watch_machines(&mut self, now: f64) {
+    pub(super) fn evacuate_leaving_machines(&mut self, now: f64) {
         let (mut release, mut withdraw, mut stop) = (Vec::new(), Vec::new(), Vec::new());
         self.cluster
             .leaving
-            .retain(|ix| self.cluster.machines.get(ix).is_some_and(|m| m.leaving()));
+            .retain(|ix| self.cluster.machines.get(ix).is_some_and(|m| m.is_leaving()));
         let mut taken = Vec::new();
         let mut heard = BTreeMap::new();
         for ix in &self.cluster.leaving {
             let Some(machine) = self.cluster.machines.get(ix) else { continue };
             // The cloud takes it: what is left on it is lost, and to know that for
             // certain it is deleted.
-            let over = machine.leaves_at.is_some_and(|at| now >= at || machine.attempts.is_empty());
-            if over && machine.delete.is_none() {
+            let over =
+                machine.termination_at.is_some_and(|at| now >= at || machine.attempts.is_empty());
+            if over && machine.deletion_reason.is_none() {
                 taken.push(*ix);
             }
             for id in &machine.attempts {
                 match self.attempts.get(*id) {
-                    Some(attempt) if attempt.phase == Phase::Proposed => withdraw.push(*id),
-                    Some(_) if machine.gone => release.push(*id),
+                    Some(attempt) if attempt.phase == AssignmentPhase::Proposed => {
+                        withdraw.push(*id);
+                    }
+                    Some(_) if machine.deleted => release.push(*id),
                     Some(attempt)
-                        if attempt.stop.is_none() && self.must_leave(now, attempt, &mut heard) =>
+                        if attempt.stop_reason.is_none()
+                            && self.must_leave(now, attempt, &mut heard) =>
                     {
                         stop.push(*id);
                     }
@@ -40,7 +46,7 @@
                     tasks = machine.attempts.len(),
                     "taken: deleted"
                 );
-                machine.delete = Some(DeletionReason::Taken);
+                machine.deletion_reason = Some(DeletionReason::SpotTermination);
             }
         }
         for id in stop {
@@ -49,15 +55,15 @@
                 self.stop_gang(job, StopReason::Drained);
             } else {
                 let machine = self.attempts.update(id, |attempt| {
-                    attempt.stop = Some(StopReason::Drained);
+                    attempt.stop_reason = Some(StopReason::Drained);
                     attempt.machine
                 });
-                self.direct.wanted.extend(machine);
+                self.commands.wanted.extend(machine);
             }
         }
         self.withdraw(&withdraw, now);
         for id in release {
-            self.release(id, Outcome::Again);
+            self.release(id, Outcome::Requeued);
         }
     }
 
@@ -70,14 +76,14 @@
         else {
             return false;
         };
-        let Some(left_s) = machine.leaves_at.map(|at| at - now) else {
-            return machine.drained
+        let Some(left_s) = machine.termination_at.map(|at| at - now) else {
+            return machine.draining
                 && job.spec.checkpoint_interval_s > 0.0
-                && attempt.seen.is_some()
+                && attempt.reported_state.is_some()
                 && (!job.is_gang() || self.all_heard(attempt.job, now, heard));
         };
-        let run_s = job.median().unwrap_or_else(|| self.expected_run(job));
-        let ran = attempt.run_since.map_or(0.0, |since| now - since);
+        let run_s = job.median_run_time_s().unwrap_or_else(|| self.expected_run(job));
+        let ran = attempt.running_since.map_or(0.0, |since| now - since);
         let too_long = run_s - ran > left_s - 0.5;
         if !job.is_gang() || job.spec.checkpoint_interval_s == 0.0 {
             return too_long;
@@ -85,18 +91,18 @@
         // A gang with too little time to save would fall back to its last checkpoint by
         // being stopped as by losing the machine; running on it may reach another one.
         too_long
-            && left_s > job.grace(StopReason::Drained)
+            && left_s > job.grace_period_s(StopReason::Drained)
             && self.all_heard(attempt.job, now, heard)
     }
 
     /// Whether all machines of a gang are heard, so that a stop reaches all its tasks.
     /// `heard` keeps the answers that were worked out at the same time already.
     pub(super) fn all_heard(&self, job_ix: u32, now: f64, heard: &mut BTreeMap<u32, bool>) -> bool {
-        let late_s = self.params.workers.heartbeat_timeout_s();
+        let late_s = self.deployment.workers.heartbeat_timeout_s();
         *heard.entry(job_ix).or_insert_with(|| {
             self.attempts.of_job(job_ix).machines().all(|ix| {
                 let machine = self.cluster.machines.get(&ix);
-                machine.is_some_and(|m| now - m.quiet_since < late_s && m.unheard_answers == 0)
+                machine.is_some_and(|m| now - m.silent_since < late_s && m.missed_acks == 0)
             })
         })
     }
--- a/crates/gladekeel-controller/src/leader/exits.rs
+++ b/crates/gladekeel-controller/src/leader/exits.rs
@@ -43,8 +43,8 @@
         let ended = Ended {
             job: attempt.job,
             machine: attempt.machine,
-            stop: attempt.stop,
-            ran_s: attempt.run_since.filter(|_| !attempt.restored).map(|since| now - since),
+            stop: attempt.stop_reason,
+            ran_s: attempt.running_since.filter(|_| !attempt.recovered).map(|since| now - since),
         };
         let known = self.jobs.contains_key(&ended.job)
             && self.cluster.machines.contains_key(&ended.machine);
@@ -69,13 +69,15 @@
     fn outcome_of(&mut self, now: f64, ended: Ended, reported: &TaskStatus) -> Outcome {
         match reported.cause {
             Some(ExitCause::Done) => return self.on_done(now, ended),
-            Some(ExitCause::Stopped) if ended.stop == Some(StopReason::Slow) => {
-                self.cluster.counts.restarts += 1;
-                return Outcome::Restart;
+            Some(ExitCause::Stopped) if ended.stop == Some(StopReason::Straggler) => {
+                self.cluster.counters.restarts += 1;
+                return Outcome::Restarted;
             }
             Some(ExitCause::Stopped) => {}
-            Some(ExitCause::GangMemberLost) => self.stop_gang(ended.job, StopReason::Regroup),
-            Some(ExitCause::GangIncomplete) => self.stop_gang(ended.job, StopReason::Incomplete),
+            Some(ExitCause::GangMemberLost) => self.stop_gang(ended.job, StopReason::GangRestart),
+            Some(ExitCause::GangIncomplete) => {
+                self.stop_gang(ended.job, StopReason::GangIncomplete);
+            }
             Some(ExitCause::Error) => self.on_error(now, ended),
             Some(
                 ExitCause::InsufficientResources
@@ -87,26 +89,27 @@
                 self.on_refusal(now, ended, reported);
             }
         }
-        Outcome::Again
+        Outcome::Requeued
     }
 
     fn on_done(&mut self, now: f64, ended: Ended) -> Outcome {
-        let Some(job) = self.jobs.get_mut(&ended.job) else { return Outcome::Again };
+        let Some(job) = self.jobs.get_mut(&ended.job) else { return Outcome::Requeued };
         if job.spec.kind == JobKind::Service {
             // A service is done when it is cancelled, and not before.
-            job.hold_until = now + SERVICE_AGAIN_S;
-            return Outcome::Again;
+            job.backoff_until = now + SERVICE_AGAIN_S;
+            return Outcome::Requeued;
         }
         job.failures = 0;
         job.failed_on.clear();
         if let Some(machine) = self.cluster.machines.get_mut(&ended.machine) {
-            machine.failures = 0;
+            machine.consecutive_failures = 0;
         }
         if let Some(ran_s) = ended.ran_s {
             job.record_run(ran_s);
             let (least, most) = RATIO_RANGE;
             let ratio = (ran_s / job.spec.estimate_s.max(MIN_ESTIMATE_S)).clamp(least, most);
-            let learned = self.cluster.ratios.entry(job.spec.class.clone()).or_insert(ratio);
+            let learned =
+                self.cluster.run_time_ratios.entry(job.spec.class.clone()).or_insert(ratio);
             *learned += (ratio - *learned) * RATIO_WEIGHT;
         }
         Outcome::Done
@@ -115,7 +118,7 @@
     /// A task has failed: its job is to blame if that happens to it on every machine, else
     /// the machine.
     fn on_error(&mut self, now: f64, ended: Ended) {
-        self.cluster.counts.failures += 1;
+        self.cluster.counters.failures += 1;
         let others = self.attempts.of_job(ended.job).unfinished();
         let Some(job) = self.jobs.get_mut(&ended.job) else { return };
         job.failures += 1;
@@ -131,7 +134,7 @@
         }
         if is_gang {
             // It had started, so the others end as well.
-            self.stop_gang(ended.job, StopReason::Regroup);
+            self.stop_gang(ended.job, StopReason::GangRestart);
         }
     }
 
@@ -139,10 +142,10 @@
     fn pause_faulty_job(&mut self, now: f64, job: u32) {
         let Some(job) = self.jobs.get_mut(&job) else { return };
         let pause_s = f64::from(1 << job.failures.min(MAX_PAUSE_DOUBLINGS));
-        job.hold_until = now + pause_s.min(MAX_JOB_PAUSE_S);
+        job.backoff_until = now + pause_s.min(MAX_JOB_PAUSE_S);
         for machine in &job.failed_on {
             if let Some(machine) = self.cluster.machines.get_mut(machine) {
-                machine.failures = 0;
+                machine.consecutive_failures = 0;
             }
         }
         tracing::info!(job = %job.id, failures = job.failures, "a job fails on every machine");
@@ -151,18 +154,19 @@
     /// Counts a failure against a machine, which goes back when it fails too often.
     fn count_machine_failure(&mut self, now: f64, ix: u32) {
         let Some(machine) = self.cluster.machines.get_mut(&ix) else { return };
-        machine.failures += 1;
-        machine.hold_until = now + AFTER_FAILURE_S;
-        if machine.failures >= MAX_MACHINE_FAILURES && machine.delete.is_none() {
+        machine.consecutive_failures += 1;
+        machine.quarantined_until = now + AFTER_FAILURE_S;
+        if machine.consecutive_failures >= MAX_MACHINE_FAILURES && machine.deletion_reason.is_none()
+        {
             tracing::info!(machine = machine.name, "a machine fails its tasks: returned");
-            machine.delete = Some(DeletionReason::FailsTasks);
+            machine.deletion_reason = Some(DeletionReason::RepeatedTaskFailures);
             self.cluster.leaving.insert(ix);
         }
     }
 
     fn on_refusal(&mut self, now: f64, ended: Ended, reported: &TaskStatus) {
         let Some(machine) = self.cluster.machines.get_mut(&ended.machine) else { return };
-        machine.hold_until = now + AFTER_REFUSAL_S;
+        machine.quarantined_until = now + AFTER_REFUSAL_S;
         tracing::warn!(
             machine = machine.name,
             task = %reported.task,
--- a/crates/gladekeel-controller/src/leader/gangs.rs
+++ b/crates/gladekeel-controller/src/leader/gangs.rs
@@ -11,21 +11,21 @@
     /// can be replaced under the same number while the others wait. Of what an earlier
     /// leader placed it is not known whether it has run.
     pub(super) fn still_waits(&self, job_ix: u32) -> bool {
-        self.jobs.contains_key(&job_ix) && self.attempts.of_job(job_ix).none_begun()
+        self.jobs.contains_key(&job_ix) && self.attempts.of_job(job_ix).none_started()
     }
 
     /// Gangs that lack a task and find no place for it begin anew, rather than hold
     /// machines until they give up by themselves.
     pub(super) fn end_incomplete(&mut self, now: f64) {
         let gangs = self.jobs.iter().filter(|(ix, job)| {
-            let waits_s = job.waits_since.map_or(0.0, |since| now - since);
+            let waits_s = job.waiting_since.map_or(0.0, |since| now - since);
             job.is_gang()
                 && !self.attempts.of_job(**ix).is_empty()
                 && !job.pending.is_empty()
                 && waits_s > REPLACE_S
         });
         for ix in gangs.map(|(ix, _)| *ix).collect::<Vec<_>>() {
-            self.stop_gang(ix, StopReason::Regroup);
+            self.stop_gang(ix, StopReason::GangRestart);
         }
     }
 
@@ -37,12 +37,12 @@
         }
         // Each task that ends asks for this: only the first time there is something to
         // stop, and the machines are gathered when the next command is sent.
-        self.direct.gangs.insert(job_ix);
+        self.commands.gangs.insert(job_ix);
         if self.attempts.of_job(job_ix).all_stopping() {
             return;
         }
         for id in self.attempts.ids_of_job(job_ix) {
-            self.attempts.update(id, |attempt| _ = attempt.stop.get_or_insert(why));
+            self.attempts.update(id, |attempt| _ = attempt.stop_reason.get_or_insert(why));
         }
     }
 
@@ -51,7 +51,7 @@
     pub(super) fn reported_attempt(&self, id: AttemptId) -> u64 {
         let Some(attempt) = self.attempts.get(id) else { return id.logged() };
         let gang = self.jobs.get(&attempt.job).is_some_and(Job::is_gang);
-        if gang { id.gang_number(attempt.index) } else { id.logged() }
+        if gang { id.gang_number(attempt.task_index) } else { id.logged() }
     }
 
     /// The attempt that a worker speaks of.
--- a/crates/gladekeel-controller/src/leader/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/liveness.rs
@@ -1,7 +1,7 @@
 //! Which machines are dead, and which may outlast the time that a cancelled job has.
 
-use super::{Leader, Machine, Phase, machine::DeletionReason};
-use crate::options::Options;
+use super::{AssignmentPhase, Leader, Machine, machine::DeletionReason};
+use crate::runtime_settings::RuntimeSettings;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long others of its zone answer while a machine does not answer: it is asked
@@ -36,39 +36,41 @@
     /// Leases end most of what is out of reach in time, but a machine that hangs ends
     /// none, and what the cloud deletes is gone for certain.
     pub(super) fn end_cancelled(&mut self, now: f64) {
-        let workers = &self.params.workers;
+        let workers = &self.deployment.workers;
         // A new leader may not know when the user was told; the machines that it hears
         // are given time to say that they have stopped.
         let known_by = self.since + workers.heartbeat_timeout_s() + 2.0;
         let mut over = Vec::new();
-        self.ending.retain(|ix| {
+        self.cancelled_on_machines.retain(|ix| {
             let Some(job) = self.jobs.get(ix) else { return false };
-            let until = match job.cancelled_after {
+            let until = match job.cancelled_no_earlier_than {
                 f64::NEG_INFINITY => known_by,
                 after => after + workers.cancellation_deadline_s - DELETE_S,
             };
             if now >= until {
                 let ids = self.attempts.of_job(*ix).ids();
                 let attempts = ids.iter().filter_map(|id| self.attempts.get(*id));
-                over.extend(attempts.filter(|a| a.phase == Phase::Live).map(|a| a.machine));
+                over.extend(
+                    attempts.filter(|a| a.phase == AssignmentPhase::Committed).map(|a| a.machine),
+                );
             }
             !self.attempts.of_job(*ix).is_empty()
         });
         for ix in over {
             let Some(machine) = self.cluster.machines.get_mut(&ix) else { continue };
-            if machine.delete.is_none() && !machine.gone {
+            if machine.deletion_reason.is_none() && !machine.deleted {
                 tracing::info!(machine = machine.name, "may still run a cancelled task: deleted");
-                machine.delete = Some(DeletionReason::RunsCancelled);
+                machine.deletion_reason = Some(DeletionReason::CancelledTaskMayRun);
                 self.cluster.leaving.insert(ix);
             }
         }
     }
 
     /// Marks machines that are dead: silent, failed to boot, taken.
-    pub(super) fn find_dead(
+    pub(super) fn detect_failures(
         &mut self,
         now: f64,
-        options: &Options,
+        options: &RuntimeSettings,
         own_zone: &str,
         heard_zones: &[&str],
     ) {
@@ -80,20 +82,21 @@
         self.note_reach(now, &survey);
         let limits = self.silence_limits(now, options);
         for (ix, machine) in &mut self.cluster.machines {
-            if machine.delete.is_some() || machine.gone {
+            if machine.deletion_reason.is_some() || machine.deleted {
                 continue;
             }
-            let kind =
-                machine.kind.and_then(|kind| self.catalog.types.get(kind as usize)?.as_ref());
+            let kind = machine
+                .machine_type
+                .and_then(|kind| self.catalog.machine_types.get(kind as usize)?.as_ref());
             let boot_s = kind.map_or(UNKNOWN_BOOT_S, |kind| kind.boot_s);
-            let reached = self.cluster.reached_since.get(&machine.zone);
+            let reached = self.cluster.zones_reachable_since.get(&machine.zone);
             let reached_s = reached.map_or(-1.0, |since| now - since);
             if machine.is_late(now, &limits) {
-                self.direct.probes_wanted.insert(*ix);
+                self.commands.probes_wanted.insert(*ix);
             }
             let reason = machine.reason_to_delete(now, &limits, &survey, reached_s, boot_s);
             if reason.is_some() {
-                machine.delete = reason;
+                machine.deletion_reason = reason;
                 self.cluster.leaving.insert(*ix);
             }
         }
@@ -101,18 +104,23 @@
 
     /// Who is heard and who has answered, by zone. `joined` are the zones of the leader and
     /// of the controllers that it hears.
-    fn survey(&self, now: f64, options: &Options, joined: BTreeSet<u32>) -> Survey {
+    fn survey(
+        &self,
+        now: f64,
+        options: &RuntimeSettings,
+        joined: BTreeSet<u32>,
+    ) -> ClusterObservation {
         // A zone's silence must show well before a machine counts as dead.
-        let heard_s = HEARD_PART * options.silent_s;
-        let mut survey = Survey { joined, ..Survey::default() };
-        for machine in self.cluster.machines.values().filter(|m| m.should_report()) {
+        let heard_s = HEARD_PART * options.unreachable_after_s;
+        let mut survey = ClusterObservation { joined, ..ClusterObservation::default() };
+        for machine in self.cluster.machines.values().filter(|m| m.should_send_heartbeats()) {
             let zone = survey.zones.entry(machine.zone).or_default();
             zone.reporting += 1;
-            if now - machine.quiet_since < heard_s {
+            if now - machine.silent_since < heard_s {
                 zone.heard += 1;
                 survey.heard_any = true;
             }
-            zone.answered_at = zone.answered_at.max(machine.answered_at);
+            zone.answered_at = zone.answered_at.max(machine.last_probe_answer);
         }
         survey
     }
@@ -120,33 +128,33 @@
     /// Notes how many machines should report, and which zones are within reach. Silence
     /// counts only while a zone is: right after a cut its machines have been silent for
     /// long and are about to be heard again.
-    fn note_reach(&mut self, now: f64, survey: &Survey) {
-        self.contact.set_reporting(survey.zones.values().map(|zone| zone.reporting).sum());
+    fn note_reach(&mut self, now: f64, survey: &ClusterObservation) {
+        self.reachability.set_expected(survey.zones.values().map(|zone| zone.reporting).sum());
         for (zone, view) in &survey.zones {
             if let Some(zone) = zone {
                 // One that was not heard of yet is given time.
-                self.contact.set_reporting_of(*zone, view.reporting, now);
+                self.reachability.set_expected_in(*zone, view.reporting, now);
             }
         }
-        let since = &mut self.cluster.reached_since;
+        let since = &mut self.cluster.zones_reachable_since;
         since.retain(|zone, _| survey.zones.contains_key(zone) && survey.in_reach(*zone));
         for zone in survey.zones.keys().filter(|zone| survey.in_reach(**zone)) {
             since.entry(*zone).or_insert(now);
         }
     }
 
-    fn silence_limits(&self, now: f64, options: &Options) -> SilenceLimits {
-        let workers = &self.params.workers;
+    fn silence_limits(&self, now: f64, options: &RuntimeSettings) -> DetectionThresholds {
+        let workers = &self.deployment.workers;
         let late_s = workers.heartbeat_timeout_s();
-        SilenceLimits {
+        DetectionThresholds {
             ask_s: workers.probe_after_s(),
             asks_unknown: self.cluster.machines.len() as f64
-                <= ASKED_A_CORE * self.params.limits.cpu_share,
+                <= ASKED_A_CORE * self.deployment.limits.cpu_share,
             late_s,
             lease_s: workers.lease_s,
-            silent_s: options.silent_s,
+            silent_s: options.unreachable_after_s,
             mute_s: MUTE_REPORTS * late_s + MUTE_MARGIN_S,
-            cut_s: (workers.lease_s + 2.0 * options.silent_s)
+            cut_s: (workers.lease_s + 2.0 * options.unreachable_after_s)
                 .min(workers.cancellation_deadline_s - GIVE_UP_S),
             cancellations_due: now
                 >= self.store_contact_at + workers.cancellation_deadline_s - DELETE_S,
@@ -155,7 +163,7 @@
 }
 
 /// For how long silence means what.
-struct SilenceLimits {
+struct DetectionThresholds {
     /// A machine is asked.
     ask_s: f64,
     /// Machines that this leader has not heard yet are asked at once.
@@ -177,8 +185,8 @@
 
 /// Who was heard, as of one look at all machines.
 #[derive(Default)]
-struct Survey {
-    zones: BTreeMap<Option<u32>, ZoneSurvey>,
+struct ClusterObservation {
+    zones: BTreeMap<Option<u32>, ZoneObservation>,
     /// Zones of the leader and of the controllers that it hears.
     joined: BTreeSet<u32>,
     heard_any: bool,
@@ -186,7 +194,7 @@
 
 /// Who was heard in a zone.
 #[derive(Default)]
-struct ZoneSurvey {
+struct ZoneObservation {
     reporting: usize,
     heard: usize,
     /// When one of its machines last answered a direct request.
@@ -207,7 +215,7 @@
     }
 }
 
-impl Survey {
+impl ClusterObservation {
     /// Whether a controller is in the zone, or the zone is not known.
     fn is_joined(&self, zone: Option<u32>) -> bool {
         zone.is_none_or(|zone| self.joined.contains(&zone))
@@ -232,46 +240,46 @@
 impl Machine {
     /// Whether it is asked whether it is there: it is late, or it was up before this leader
     /// began, so that its tasks are known before its next report.
-    fn is_late(&self, now: f64, limits: &SilenceLimits) -> bool {
-        let unknown = self.heard_at.is_none() && self.was_up();
-        self.should_report()
+    fn is_late(&self, now: f64, limits: &DetectionThresholds) -> bool {
+        let unknown = self.last_seen.is_none() && self.has_booted();
+        self.should_send_heartbeats()
             && !self.is_empty_and_drained()
             && !self.reports_to_nobody(now, limits)
-            && (now - self.quiet_since > limits.ask_s || (unknown && limits.asks_unknown))
+            && (now - self.silent_since > limits.ask_s || (unknown && limits.asks_unknown))
     }
 
     fn is_empty_and_drained(&self) -> bool {
-        self.drained && self.attempts.is_empty()
+        self.draining && self.attempts.is_empty()
     }
 
     /// Whether it answers, but its lease has run out: nobody hears its reports, and it would
     /// lose every long task again and again.
-    fn reports_to_nobody(&self, now: f64, limits: &SilenceLimits) -> bool {
-        let answers_s = self.answers_since.map_or(0.0, |since| now - since);
+    fn reports_to_nobody(&self, now: f64, limits: &DetectionThresholds) -> bool {
+        let answers_s = self.answering_probes_since.map_or(0.0, |since| now - since);
         answers_s > limits.mute_s
-            && now - self.quiet_since < limits.late_s
-            && self.newest.0 > self.reported.1
+            && now - self.silent_since < limits.late_s
+            && self.newest_message.0 > self.last_heartbeat.1
     }
 
     /// Why it is to be deleted, if it is: what it says, or that it says nothing.
     fn reason_to_delete(
         &mut self,
         now: f64,
-        limits: &SilenceLimits,
-        survey: &Survey,
+        limits: &DetectionThresholds,
+        survey: &ClusterObservation,
         reached_s: f64,
         boot_s: f64,
     ) -> Option<DeletionReason> {
-        let quiet = now - self.quiet_since;
+        let quiet = now - self.silent_since;
         if self.is_empty_and_drained() {
             tracing::info!(machine = self.name, "drained: returned");
             return Some(DeletionReason::Drained);
         }
         if self.reports_to_nobody(now, limits) {
             tracing::info!(machine = self.name, quiet, "reports to nobody: deleted");
-            return Some(DeletionReason::ReportsToNobody);
+            return Some(DeletionReason::OutboundPartition);
         }
-        if !self.should_report() {
+        if !self.should_send_heartbeats() {
             // One that was up already has not reported to this leader yet; it may be
             // about to.
             let booted_s = now - self.rented_at;
@@ -280,12 +288,12 @@
                 return None;
             }
             tracing::info!(machine = self.name, "never came up: deleted");
-            return Some(DeletionReason::NeverCameUp);
+            return Some(DeletionReason::BootTimeout);
         }
         // It may report to another node and be well, or a cut may have begun when it was
         // about to report, or no worker can be reached from here: its silence counts only if
         // it does not answer while others of its zone do.
-        if self.mute_since.is_some_and(|mute| survey.answered_after(self.zone, mute)) {
+        if self.unresponsive_since.is_some_and(|mute| survey.answered_after(self.zone, mute)) {
             self.suspect_since.get_or_insert(now);
         }
         let dead = self.suspect_since.is_some_and(|since| now - since >= SUSPECT_S);
@@ -300,6 +308,6 @@
             return None;
         }
         tracing::info!(machine = self.name, quiet, "silent: deleted");
-        Some(DeletionReason::Silent)
+        Some(DeletionReason::HeartbeatTimeout)
     }
 }
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -31,33 +31,33 @@
 mod timers;
 mod zone_bound;
 
-pub use attempt::{Attempt, Phase, StopReason};
+pub use attempt::{AssignmentPhase, Attempt, StopReason};
 pub use attempt_id::AttemptId;
-pub use direct::{DirectCall, DirectOutcome};
+pub use direct::{WorkerOutcome, WorkerRequest};
 pub use job::Job;
 pub use machine::Machine;
-pub use spend::Spend;
+pub use spend::CostBreakdown;
 
 use crate::{
-    cloud::{CloudCall, CloudOutcome},
-    log::{self, Unreadable},
-    options::Options,
-    sockets::Sockets,
-    world::World,
+    assignment_log::{self, UnreadableSegment},
+    cloud_api::{CloudOutcome, CloudRequest},
+    runtime_settings::RuntimeSettings,
+    socket_budget::SocketBudget,
+    store_view::StoreView,
 };
-use attempts::Attempts;
+use attempts::AttemptTable;
 use catalog::Catalog;
-use cloud_calls::CloudCalls;
-use commit::Commits;
+use cloud_calls::CloudRequestQueue;
+use commit::AssignmentLogWriter;
 pub use commit::LogRow;
-use contact::Contact;
-use direct::DirectQueue;
+use contact::ZoneReachability;
+use direct::CommandQueue;
 use gladekeel_sched::{Interner, Resources, cycle::TeamQuota};
 use gladekeel_wire::{
     JobId, cloud::MachineTypes, job::MAX_TASKS, settings::Deployment, store::Transaction,
 };
 use sizing::Demand;
-use standby::Standby;
+use standby::WarmPool;
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
     rc::Rc,
@@ -70,7 +70,7 @@
 
 /// What a leader counts.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Counts {
+pub struct LeaderCounters {
     /// Tasks whose start was committed.
     pub starts: u64,
     /// Tasks restarted for slowness.
@@ -84,9 +84,9 @@
     /// Machines deleted.
     pub deleted: u64,
     /// Rounds of decisions.
-    pub rounds: u64,
+    pub scheduling_cycles: u64,
     /// How often a machine was looked at in placing.
-    pub looked: u64,
+    pub machines_examined: u64,
     /// How often an attempt was looked at.
     pub attempt_lookups: u64,
     /// Commits made, and writes in them.
@@ -94,7 +94,7 @@
     /// Writes in them.
     pub writes: u64,
     /// Estimate of the money spent, by what machines were doing.
-    pub spend: Spend,
+    pub cost: CostBreakdown,
 }
 
 /// The cluster as reports and the cloud describe it, as opposed to what is in the store.
@@ -107,15 +107,15 @@
     machines: BTreeMap<u32, Machine>,
     /// Machines that may be on their way out; [`Machine::leaving`] says which are.
     leaving: BTreeSet<u32>,
-    cloud: CloudCalls,
+    cloud: CloudRequestQueue,
     demand: Demand,
-    standby: Standby,
+    warm_pool: WarmPool,
     /// Since when each zone has been within reach.
-    reached_since: BTreeMap<Option<u32>, f64>,
+    zones_reachable_since: BTreeMap<Option<u32>, f64>,
     /// Run time over the owner's estimate, learned by class.
-    ratios: HashMap<String, f64>,
+    run_time_ratios: HashMap<String, f64>,
     /// Counters.
-    pub counts: Counts,
+    pub counters: LeaderCounters,
 }
 
 impl ClusterState {
@@ -124,18 +124,18 @@
     fn renew(&mut self) {
         for machine in self.machines.values_mut() {
             machine.attempts.clear();
-            machine.used = Default::default();
-            machine.awaited = Default::default();
+            machine.requested = Default::default();
+            machine.expected_effects = Default::default();
             // Nothing under an older token can start once the worker has seen this one.
-            machine.open_starts.clear();
-            machine.direct_in_flight = false;
+            machine.unsettled_starts.clear();
+            machine.command_in_flight = false;
         }
     }
 }
 
 /// How a leader begins.
 #[derive(Debug)]
-pub struct Start {
+pub struct LeaderTerm {
     /// Its token.
     pub token: u64,
     /// The time.
@@ -143,7 +143,7 @@
     /// Time of day at time 0.
     pub epoch: f64,
     /// The deployment.
-    pub params: Rc<Deployment>,
+    pub deployment: Rc<Deployment>,
     /// A random number of its own.
     pub salt: u64,
 }
@@ -157,32 +157,32 @@
     since: f64,
     /// Time of day at time 0.
     epoch: f64,
-    params: Rc<Deployment>,
+    deployment: Rc<Deployment>,
     catalog: Catalog,
     cluster: ClusterState,
     jobs: BTreeMap<u32, Job>,
     job_names: Interner<JobId>,
-    attempts: Attempts,
+    attempts: AttemptTable,
     teams: Vec<TeamQuota>,
-    commits: Commits,
+    log_writer: AssignmentLogWriter,
     next_attempt: u64,
     timers: Timers,
-    spend_at: f64,
-    spend_told: f64,
-    contact: Contact,
+    cost_counted_at: f64,
+    cost_logged_at: f64,
+    reachability: ZoneReachability,
     /// When the request was sent whose answer is the last one of the state service.
     store_contact_at: f64,
     /// Where the search for slow machines goes on.
-    slow_from: u32,
+    straggler_cursor: u32,
     salt: u64,
-    fence: bool,
+    needs_new_token: bool,
     /// See [`Leader::stop_placing`].
-    placing_stopped: bool,
-    direct: DirectQueue,
+    scheduling_suspended: bool,
+    commands: CommandQueue,
     /// Jobs whose counts have changed since they were last published.
-    changed_counts: BTreeSet<u32>,
+    changed_progress: BTreeSet<u32>,
     /// Cancelled jobs of which something may still be on a machine.
-    ending: BTreeSet<u32>,
+    cancelled_on_machines: BTreeSet<u32>,
 }
 
 impl Leader {
@@ -193,16 +193,16 @@
     /// there is proof of the contrary; a task without one is on no machine, since no
     /// `run` is sent without a commit that this token would have made fail.
     pub fn new(
-        world: &World,
+        store: &StoreView,
         rows: Vec<LogRow>,
-        start: Start,
+        start: LeaderTerm,
         cluster: Option<ClusterState>,
-    ) -> Result<Leader, Unreadable> {
-        let Start { token, now, epoch, params, salt } = start;
+    ) -> Result<Leader, UnreadableSegment> {
+        let LeaderTerm { token, now, epoch, deployment, salt } = start;
         let mut cluster = cluster.unwrap_or_default();
         let mut catalog = std::mem::take(&mut cluster.catalog);
-        catalog.renew(&params, world.types.all());
-        let teams = params
+        catalog.renew(&deployment, store.machine_types.all());
+        let teams = deployment
             .teams
             .iter()
             .map(|team| TeamQuota {
@@ -213,9 +213,9 @@
             .collect();
         let mut segments = rows
             .into_iter()
-            .map(|row| Ok((row.slot, row.version, log::decode(&row.text)?)))
-            .collect::<Result<Vec<_>, Unreadable>>()?;
-        segments.sort_by_key(|(_, _, segment)| segment.seq);
+            .map(|row| Ok((row.slot, row.version, assignment_log::decode(&row.text)?)))
+            .collect::<Result<Vec<_>, UnreadableSegment>>()?;
+        segments.sort_by_key(|(_, _, segment)| segment.sequence);
         let mut leader = Leader {
             token,
             since: now,
@@ -224,34 +224,34 @@
             cluster,
             jobs: BTreeMap::new(),
             job_names: Interner::default(),
-            attempts: Attempts::default(),
+            attempts: AttemptTable::default(),
             teams,
-            commits: Commits::new(&params, world),
+            log_writer: AssignmentLogWriter::new(&deployment, store),
             next_attempt: token * ATTEMPTS_PER_TOKEN,
             timers: Timers::new(now),
-            spend_at: now,
-            spend_told: now,
-            contact: Contact::new(now, &params.workers),
+            cost_counted_at: now,
+            cost_logged_at: now,
+            reachability: ZoneReachability::new(now, &deployment.workers),
             store_contact_at: now,
-            slow_from: 0,
+            straggler_cursor: 0,
             salt,
-            fence: false,
-            placing_stopped: false,
-            direct: DirectQueue::new(Sockets::of(&params.limits).calls),
-            changed_counts: BTreeSet::new(),
-            ending: BTreeSet::new(),
-            params,
+            needs_new_token: false,
+            scheduling_suspended: false,
+            commands: CommandQueue::new(SocketBudget::new(&deployment.limits).worker_calls),
+            changed_progress: BTreeSet::new(),
+            cancelled_on_machines: BTreeSet::new(),
+            deployment,
         };
         leader.cluster.renew();
         let mut ids: Vec<(&JobId, u64)> =
-            world.jobs.iter().map(|(id, job)| (id, job.version)).collect();
+            store.jobs.iter().map(|(id, job)| (id, job.version)).collect();
         ids.sort_by_key(|(_, version)| *version);
         for (id, _) in ids {
-            leader.add_job(world, id, now);
+            leader.add_job(store, id, now);
         }
         leader.replay(segments, now);
-        for name in world.drains.keys() {
-            leader.apply_drain(world, name);
+        for name in store.drain_orders.keys() {
+            leader.apply_drain(store, name);
         }
         tracing::info!(
             token,
@@ -268,8 +268,8 @@
     }
 
     /// Counters so far.
-    pub fn counts(&self) -> &Counts {
-        &self.cluster.counts
+    pub fn counters(&self) -> &LeaderCounters {
+        &self.cluster.counters
     }
 
     /// Applies machine types that were read from the store.
@@ -296,8 +296,8 @@
     }
 
     /// Whether the leader wants a new token before it goes on: a commit had no answer.
-    pub fn wants_fence(&self) -> bool {
-        self.fence
+    pub fn needs_new_token(&self) -> bool {
+        self.needs_new_token
             || self.next_attempt + 2 * u64::from(MAX_TASKS) > (self.token + 1) * ATTEMPTS_PER_TOKEN
     }
 
@@ -308,7 +308,7 @@
 
     /// Machines that should report, and how long none of them has.
     pub fn silence(&self, now: f64) -> (usize, f64) {
-        self.contact.silence(now)
+        self.reachability.silence(now)
     }
 
     /// Time at which this token began.
@@ -327,62 +327,62 @@
 
     /// Decides what is due: a round, the fleet's size. `zone` is the leader's own,
     /// `heard_zones` are those of the controllers that it hears.
-    pub fn tick(&mut self, now: f64, options: &Options, zone: &str, heard_zones: &[&str]) {
+    pub fn tick(&mut self, now: f64, options: &RuntimeSettings, zone: &str, heard_zones: &[&str]) {
         self.timers.tick(now);
-        self.cluster.counts.attempt_lookups += self.attempts.take_lookups();
-        self.watch_machines(now);
-        self.fence |= self.has_unsettled_start(now);
+        self.cluster.counters.attempt_lookups += self.attempts.take_lookups();
+        self.evacuate_leaving_machines(now);
+        self.needs_new_token |= self.has_unsettled_start(now);
         // What looks at every machine is done once a round at the most. Dead machines are
         // found also while a new token is awaited: that may take as long as an outage.
         let upkeep = self.timers.upkeep_due(now, options);
         if upkeep {
-            self.direct.retry_stops();
-            self.find_dead(now, options, zone, heard_zones);
+            self.commands.retry_stops();
+            self.detect_failures(now, options, zone, heard_zones);
             self.end_cancelled(now);
         }
-        if self.fence || self.placing_stopped {
+        if self.needs_new_token || self.scheduling_suspended {
             return;
         }
-        if self.timers.round_due(now, options) {
-            self.cluster.counts.rounds += 1;
-            self.round(now, options);
+        if self.timers.cycle_due(now, options) {
+            self.cluster.counters.scheduling_cycles += 1;
+            self.run_scheduling_cycle(now, options);
         }
         if upkeep {
-            self.restart_slow(now, options);
-            self.make_room(now, options);
-            self.count_spend(now);
+            self.restart_stragglers(now, options);
+            self.preempt_for_waiting_jobs(now, options);
+            self.count_cost(now);
             self.end_incomplete(now);
-            self.keep_standby(now);
-            self.size_fleet(now, options);
+            self.maintain_warm_pool(now);
+            self.autoscale(now, options);
         }
     }
 
     /// Places nothing, and makes no room, as long as `stopped` holds: something in the store
     /// cannot be read. What runs goes on, and cancellations end what they should.
-    pub fn stop_placing(&mut self, stopped: bool) {
-        self.placing_stopped = stopped;
+    pub fn suspend_scheduling(&mut self, stopped: bool) {
+        self.scheduling_suspended = stopped;
     }
 
     /// The next request to the cloud, if one is due.
-    pub fn next_cloud(&mut self, now: f64) -> Option<CloudCall> {
+    pub fn next_cloud(&mut self, now: f64) -> Option<CloudRequest> {
         self.next_cloud_call(now)
     }
 
     /// Applies an answer of the cloud.
-    pub fn cloud_answered(&mut self, now: f64, call: &CloudCall, outcome: CloudOutcome) {
+    pub fn cloud_answered(&mut self, now: f64, call: &CloudRequest, outcome: CloudOutcome) {
         self.on_cloud(now, call, outcome);
     }
 
     /// Applies an operator's order to drain a machine, or its end.
-    pub fn apply_drain(&mut self, world: &World, name: &str) {
-        let wanted = world.drains.contains_key(name);
-        self.set_drain_version(name, world.drains.get(name).copied());
+    pub fn apply_drain(&mut self, store: &StoreView, name: &str) {
+        let wanted = store.drain_orders.contains_key(name);
+        self.set_drain_version(name, store.drain_orders.get(name).copied());
         let ix = self.cluster.machine_names.get(name);
         if let Some(machine) = ix.and_then(|ix| self.cluster.machines.get_mut(&ix)) {
-            machine.drained = wanted;
+            machine.draining = wanted;
             self.cluster.leaving.extend(ix);
         } else if wanted && self.cluster.cloud.is_gone(name) {
-            self.commits.drains.insert(name.to_owned());
+            self.log_writer.drains.insert(name.to_owned());
         }
     }
 }
--- a/crates/gladekeel-controller/src/leader/release.rs
+++ b/crates/gladekeel-controller/src/leader/release.rs
@@ -1,40 +1,40 @@
 //! The end of an attempt: proven to be off its machine, then committed, then forgotten.
 
-use super::{AttemptId, Leader, Phase, StopReason, attempt::Outcome};
+use super::{AssignmentPhase, AttemptId, Leader, StopReason, attempt::Outcome};
 
 impl Leader {
     /// Marks an attempt as off its machine. It keeps its room until that is committed.
     pub(super) fn release(&mut self, id: AttemptId, outcome: Outcome) {
         let released = self.attempts.update(id, |attempt| {
-            let live = attempt.phase == Phase::Live;
+            let live = attempt.phase == AssignmentPhase::Committed;
             if live {
-                attempt.phase = Phase::Releasing(outcome);
+                attempt.phase = AssignmentPhase::Releasing(outcome);
             }
-            live.then_some((attempt.job, attempt.index))
+            live.then_some((attempt.job, attempt.task_index))
         });
         let Some((job_ix, index)) = released.flatten() else { return };
-        self.commits.released.insert(id);
+        self.log_writer.released.insert(id);
         let Some(job) = self.jobs.get_mut(&job_ix) else { return };
         if job.is_gang() && outcome == Outcome::Done {
             // The tasks of a gang complete together: one that is done tells of all.
             if job.done.count() < job.spec.tasks {
-                (0..job.spec.tasks).for_each(|index| _ = job.done.add(index));
+                (0..job.spec.tasks).for_each(|index| _ = job.done.insert(index));
             }
-            self.changed_counts.insert(job_ix);
+            self.changed_progress.insert(job_ix);
             if job.final_state.is_none() {
-                self.commits.finished.insert(job_ix);
+                self.log_writer.finished.insert(job_ix);
             }
-        } else if job.is_gang() && !job.over() && !self.still_waits(job_ix) {
-            self.stop_gang(job_ix, StopReason::Regroup);
+        } else if job.is_gang() && !job.is_finished() && !self.still_waits(job_ix) {
+            self.stop_gang(job_ix, StopReason::GangRestart);
         }
         let Some(job) = self.jobs.get_mut(&job_ix) else { return };
-        if outcome == Outcome::Restart {
-            job.restarted.add(index);
+        if outcome == Outcome::Restarted {
+            job.restarted.insert(index);
         }
-        if outcome == Outcome::Done && job.done.add(index) {
-            self.changed_counts.insert(job_ix);
+        if outcome == Outcome::Done && job.done.insert(index) {
+            self.changed_progress.insert(job_ix);
             if job.done.count() == job.spec.tasks && job.final_state.is_none() {
-                self.commits.finished.insert(job_ix);
+                self.log_writer.finished.insert(job_ix);
             }
         }
     }
@@ -44,22 +44,22 @@
         let Some(attempt) = self.attempts.remove(id) else { return };
         if let Some(machine) = self.cluster.machines.get_mut(&attempt.machine) {
             machine.attempts.remove(&id);
-            machine.used -= attempt.room;
+            machine.requested -= attempt.resources;
             if machine.attempts.is_empty() {
                 machine.idle_since = now;
             }
         }
         if let Some(job) = self.jobs.get_mut(&attempt.job) {
-            self.teams[job.team as usize].used -= attempt.room;
+            self.teams[job.team as usize].used -= attempt.resources;
             job.count_zone(attempt.zone, -1);
             if outcome != Outcome::Done {
-                job.requeue(attempt.index, outcome == Outcome::Restart, now);
+                job.requeue(attempt.task_index, outcome == Outcome::Restarted, now);
             }
             if job.final_state.is_some() && self.attempts.of_job(attempt.job).is_empty() {
-                self.commits.cleared.insert(attempt.job);
+                self.log_writer.cleared.insert(attempt.job);
             }
-            self.changed_counts.insert(attempt.job);
+            self.changed_progress.insert(attempt.job);
         }
-        self.timers.request_round();
+        self.timers.request_cycle();
     }
 }
--- a/crates/gladekeel-controller/src/leader/replay.rs
+++ b/crates/gladekeel-controller/src/leader/replay.rs
@@ -1,16 +1,18 @@
 //! Rebuilding what is on which machine from the log, when a node begins to lead.
 
-use super::{Attempt, AttemptId, Job, Leader, Machine, Phase, StopReason, attempt::Outcome};
-use crate::{keys::CHUNK, log};
+use super::{
+    AssignmentPhase, Attempt, AttemptId, Job, Leader, Machine, StopReason, attempt::Outcome,
+};
+use crate::{assignment_log, keys::TASKS_PER_PAGE};
 use gladekeel_wire::JobId;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Attempts that the log assigns and does not release, with the segment that assigns them.
-type LiveAttempts = BTreeMap<AttemptId, (log::Assigned, u64)>;
+type LiveAttempts = BTreeMap<AttemptId, (assignment_log::Assignment, u64)>;
 
 impl Leader {
     /// Replays the log, oldest segment first.
-    pub(super) fn replay(&mut self, segments: Vec<(u32, u64, log::Segment)>, now: f64) {
+    pub(super) fn replay(&mut self, segments: Vec<(u32, u64, assignment_log::Segment)>, now: f64) {
         let mut live = LiveAttempts::new();
         for (slot, version, segment) in segments {
             self.replay_segment(slot, version, segment, &mut live);
@@ -24,37 +26,37 @@
         &mut self,
         slot: u32,
         version: u64,
-        segment: log::Segment,
+        segment: assignment_log::Segment,
         live: &mut LiveAttempts,
     ) {
         let (mut attempts, mut chunks) = (Vec::new(), Vec::new());
-        for progress in segment.progress {
+        for progress in segment.progress_pages {
             // Jobs that are not in the store any more are over, with all of their tasks.
             let Some((ix, job)) = self.job_named(&progress.job) else { continue };
-            job.done.add_chunk(progress.chunk, &progress.done, job.spec.tasks);
-            job.restarted.add_chunk(progress.chunk, &progress.restarted, job.spec.tasks);
-            job.progress_segment.insert(progress.chunk, segment.seq);
-            chunks.push((ix, progress.chunk));
+            job.done.insert_page(progress.page, &progress.done, job.spec.tasks);
+            job.restarted.insert_page(progress.page, &progress.restarted, job.spec.tasks);
+            job.progress_segments.insert(progress.page, segment.sequence);
+            chunks.push((ix, progress.page));
         }
-        for assigned in segment.assigned {
+        for assigned in segment.assignments {
             let id = AttemptId::from_logged(assigned.attempt);
             attempts.push(id);
-            live.insert(id, (assigned, segment.seq));
+            live.insert(id, (assigned, segment.sequence));
         }
-        for released in segment.released {
+        for released in segment.releases {
             live.remove(&AttemptId::from_logged(released.attempt));
             let Some((ix, job)) = self.job_named(&released.job) else { continue };
-            let bits = match released.end {
+            let bits = match released.outcome {
                 Outcome::Done => &mut job.done,
-                Outcome::Restart => &mut job.restarted,
-                Outcome::Again => continue,
+                Outcome::Restarted => &mut job.restarted,
+                Outcome::Requeued => continue,
             };
             if released.index < job.spec.tasks {
-                bits.add(released.index);
-                chunks.push((ix, released.index / CHUNK));
+                bits.insert(released.index);
+                chunks.push((ix, released.index / TASKS_PER_PAGE));
             }
         }
-        self.commits.add_segment(slot, version, segment.seq, attempts, chunks);
+        self.log_writer.add_segment(slot, version, segment.sequence, attempts, chunks);
     }
 
     fn job_named(&mut self, id: &JobId) -> Option<(u32, &mut Job)> {
@@ -89,24 +91,24 @@
             let none_on_machines = self.attempts.of_job(*ix).is_empty();
             settle_tasks(job, assigned.get(ix));
             if job.done.count() == job.spec.tasks && job.final_state.is_none() {
-                self.commits.finished.insert(*ix);
+                self.log_writer.finished.insert(*ix);
             }
             if job.final_state.is_some() && !none_on_machines {
-                self.commits.cleared.remove(ix);
+                self.log_writer.cleared.remove(ix);
             }
-            if job.is_gang() && !job.over() && !none_on_machines && !job.pending.is_empty() {
+            if job.is_gang() && !job.is_finished() && !none_on_machines && !job.pending.is_empty() {
                 // Part of it was committed when its leader ended, or a task of it is gone
                 // already. It begins anew as a whole.
                 broken.push(*ix);
             }
             for id in self.attempts.ids_of_job(*ix) {
                 self.attempts.update(id, |attempt| {
-                    if job.done.has(attempt.index) && !job.is_gang() {
+                    if job.done.contains(attempt.task_index) && !job.is_gang() {
                         // Its finish was stored upon a report of its exit: that is the proof.
                         ended.push(id);
-                    } else if job.cancelled() {
-                        attempt.stop = Some(StopReason::Cancelled);
-                        self.ending.insert(*ix);
+                    } else if job.is_cancelled() {
+                        attempt.stop_reason = Some(StopReason::Cancelled);
+                        self.cancelled_on_machines.insert(*ix);
                     }
                 });
             }
@@ -115,41 +117,48 @@
             self.release(id, Outcome::Done);
         }
         for ix in broken {
-            self.stop_gang(ix, StopReason::Regroup);
+            self.stop_gang(ix, StopReason::GangRestart);
         }
     }
 
-    fn restore(&mut self, now: f64, job_ix: u32, id: AttemptId, row: log::Assigned, seq: u64) {
+    fn restore(
+        &mut self,
+        now: f64,
+        job_ix: u32,
+        id: AttemptId,
+        row: assignment_log::Assignment,
+        seq: u64,
+    ) {
         let machine_ix = self.cluster.machine_names.intern(&row.machine);
         let machine = self
             .cluster
             .machines
             .entry(machine_ix)
-            .or_insert_with(|| Machine::restored(&row.machine, now));
+            .or_insert_with(|| Machine::recovered(&row.machine, now));
         let Some(job) = self.jobs.get_mut(&job_ix) else { return };
         machine.attempts.insert(id);
-        machine.used += job.room;
-        machine.used_image(job.image, job.spec.image_gb, f64::INFINITY);
+        machine.requested += job.task_request;
+        machine.record_image_use(job.image, job.spec.image_gb, f64::INFINITY);
         job.count_zone(machine.zone, 1);
-        self.teams[job.team as usize].used += job.room;
+        self.teams[job.team as usize].used += job.task_request;
         self.attempts.insert(
             id,
             Attempt {
                 job: job_ix,
-                index: row.index,
+                task_index: row.index,
                 machine: machine_ix,
                 zone: machine.zone,
-                session: row.session,
-                phase: Phase::Live,
-                seen: None,
-                run_since: None,
-                stop: None,
-                stop_sent: 0,
-                sent: true,
-                room: job.room,
+                incarnation: row.incarnation,
+                phase: AssignmentPhase::Committed,
+                reported_state: None,
+                running_since: None,
+                stop_reason: None,
+                stops_sent: 0,
+                start_sent: true,
+                resources: job.task_request,
                 image: job.image,
-                restored: true,
-                logged: seq,
+                recovered: true,
+                segment: seq,
             },
         );
     }
@@ -159,9 +168,9 @@
 fn settle_tasks(job: &mut Job, assigned: Option<&HashSet<u32>>) {
     if job.is_gang() && job.done.count() > 0 {
         // One of a gang's tasks tells of all: they complete together.
-        (0..job.spec.tasks).for_each(|index| _ = job.done.add(index));
+        (0..job.spec.tasks).for_each(|index| _ = job.done.insert(index));
     }
     let Job { pending, done, .. } = job;
     let is_assigned = |index: &u32| assigned.is_some_and(|tasks| tasks.contains(index));
-    pending.retain(|index| !done.has(*index) && !is_assigned(index));
+    pending.retain(|index| !done.contains(*index) && !is_assigned(index));
 }
--- a/crates/gladekeel-controller/src/leader/report.rs
+++ b/crates/gladekeel-controller/src/leader/report.rs
@@ -1,7 +1,8 @@
 //! Workers' reports and the commands that answer them.
 
 use super::{
-    AttemptId, Job, Leader, Machine, Phase, StopReason, attempt::Outcome, machine::Awaited,
+    AssignmentPhase, AttemptId, Job, Leader, Machine, StopReason, attempt::Outcome,
+    machine::ExpectedEffects,
 };
 use gladekeel_wire::TaskId;
 use gladekeel_wire::worker::{Command, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
@@ -17,55 +18,58 @@
 impl Leader {
     /// Applies what a report says of its machine. Returns the machine if the report is
     /// newer than all that were received from it.
-    pub(super) fn apply_report(&mut self, now: f64, report: &Heartbeat) -> Option<u32> {
+    pub(super) fn apply_heartbeat(&mut self, now: f64, report: &Heartbeat) -> Option<u32> {
         if self.cluster.cloud.is_gone(&report.machine) {
             return None;
         }
         let ix = self.cluster.machine_names.intern(&report.machine);
-        let (kind, zone) =
-            (self.catalog.kind(&report.machine_type), self.catalog.zones.intern(&report.zone));
+        let (kind, zone) = (
+            self.catalog.intern_machine_type(&report.machine_type),
+            self.catalog.zones.intern(&report.zone),
+        );
         let machine = self.cluster.machines.entry(ix).or_insert_with(|| {
             tracing::info!(machine = report.machine, "a machine reports that was not rented here");
             Machine::new(&report.machine, now)
         });
         // Reports may come late and out of order; only a newer one says anything.
-        if (report.incarnation, report.sequence) <= machine.newest {
+        if (report.incarnation, report.sequence) <= machine.newest_message {
             return None;
         }
-        if machine.heard_at.is_none() {
-            self.timers.request_round();
+        if machine.last_seen.is_none() {
+            self.timers.request_cycle();
         }
-        if report.incarnation > machine.newest.0 {
-            machine.open_starts.clear();
-            if machine.heard_at.is_some() {
+        if report.incarnation > machine.newest_message.0 {
+            machine.unsettled_starts.clear();
+            if machine.last_seen.is_some() {
                 // It reported all the while and its lease ran out: it does not hear.
-                machine.unheard_answers = machine.unheard_answers.max(MAX_UNHEARD_ANSWERS);
+                machine.missed_acks = machine.missed_acks.max(MAX_UNHEARD_ANSWERS);
             }
         }
-        machine.newest = (report.incarnation, report.sequence);
-        machine.token = machine.token.max(report.token);
-        machine.heard_at = Some(now);
-        self.contact.heard(zone, now);
-        machine.quiet_since = now;
-        machine.mute_since = None;
+        machine.newest_message = (report.incarnation, report.sequence);
+        machine.highest_token_seen = machine.highest_token_seen.max(report.token);
+        machine.last_seen = Some(now);
+        self.reachability.record_heartbeat(zone, now);
+        machine.silent_since = now;
+        machine.unresponsive_since = None;
         machine.suspect_since = None;
-        machine.missing = 0;
-        machine.kind = Some(kind);
+        machine.missing_from_lists = 0;
+        machine.machine_type = Some(kind);
         machine.spot = report.spot;
         machine.addr = Some(report.addr.clone());
         machine.confirmed |= report.token == self.token;
         if let Some(notice) = report.termination_notice_s {
-            if machine.leaves_at.is_none() {
+            if machine.termination_at.is_none() {
                 tracing::info!(machine = machine.name, notice, "notice: the cloud takes a machine");
-                self.timers.request_round();
+                self.timers.request_cycle();
             }
-            machine.leaves_at = Some(now + notice);
+            machine.termination_at = Some(now + notice);
             self.cluster.leaving.insert(ix);
         }
         for id in machine.attempts.clone() {
-            if self.attempts.get(id).is_some_and(|attempt| attempt.session < report.incarnation) {
-                // A newer session: the worker has killed and forgotten everything before it.
-                self.release(id, Outcome::Again);
+            if self.attempts.get(id).is_some_and(|attempt| attempt.incarnation < report.incarnation)
+            {
+                // A newer incarnation: the worker has killed and forgotten everything before it.
+                self.release(id, Outcome::Requeued);
             }
         }
         self.set_zone(ix, zone);
@@ -74,61 +78,61 @@
 
     /// Records that a report came, whatever is answered to it: its machine reaches a
     /// controller. While leases may not be renewed, that is all that is known.
-    pub fn note_report(&mut self, now: f64, report: &Heartbeat) {
+    pub fn record_heartbeat(&mut self, now: f64, report: &Heartbeat) {
         let ix = self.cluster.machine_names.get(report.machine.as_str());
         if let Some(machine) = ix.and_then(|ix| self.cluster.machines.get_mut(&ix)) {
-            machine.reported = (now, report.incarnation.max(machine.reported.1));
-            machine.answers_since = None;
+            machine.last_heartbeat = (now, report.incarnation.max(machine.last_heartbeat.1));
+            machine.answering_probes_since = None;
         }
     }
 
     /// Applies a report and answers it. `may_start` is false while nothing new
     /// may be started, since the store was not heard of for too long.
-    pub fn on_report(
+    pub fn on_heartbeat(
         &mut self,
         now: f64,
         report: &Heartbeat,
         may_start: bool,
     ) -> HeartbeatResponse {
         let mut answer = HeartbeatResponse { token: self.token, commands: Vec::new() };
-        let Some(ix) = self.apply_report(now, report) else { return answer };
-        self.note_report(now, report);
+        let Some(ix) = self.apply_heartbeat(now, report) else { return answer };
+        self.record_heartbeat(now, report);
         // A report under our token was made after the worker saw it, so commands
         // of older tokens are dead; and since the worker has one report in flight
         // and takes answers in turn, so are our own earlier answers.
         let settled = report.token == self.token;
         let mut reported: BTreeMap<AttemptId, &TaskStatus> =
             report.tasks.iter().map(|task| (self.attempt_id(task), task)).collect();
-        self.check_answer_was_heard(ix, settled, &reported);
+        self.check_acknowledged(ix, settled, &reported);
         let here = self.cluster.machines.get(&ix).map(|m| m.attempts.clone()).unwrap_or_default();
         for id in here {
             let Some(attempt) = self.attempts.get(id) else { continue };
-            if attempt.session != report.incarnation {
-                // Of an earlier session, and released; or the report was held back since
-                // before the session in which it was placed.
+            if attempt.incarnation != report.incarnation {
+                // Of an earlier incarnation, and released; or the report was held back since
+                // before the incarnation in which it was placed.
                 reported.remove(&id);
                 continue;
             }
             let is_own = |task: &&TaskStatus| {
-                task.task.index == attempt.index
+                task.task.index == attempt.task_index
                     && self.job_names.name(attempt.job) == &task.task.job
             };
             let own = reported.get(&id).copied().filter(is_own);
             if own.is_some() {
                 reported.remove(&id);
             }
-            let seen = TaskSeen { reported: own, settled, may_start };
-            self.on_task(now, id, seen, &mut answer.commands);
+            let seen = TaskObservation { reported: own, settled, may_start };
+            self.reconcile_attempt(now, id, seen, &mut answer.commands);
         }
         for (attempt, task) in reported {
-            self.on_unassigned_task(ix, attempt, task, settled, &mut answer.commands);
+            self.reconcile_unassigned_task(ix, attempt, task, settled, &mut answer.commands);
         }
         limit_commands(&mut answer.commands);
         if let Some(machine) = self.cluster.machines.get_mut(&ix) {
-            machine.awaited = Awaited::after(&answer.commands, settled);
+            machine.expected_effects = ExpectedEffects::of_response(&answer.commands, settled);
         }
         // Direct commands that were held back may go now, or it is asked whether it hears.
-        self.direct.wanted.insert(ix);
+        self.commands.wanted.insert(ix);
         answer
     }
 
@@ -136,48 +140,49 @@
     /// machine may send reports that arrive and hear nothing: it must not hold work
     /// or look alive. One answer may be lost; several in a row, and a direct command
     /// too, are not.
-    fn check_answer_was_heard(
+    fn check_acknowledged(
         &mut self,
         ix: u32,
         settled: bool,
         reported: &BTreeMap<AttemptId, &TaskStatus>,
     ) {
         let Some(machine) = self.cluster.machines.get_mut(&ix) else { return };
-        let awaited = std::mem::take(&mut machine.awaited);
+        let awaited = std::mem::take(&mut machine.expected_effects);
         let numbers: BTreeSet<u64> = reported.values().map(|task| task.attempt).collect();
         let came = awaited.starts.iter().any(|start| numbers.contains(start))
             || awaited.forgets.iter().any(|forget| !numbers.contains(forget))
-            || (awaited.token && settled);
+            || (awaited.token_seen && settled);
         if came {
-            machine.unheard_answers = 0;
-        } else if awaited != Awaited::default() {
-            machine.unheard_answers += 1;
+            machine.missed_acks = 0;
+        } else if awaited != ExpectedEffects::default() {
+            machine.missed_acks += 1;
         }
     }
 
     /// Goes on with an attempt that counts as on a machine, by what the machine's report
     /// shows of it.
-    fn on_task(
+    fn reconcile_attempt(
         &mut self,
         now: f64,
         id: AttemptId,
-        seen: TaskSeen<'_>,
+        seen: TaskObservation<'_>,
         commands: &mut Vec<Command>,
     ) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        if attempt.phase != Phase::Live {
+        if attempt.phase != AssignmentPhase::Committed {
             return;
         }
-        let task = TaskId { job: self.job_names.name(attempt.job).clone(), index: attempt.index };
+        let task =
+            TaskId { job: self.job_names.name(attempt.job).clone(), index: attempt.task_index };
         if let Some(reported) = seen.reported {
-            let has_ended = self.on_reported(now, id, reported);
+            let has_ended = self.apply_task_status(now, id, reported);
             if !has_ended {
-                self.go_on_stopping(id, task, reported.state, commands);
+                self.repeat_stop(id, task, reported.state, commands);
             }
         } else if self.may_start_now(id, seen.may_start) {
             commands.push(Command::Start { task, attempt: self.reported_attempt(id) });
         } else if seen.settled && self.is_gone_for_good(id) {
-            self.release(id, Outcome::Again);
+            self.release(id, Outcome::Requeued);
         }
     }
 
@@ -188,10 +193,10 @@
         let uncommitted = self.jobs.get(&attempt.job).is_some_and(Job::is_gang)
             && self.attempts.of_job(attempt.job).uncommitted() > 0;
         may_start
-            && !self.fence
+            && !self.needs_new_token
             && !self.is_over(attempt.job)
             && !uncommitted
-            && attempt.stop.is_none()
+            && attempt.stop_reason.is_none()
             && self.machine_stays(attempt.machine)
     }
 
@@ -200,7 +205,7 @@
     fn is_gone_for_good(&self, id: AttemptId) -> bool {
         let Some(attempt) = self.attempts.get(id) else { return false };
         let machine = self.cluster.machines.get(&attempt.machine);
-        let to_end = attempt.stop.is_some()
+        let to_end = attempt.stop_reason.is_some()
             || self.is_over(attempt.job)
             || !self.machine_stays(attempt.machine);
         to_end && !machine.is_some_and(|machine| machine.may_still_start(id))
@@ -208,16 +213,16 @@
 
     /// Whether a job is over. Of a gang that is, some tasks may not have reported their end.
     fn is_over(&self, job: u32) -> bool {
-        self.jobs.get(&job).is_none_or(Job::over)
+        self.jobs.get(&job).is_none_or(Job::is_finished)
     }
 
     /// Whether a machine is there and is not to go.
     fn machine_stays(&self, machine: u32) -> bool {
-        self.cluster.machines.get(&machine).is_some_and(|machine| !machine.leaving())
+        self.cluster.machines.get(&machine).is_some_and(|machine| !machine.is_leaving())
     }
 
     /// Repeats `halt` for an attempt that is to stop, unless it is saving and may.
-    fn go_on_stopping(
+    fn repeat_stop(
         &mut self,
         id: AttemptId,
         task: TaskId,
@@ -225,28 +230,33 @@
         commands: &mut Vec<Command>,
     ) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        let (Some(why), job) = (attempt.stop, attempt.job) else { return };
+        let (Some(why), job) = (attempt.stop_reason, attempt.job) else { return };
         let waits = match state {
             TaskState::Saving => why != StopReason::Cancelled,
-            TaskState::Fetching => why == StopReason::Incomplete,
+            TaskState::Fetching => why == StopReason::GangIncomplete,
             _ => false,
         };
         if waits {
             return;
         }
-        self.attempts.update(id, |attempt| attempt.stop_sent += 1);
-        let grace_s = self.jobs[&job].grace(why);
+        self.attempts.update(id, |attempt| attempt.stops_sent += 1);
+        let grace_s = self.jobs[&job].grace_period_s(why);
         commands.push(Command::Stop { task, attempt: self.reported_attempt(id), grace_s });
     }
 
     /// Applies a task's reported state; returns whether the task has ended.
-    pub(super) fn on_reported(&mut self, now: f64, id: AttemptId, reported: &TaskStatus) -> bool {
+    pub(super) fn apply_task_status(
+        &mut self,
+        now: f64,
+        id: AttemptId,
+        reported: &TaskStatus,
+    ) -> bool {
         let live = self.attempts.update(id, |attempt| {
-            let live = attempt.phase == Phase::Live;
+            let live = attempt.phase == AssignmentPhase::Committed;
             if live {
-                attempt.seen = Some(reported.state);
+                attempt.reported_state = Some(reported.state);
             }
-            live.then_some((attempt.job, attempt.stop))
+            live.then_some((attempt.job, attempt.stop_reason))
         });
         let Some((job_ix, stop)) = live.flatten() else { return true };
         if reported.state == TaskState::Saving
@@ -263,12 +273,12 @@
         if has_image {
             let image = attempt.image;
             let machine = self.cluster.machines.get_mut(&attempt.machine);
-            if reported.state != TaskState::Waiting && attempt.run_since.is_none() {
+            if reported.state != TaskState::Waiting && attempt.running_since.is_none() {
                 tracing::debug!(task = %reported.task, "runs");
-                self.attempts.update(id, |attempt| attempt.run_since = Some(now));
+                self.attempts.update(id, |attempt| attempt.running_since = Some(now));
             }
             if let Some(machine) = machine {
-                machine.ready.insert(image);
+                machine.cached_images.insert(image);
             }
         }
         let ended = reported.state == TaskState::Exited;
@@ -280,7 +290,7 @@
 
     /// A task that is reported under an attempt that the log does not have, or
     /// whose release is committed.
-    fn on_unassigned_task(
+    fn reconcile_unassigned_task(
         &mut self,
         machine: u32,
         attempt: AttemptId,
@@ -305,7 +315,7 @@
 
 /// What a report shows of an attempt.
 #[derive(Debug, Clone, Copy)]
-struct TaskSeen<'a> {
+struct TaskObservation<'a> {
     /// The task, if it is on the machine.
     reported: Option<&'a TaskStatus>,
     /// The report was made under this leader's token, after every earlier answer.
--- a/crates/gladekeel-controller/src/leader/rounds.rs
+++ b/crates/gladekeel-controller/src/leader/rounds.rs
@@ -1,7 +1,7 @@
 //! A round of placements.
 
-use super::{Attempt, AttemptId, Job, Leader, Phase};
-use crate::options::Options;
+use super::{AssignmentPhase, Attempt, AttemptId, Job, Leader};
+use crate::runtime_settings::RuntimeSettings;
 use gladekeel_sched::cycle;
 use gladekeel_wire::job::JobKind;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,60 +13,62 @@
 const STARVED_S: f64 = 75.0;
 
 /// A round with the leader's indices beside its own.
-pub(super) struct RoundInput {
-    pub round: cycle::SchedulingCycle,
+pub(super) struct CycleInput {
+    pub cycle: cycle::SchedulingCycle,
     pub jobs: Vec<u32>,
     pub machines: Vec<u32>,
 }
 
 impl Leader {
-    pub(super) fn round(&mut self, now: f64, options: &Options) {
+    pub(super) fn run_scheduling_cycle(&mut self, now: f64, options: &RuntimeSettings) {
         if self.jobs.values().all(|job| job.pending.is_empty()) {
             return;
         }
         // A gang that has waited long gets room that full machines will have.
         let overdue_gang = self.jobs.values().any(|job| {
-            let waited = job.waits_since.map_or(0.0, |since| now - since);
-            job.is_gang() && !job.over() && waited > PATIENCE_S
+            let waited = job.waiting_since.map_or(0.0, |since| now - since);
+            job.is_gang() && !job.is_finished() && waited > PATIENCE_S
         });
         let mut input = self.round_input(now, overdue_gang);
         let mut gangs: BTreeMap<u32, u64> = BTreeMap::new();
-        let pending: u32 = input.round.jobs.iter().map(|job| job.pending).sum();
-        let placements = input.round.run(&options.hopper);
-        self.cluster.counts.looked += input.round.machines_examined;
+        let pending: u32 = input.cycle.jobs.iter().map(|job| job.pending).sum();
+        let placements = input.cycle.run(&options.fair_share);
+        self.cluster.counters.machines_examined += input.cycle.machines_examined;
         tracing::debug!(
             machines = input.machines.len(),
             pending,
             placed = placements.len(),
-            most = input.round.max_bindings,
+            most = input.cycle.max_bindings,
             "round"
         );
         for placement in placements {
             let (job, machine) = (input.jobs[placement.job], input.machines[placement.machine]);
-            let gang = input.round.jobs[placement.job].gang.then(|| {
+            let gang = input.cycle.jobs[placement.job].gang.then(|| {
                 *gangs.entry(job).or_insert_with(|| {
                     let gang = &self.jobs[&job];
                     if !self.attempts.of_job(job).is_empty() {
                         // A task that is gone is replaced; the others wait for it.
-                        return gang.number;
+                        return gang.gang_attempt;
                     }
                     let first = self.next_attempt;
                     self.next_attempt += u64::from(gang.spec.tasks);
                     first
                 })
             });
-            self.propose(job, machine, gang, now);
+            self.bind(job, machine, gang, now);
         }
-        for job in self.jobs.values_mut().filter(|job| !job.over() && !job.pending.is_empty()) {
-            job.waits_since.get_or_insert(now);
+        for job in
+            self.jobs.values_mut().filter(|job| !job.is_finished() && !job.pending.is_empty())
+        {
+            job.waiting_since.get_or_insert(now);
         }
     }
 
     /// The round as things are; full machines are in it only if `full`.
-    pub(super) fn round_input(&self, now: f64, full: bool) -> RoundInput {
-        let most = self.commits.batch(&self.params);
-        let mut input = RoundInput {
-            round: cycle::SchedulingCycle {
+    pub(super) fn round_input(&self, now: f64, full: bool) -> CycleInput {
+        let most = self.log_writer.batch(&self.deployment);
+        let mut input = CycleInput {
+            cycle: cycle::SchedulingCycle {
                 max_bindings: most,
                 teams: self.teams.clone(),
                 ..Default::default()
@@ -75,50 +77,50 @@
             machines: Vec::new(),
         };
         self.add_machines(&mut input, now, full);
-        for (ix, job) in self.jobs.iter().filter(|(_, job)| !job.over()) {
+        for (ix, job) in self.jobs.iter().filter(|(_, job)| !job.is_finished()) {
             input.jobs.push(*ix);
-            input.round.jobs.push(self.round_job(*ix, job, now));
+            input.cycle.jobs.push(self.round_job(*ix, job, now));
         }
         input
     }
 
-    fn add_machines(&self, input: &mut RoundInput, now: f64, full: bool) {
-        let late_s = self.params.workers.heartbeat_timeout_s();
-        let quiet: BTreeSet<u32> = self.contact.quiet_zones(now).collect();
+    fn add_machines(&self, input: &mut CycleInput, now: f64, full: bool) {
+        let late_s = self.deployment.workers.heartbeat_timeout_s();
+        let quiet: BTreeSet<u32> = self.reachability.unreachable_zones(now).collect();
         // What is kept for gangs is given up before anybody has waited too long for it.
         let keeps_standby = !self.is_any_array_starved(now);
         for (ix, machine) in &self.cluster.machines {
-            let (Some(kind), Some(zone)) = (machine.kind, machine.zone) else { continue };
-            let Some(whole) = self.catalog.room(kind) else { continue };
-            if machine.leaving() || machine.heard_at.is_none() {
+            let (Some(kind), Some(zone)) = (machine.machine_type, machine.zone) else { continue };
+            let Some(whole) = self.catalog.capacity(kind) else { continue };
+            if machine.is_leaving() || machine.last_seen.is_none() {
                 continue;
             }
-            input.round.total_capacity += whole;
-            let free = whole - machine.used;
+            input.cycle.total_capacity += whole;
+            let free = whole - machine.requested;
             // One that answers and does not report will lose its tasks with its lease.
-            let open = now - machine.quiet_since.min(machine.reported.0) < late_s
-                && now >= machine.hold_until
-                && machine.hears()
+            let open = now - machine.silent_since.min(machine.last_heartbeat.0) < late_s
+                && now >= machine.quarantined_until
+                && machine.is_reachable()
                 && !quiet.contains(&zone);
             if !full && (!open || free.cpus <= 0 || free.memory <= 0) {
                 continue;
             }
             input.machines.push(*ix);
-            input.round.machines.push(cycle::SchedulableMachine {
+            input.cycle.machines.push(cycle::SchedulableMachine {
                 capacity: whole,
                 free,
                 machine_type: kind,
                 zone,
                 spot: machine.spot,
                 cached_or_fetching: machine.images.iter().map(|(image, _)| *image).collect(),
-                cached_images: machine.ready.iter().copied().collect(),
+                cached_images: machine.cached_images.iter().copied().collect(),
                 // Whether one of its tasks waits for an image, as far as known.
                 fetching: self
                     .attempts
-                    .images_not_run(*ix)
-                    .any(|image| !machine.ready.contains(&image)),
+                    .images_not_yet_running(*ix)
+                    .any(|image| !machine.cached_images.contains(&image)),
                 schedulable: open,
-                warm_pool: machine.standby && keeps_standby,
+                warm_pool: machine.warm_pool && keeps_standby,
             });
         }
     }
@@ -126,11 +128,11 @@
     /// Whether an array has waited too long with nothing on any machine.
     fn is_any_array_starved(&self, now: f64) -> bool {
         self.jobs.iter().any(|(ix, job)| {
-            let waits = !job.over()
+            let waits = !job.is_finished()
                 && !job.is_gang()
                 && self.attempts.of_job(*ix).is_empty()
-                && now >= job.hold_until;
-            waits && job.waits_since.is_some_and(|since| now - since > STARVED_S)
+                && now >= job.backoff_until;
+            waits && job.waiting_since.is_some_and(|since| now - since > STARVED_S)
         })
     }
 
@@ -138,39 +140,39 @@
         // After a takeover the zone of a machine may not be known yet; jobs whose
         // tasks must be in certain zones relative to one another wait for it.
         let zones_matter = job.spec.single_zone || job.spec.spread;
-        let held = now < job.hold_until || (zones_matter && job.zone_unknown > 0);
+        let held = now < job.backoff_until || (zones_matter && job.tasks_in_unknown_zone > 0);
         let array = job.spec.kind == JobKind::Array;
         // A gang that waits has nothing on any machine; of an array that is so as
         // long as its share rounds down to nothing or room comes in small pieces.
         let nowhere = self.attempts.of_job(ix).is_empty();
         let idle = (!array || nowhere) && job.spec.kind != JobKind::Service;
-        let waited = job.waits_since.filter(|_| idle).map_or(0.0, |since| now - since);
+        let waited = job.waiting_since.filter(|_| idle).map_or(0.0, |since| now - since);
         cycle::SchedulableJob {
             team: job.team,
             priority: job.spec.priority as u8,
-            task_request: job.room,
+            task_request: job.task_request,
             remaining: job.remaining(),
             pending: if held { 0 } else { job.pending.len() as u32 },
-            speculative_restarts: if held { 0 } else { job.restarts },
+            speculative_restarts: if held { 0 } else { job.speculative_restarts },
             image: job.image,
-            machine_types: job.kinds.clone(),
+            machine_types: job.machine_types.clone(),
             zone: job.zone,
             single_zone: job.spec.single_zone,
             max_tasks_per_zone: if job.spec.spread { job.spec.tasks.div_ceil(2) } else { u32::MAX },
             spot: job.spec.spot,
-            tasks_by_zone: job.by_zone.clone(),
+            tasks_by_zone: job.tasks_by_zone.clone(),
             gang: job.is_gang(),
             replaces_gang_members: !nowhere && self.still_waits(ix),
             // A gang looks for the image before all else, in any case.
             requires_cached_image: !job.is_gang()
-                && job.hurried(&self.params, self.fetch_s(job), now),
+                && job.requires_cached_image(&self.deployment, self.fetch_s(job), now),
             overdue_s: (waited - PATIENCE_S).max(0.0).ceil() as u32,
         }
     }
 
     /// Decides that a job's next task goes to a machine; `gang` is the number that
     /// the tasks of a gang share.
-    fn propose(&mut self, job_ix: u32, machine_ix: u32, gang: Option<u64>, now: f64) {
+    fn bind(&mut self, job_ix: u32, machine_ix: u32, gang: Option<u64>, now: f64) {
         let (Some(job), Some(machine)) =
             (self.jobs.get_mut(&job_ix), self.cluster.machines.get_mut(&machine_ix))
         else {
@@ -184,42 +186,42 @@
             self.next_attempt += 1;
             AttemptId::from_logged(number)
         };
-        job.number = number;
+        job.gang_attempt = number;
         job.count_zone(machine.zone, 1);
         if job.pending.is_empty() {
-            job.waits_since = None;
+            job.waiting_since = None;
         }
         let cache = machine
-            .kind
+            .machine_type
             .and_then(|kind| self.catalog.machine_type(kind))
             .map_or(0.0, |machine_type| machine_type.cache_gb);
         let cached = machine.images.iter().any(|(image, _)| *image == job.image);
-        machine.used_image(job.image, job.spec.image_gb, cache);
+        machine.record_image_use(job.image, job.spec.image_gb, cache);
         machine.attempts.insert(id);
-        machine.used += job.room;
-        self.teams[job.team as usize].used += job.room;
+        machine.requested += job.task_request;
+        self.teams[job.team as usize].used += job.task_request;
         self.attempts.insert(
             id,
             Attempt {
                 job: job_ix,
-                index,
+                task_index: index,
                 machine: machine_ix,
                 zone: machine.zone,
-                session: machine.newest.0,
-                phase: Phase::Proposed,
-                seen: None,
-                run_since: None,
-                stop: None,
-                stop_sent: 0,
-                sent: false,
-                room: job.room,
+                incarnation: machine.newest_message.0,
+                phase: AssignmentPhase::Proposed,
+                reported_state: None,
+                running_since: None,
+                stop_reason: None,
+                stops_sent: 0,
+                start_sent: false,
+                resources: job.task_request,
                 image: job.image,
-                restored: false,
-                logged: 0,
+                recovered: false,
+                segment: 0,
             },
         );
-        self.commits.proposed.insert(id);
-        self.changed_counts.insert(job_ix);
+        self.log_writer.proposed.insert(id);
+        self.changed_progress.insert(job_ix);
         tracing::debug!(job = %job.id, index, machine = machine.name, cached, now, "placed");
     }
 }
--- a/crates/gladekeel-controller/src/leader/sizing.rs
+++ b/crates/gladekeel-controller/src/leader/sizing.rs
@@ -1,7 +1,7 @@
 //! How many machines of each type there should be, which to rent and which to return.
 
-use super::{Job, Leader, cloud_calls::Pool, machine::DeletionReason};
-use crate::options::Options;
+use super::{Job, Leader, cloud_calls::MachinePool, machine::DeletionReason};
+use crate::runtime_settings::RuntimeSettings;
 use gladekeel_sched::{
     Resources,
     autoscaling::{ArrivalRate, Autoscaler, JobDemand, ScalingPlan, Supply},
@@ -70,10 +70,10 @@
 
 impl Leader {
     /// Decides which machines to rent and which to return.
-    pub(super) fn size_fleet(&mut self, now: f64, options: &Options) {
+    pub(super) fn autoscale(&mut self, now: f64, options: &RuntimeSettings) {
         self.cluster.cloud.forget_old_deletions(now);
         let gone = self.cluster.leaving.iter().copied().filter(|ix| {
-            self.cluster.machines.get(ix).is_some_and(|m| m.gone && m.attempts.is_empty())
+            self.cluster.machines.get(ix).is_some_and(|m| m.deleted && m.attempts.is_empty())
         });
         for ix in gone.collect::<Vec<_>>() {
             self.cluster.machines.remove(&ix);
@@ -82,7 +82,7 @@
         self.cluster.cloud.clear_wanted();
         self.cluster.demand.fade(now);
         let mut needs = self.needs(now);
-        for kind in 0..self.catalog.types.len() as u32 {
+        for kind in 0..self.catalog.machine_types.len() as u32 {
             let needs = needs.remove(&kind).unwrap_or_default();
             self.size_kind(now, options, kind, &needs);
         }
@@ -95,7 +95,7 @@
         let Some((kind, fits)) = self.kind_for(job) else { return };
         let run_s = self.expected_run(job);
         let work = f64::from(job.spec.tasks) / f64::from(fits) * run_s;
-        let due_s = job.due_s(&self.params, run_s);
+        let due_s = job.time_allowed_s(&self.deployment, run_s);
         let class = job.spec.class.clone();
         let flow = self.cluster.demand.arrived.entry((kind, class)).or_default();
         let total = (flow.machines + work).max(1e-9);
@@ -110,21 +110,21 @@
     fn needs(&self, now: f64) -> BTreeMap<u32, Vec<(bool, JobDemand)>> {
         let mut needs: BTreeMap<u32, Vec<(bool, JobDemand)>> = BTreeMap::new();
         let mut left: Vec<_> = self.teams.iter().map(|team| team.limit).collect();
-        for (ix, job) in self.jobs.iter().filter(|(_, job)| !job.over()) {
+        for (ix, job) in self.jobs.iter().filter(|(_, job)| !job.is_finished()) {
             let Some((kind, fits)) = self.kind_for(job) else { continue };
-            let allowed = job.room.times_in(
+            let allowed = job.task_request.times_in(
                 Resources { memory: i64::MAX / 4, ..left[job.team as usize] },
                 job.remaining(),
             );
-            left[job.team as usize] -= job.room * i64::from(allowed);
+            left[job.team as usize] -= job.task_request * i64::from(allowed);
             let running = (self.attempts.of_job(*ix).len() as u32).min(allowed);
-            let pending = if now < job.hold_until { 0 } else { allowed - running };
+            let pending = if now < job.backoff_until { 0 } else { allowed - running };
             let run_s = self.expected_run(job);
             let need = JobDemand {
                 pending: f64::from(pending) / f64::from(fits),
                 running: f64::from(running) / f64::from(fits),
                 run_s,
-                time_left_s: job.due_s(&self.params, run_s) - (now - job.known_at),
+                time_left_s: job.time_allowed_s(&self.deployment, run_s) - (now - job.submitted_at),
                 gang: job.is_gang(),
             };
             needs.entry(kind).or_default().push((job.spec.spot, need));
@@ -144,7 +144,7 @@
     /// How long a task of the job runs: the owner's estimate, put right by what
     /// its class has shown.
     pub(super) fn expected_run(&self, job: &Job) -> f64 {
-        let ratio = self.cluster.ratios.get(&job.spec.class).copied().unwrap_or(1.0);
+        let ratio = self.cluster.run_time_ratios.get(&job.spec.class).copied().unwrap_or(1.0);
         (job.spec.estimate_s * ratio).max(1.0)
     }
 
@@ -152,14 +152,14 @@
     pub(super) fn kind_for(&self, job: &Job) -> Option<(u32, u32)> {
         let fitting = |kind: u32| -> Option<(f64, u32, u32)> {
             let machine_type = self.catalog.machine_type(kind)?;
-            let fits = job.room.times_in(self.catalog.room(kind)?, 1000);
+            let fits = job.task_request.times_in(self.catalog.capacity(kind)?, 1000);
             let zone_fits = job
                 .zone
                 .is_none_or(|zone| machine_type.zones.contains(self.catalog.zones.name(zone)));
             (fits > 0 && zone_fits).then(|| (machine_type.price / f64::from(fits), kind, fits))
         };
-        let all: Vec<u32> = (0..self.catalog.types.len() as u32).collect();
-        job.kinds
+        let all: Vec<u32> = (0..self.catalog.machine_types.len() as u32).collect();
+        job.machine_types
             .as_ref()
             .unwrap_or(&all)
             .iter()
@@ -172,19 +172,21 @@
     fn supply(&self, now: f64, kind: u32, boot_s: f64, silent_s: f64) -> (Supply, Supply) {
         let (mut any, mut ordinary) = (Supply::default(), Supply::default());
         for machine in self.cluster.machines.values() {
-            if machine.kind != Some(kind) || machine.leaving() {
+            if machine.machine_type != Some(kind) || machine.is_leaving() {
                 continue;
             }
             let age = now - machine.rented_at;
             for supply in [Some(&mut any), (!machine.spot).then_some(&mut ordinary)] {
                 let Some(supply) = supply else { continue };
-                if machine.heard_at.is_some()
-                    || (machine.was_up()
-                        && (now - machine.quiet_since < silent_s
-                            || machine.zone.is_some_and(|zone| self.contact.is_quiet(zone, now))))
+                if machine.last_seen.is_some()
+                    || (machine.has_booted()
+                        && (now - machine.silent_since < silent_s
+                            || machine
+                                .zone
+                                .is_some_and(|zone| self.reachability.is_unreachable(zone, now))))
                 {
                     supply.up += 1.0;
-                } else if !machine.was_up() && age <= boot_s * 1.6 + 5.0 {
+                } else if !machine.has_booted() && age <= boot_s * 1.6 + 5.0 {
                     // One that boots unusually long is no longer counted on.
                     supply.booting.push((boot_s - age).max(5.0));
                 }
@@ -202,10 +204,16 @@
         (any, ordinary)
     }
 
-    fn size_kind(&mut self, now: f64, options: &Options, kind: u32, needs: &[(bool, JobDemand)]) {
+    fn size_kind(
+        &mut self,
+        now: f64,
+        options: &RuntimeSettings,
+        kind: u32,
+        needs: &[(bool, JobDemand)],
+    ) {
         let Some(machine_type) = self.catalog.machine_type(kind) else { return };
         let boot_s = machine_type.boot_s;
-        let (any, ordinary) = self.supply(now, kind, boot_s, options.silent_s);
+        let (any, ordinary) = self.supply(now, kind, boot_s, options.unreachable_after_s);
         let plans = self.plan_kind(now, options, kind, needs, [&any, &ordinary]);
         tracing::debug!(
             kind,
@@ -229,7 +237,7 @@
     fn plan_kind(
         &mut self,
         now: f64,
-        options: &Options,
+        options: &RuntimeSettings,
         kind: u32,
         needs: &[(bool, JobDemand)],
         [any, ordinary]: [&Supply; 2],
@@ -243,13 +251,13 @@
             needs.iter().filter(|(spot, _)| !spot).map(|(_, need)| *need).collect();
         let demand = &mut self.cluster.demand;
         let flows = demand.flows(kind);
-        let sizing = &options.sizing;
+        let sizing = &options.autoscaler;
         let sizer = demand.sizers.entry((kind, false)).or_default();
         let any = sizer.plan(now, &all, any, &flows, boot_s, sizing);
         let sizer = demand.sizers.entry((kind, true)).or_default();
         let ordinary = sizer.plan(now, &no_spot, ordinary, &[], boot_s, sizing);
         let mut plans = KindPlans { any, ordinary };
-        let standby = f64::from(self.cluster.standby.wanted(kind));
+        let standby = f64::from(self.cluster.warm_pool.wanted(kind));
         plans.ordinary.required = plans.ordinary.required.max(standby);
         plans
     }
@@ -277,12 +285,12 @@
             .iter()
             .filter_map(|zone| self.catalog.zones.get(zone.as_str()))
             .filter(|zone| {
-                self.cluster.cloud.may_have_capacity(Pool { kind, zone: *zone, spot }, now)
+                self.cluster.cloud.may_have_capacity(MachinePool { kind, zone: *zone, spot }, now)
             })
             .collect();
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
         let machines = self.cluster.machines.values();
-        for machine in machines.filter(|m| m.kind == Some(kind) && m.spot == spot) {
+        for machine in machines.filter(|m| m.machine_type == Some(kind) && m.spot == spot) {
             if let Some(zone) = machine.zone {
                 *counts.entry(zone).or_default() += 1;
             }
@@ -300,23 +308,30 @@
         }
         shares.sort_unstable();
         for (zone, share) in shares.into_iter().filter(|(_, share)| *share > 0) {
-            self.cluster.cloud.want(Pool { kind, zone, spot }, share as u32);
+            self.cluster.cloud.want(MachinePool { kind, zone, spot }, share as u32);
         }
     }
 
-    fn return_idle(&mut self, now: f64, options: &Options, kind: u32, spot: bool, spare: usize) {
+    fn return_idle(
+        &mut self,
+        now: f64,
+        options: &RuntimeSettings,
+        kind: u32,
+        spot: bool,
+        spare: usize,
+    ) {
         let mut idle: Vec<(f64, u32)> = self
             .cluster
             .machines
             .iter()
             .filter(|(_, m)| {
-                m.kind == Some(kind)
+                m.machine_type == Some(kind)
                     && m.spot == spot
-                    && !m.leaving()
-                    && !m.standby
-                    && m.heard_at.is_some()
+                    && !m.is_leaving()
+                    && !m.warm_pool
+                    && m.last_seen.is_some()
                     && m.attempts.is_empty()
-                    && now - m.idle_since >= options.idle_s
+                    && now - m.idle_since >= options.idle_timeout_s
                     // A minute is charged in any case.
                     && now - m.rented_at >= 55.0
             })
@@ -326,7 +341,7 @@
         for (_, ix) in idle.into_iter().take(spare) {
             if let Some(machine) = self.cluster.machines.get_mut(&ix) {
                 tracing::info!(machine = machine.name, spot, "idle: returned");
-                machine.delete = Some(DeletionReason::Idle);
+                machine.deletion_reason = Some(DeletionReason::Idle);
                 self.cluster.leaving.insert(ix);
             }
         }
--- a/crates/gladekeel-controller/src/leader/spend.rs
+++ b/crates/gladekeel-controller/src/leader/spend.rs
@@ -8,7 +8,7 @@
 
 /// Money by what machines were doing; parts of a machine count as parts.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct Spend {
+pub struct CostBreakdown {
     /// Not up yet.
     pub boot: f64,
     /// Up without any work.
@@ -23,31 +23,31 @@
 
 impl Leader {
     /// Adds up what machines cost since the last time, by what they were doing.
-    pub(super) fn count_spend(&mut self, now: f64) {
-        if now - self.spend_at < SPEND_EVERY_S {
+    pub(super) fn count_cost(&mut self, now: f64) {
+        if now - self.cost_counted_at < SPEND_EVERY_S {
             return;
         }
-        let hours = (now - self.spend_at).max(0.0) / 3600.0;
-        self.spend_at = now;
-        let spend = &mut self.cluster.counts.spend;
-        for machine in self.cluster.machines.values().filter(|m| !m.gone) {
-            let Some(kind) = machine.kind else { continue };
+        let hours = (now - self.cost_counted_at).max(0.0) / 3600.0;
+        self.cost_counted_at = now;
+        let spend = &mut self.cluster.counters.cost;
+        for machine in self.cluster.machines.values().filter(|m| !m.deleted) {
+            let Some(kind) = machine.machine_type else { continue };
             let (Some(machine_type), Some(whole)) =
-                (self.catalog.machine_type(kind), self.catalog.room(kind))
+                (self.catalog.machine_type(kind), self.catalog.capacity(kind))
             else {
                 continue;
             };
             let spot = machine_type.spot_price.filter(|_| machine.spot);
             let cost = spot.unwrap_or(machine_type.price) * hours;
-            if machine.heard_at.is_none() {
+            if machine.last_seen.is_none() {
                 spend.boot += cost;
             } else if machine.attempts.is_empty() {
                 spend.idle += cost;
             } else {
                 let (mut running, mut waiting) = (0.0, 0.0);
                 for attempt in machine.attempts.iter().filter_map(|id| self.attempts.get(*id)) {
-                    let part = attempt.room.dominant_share_of(whole);
-                    match attempt.seen {
+                    let part = attempt.resources.dominant_share_of(whole);
+                    match attempt.reported_state {
                         Some(TaskState::Running) => running += part,
                         _ => waiting += part,
                     }
@@ -57,8 +57,8 @@
                 spend.gaps += cost * (1.0 - running - waiting).max(0.0);
             }
         }
-        if now - self.spend_told >= 60.0 {
-            self.spend_told = now;
+        if now - self.cost_logged_at >= 60.0 {
+            self.cost_logged_at = now;
             tracing::info!(?spend, machines = self.cluster.machines.len(), "spent so far");
         }
     }
