--- a/crates/gladekeel-controller/src/leader/standby.rs
+++ b/crates/gladekeel-controller/src/leader/standby.rs
@@ -32,14 +32,14 @@
 
 /// Gangs that should start at once, and the machines that are kept for them.
 #[derive(Debug, Default)]
-pub(super) struct Standby {
+pub(super) struct WarmPool {
     /// Gangs that came lately, by type and class.
     gangs: BTreeMap<(u32, String), Gangs>,
     /// Ordinary machines to keep for them, by type.
     machines: BTreeMap<u32, u32>,
 }
 
-impl Standby {
+impl WarmPool {
     /// How many ordinary machines of a type are to be kept.
     pub fn wanted(&self, kind: u32) -> u32 {
         self.machines.get(&kind).copied().unwrap_or(0)
@@ -48,7 +48,7 @@
 
 /// Gangs that came within this time tell of what will come.
 const GANGS_S: f64 = 180.0;
-/// Standby for gangs, over what they keep busy on average: they come in clusters.
+/// WarmPool for gangs, over what they keep busy on average: they come in clusters.
 const STANDBY: f64 = 1.5;
 /// So many more than that stay once they are kept.
 const STANDBY_SPARE: usize = 2;
@@ -59,11 +59,11 @@
     /// A gang has come: so much work, so many of whose tasks fit on a machine.
     pub(super) fn count_gang(&mut self, ix: u32, kind: u32, work: f64, fits: u32) {
         let Some(job) = self.jobs.get(&ix).filter(|job| job.is_gang()) else { return };
-        if job.has_start_aim(&self.params) {
-            let (at, class) = (job.known_at, job.spec.class.clone());
+        if job.has_start_objective(&self.deployment) {
+            let (at, class) = (job.submitted_at, job.spec.class.clone());
             let image = job.image;
             let new = || Gangs { since: at, ..Gangs::default() };
-            let gangs = self.cluster.standby.gangs.entry((kind, class)).or_insert_with(new);
+            let gangs = self.cluster.warm_pool.gangs.entry((kind, class)).or_insert_with(new);
             gangs.images.insert(image);
             gangs.work = gangs.work * (-(at - gangs.at).max(0.0) / GANGS_S).exp() + work;
             gangs.largest = gangs.largest.max(f64::from(job.spec.tasks) / f64::from(fits));
@@ -73,8 +73,8 @@
 
     /// Keeps ordinary machines in each zone for gangs that should start at once: room for
     /// a whole gang would be late if it had to be gathered, and so would the image.
-    pub(super) fn keep_standby(&mut self, now: f64) {
-        let standby = &mut self.cluster.standby;
+    pub(super) fn maintain_warm_pool(&mut self, now: f64) {
+        let standby = &mut self.cluster.warm_pool;
         standby.gangs.retain(|_, gangs| now - gangs.at < GANGS_S);
         let mut wanted: BTreeMap<u32, (f64, f64)> = BTreeMap::new();
         let mut images: BTreeSet<u32> = BTreeSet::new();
@@ -88,8 +88,8 @@
         let mut pools: BTreeMap<(u32, u32), Vec<u32>> = BTreeMap::new();
         let machines = &mut self.cluster.machines;
         for (ix, machine) in &*machines {
-            let (Some(kind), Some(zone)) = (machine.kind, machine.zone) else { continue };
-            let usable = !machine.spot && !machine.leaving() && machine.heard_at.is_some();
+            let (Some(kind), Some(zone)) = (machine.machine_type, machine.zone) else { continue };
+            let usable = !machine.spot && !machine.is_leaving() && machine.last_seen.is_some();
             if usable && wanted.contains_key(&kind) {
                 pools.entry((kind, zone)).or_default().push(*ix);
             }
@@ -101,18 +101,18 @@
             let count = count.min(pool.len() / STANDBY_PART);
             // Those that were kept so far, then those that have the images, then the
             // emptiest. A few more than are needed stay: need goes up and down.
-            let had = pool.iter().filter(|ix| machines[*ix].standby).count();
+            let had = pool.iter().filter(|ix| machines[*ix].warm_pool).count();
             pool.sort_by_key(|ix| {
                 let machine = &machines[ix];
-                let ready = machine.ready.intersection(&images).count();
-                (!machine.standby, Reverse(ready), machine.used.cpus)
+                let ready = machine.cached_images.intersection(&images).count();
+                (!machine.warm_pool, Reverse(ready), machine.requested.cpus)
             });
             let count = count.max(had.min(count + STANDBY_SPARE));
             kept.extend(pool.into_iter().take(count));
-            *self.cluster.standby.machines.entry(kind).or_default() += count as u32;
+            *self.cluster.warm_pool.machines.entry(kind).or_default() += count as u32;
         }
         for (ix, machine) in machines {
-            machine.standby = kept.contains(ix);
+            machine.warm_pool = kept.contains(ix);
         }
     }
 }
--- a/crates/gladekeel-controller/src/leader/status.rs
+++ b/crates/gladekeel-controller/src/leader/status.rs
@@ -1,16 +1,16 @@
 //! What a leader tells of its work: counts of jobs, states of machines, figures.
 
 use super::Leader;
-use crate::world::Counts as Display;
+use crate::store_view::JobProgress as Display;
 use gladekeel_sched::Interner;
 use gladekeel_wire::{JobId, admin::MachineStatus};
 
 impl Leader {
     /// The jobs whose counts have changed since this was last asked.
     pub fn take_counts(&mut self) -> Vec<(JobId, Display)> {
-        let told = std::mem::take(&mut self.changed_counts);
+        let told = std::mem::take(&mut self.changed_progress);
         let jobs = told.iter().filter_map(|ix| Some((*ix, self.jobs.get(ix)?)));
-        jobs.filter(|(_, job)| !job.over())
+        jobs.filter(|(_, job)| !job.is_finished())
             .map(|(ix, job)| {
                 let running = self.attempts.of_job(ix).len() as u32;
                 (job.id.clone(), Display { done: job.done.count(), running })
@@ -24,33 +24,33 @@
         self.cluster
             .machines
             .values()
-            .filter(|machine| !machine.gone)
+            .filter(|machine| !machine.deleted)
             .map(|machine| MachineStatus {
                 machine: machine.name.clone(),
                 state: machine.state().into(),
-                machine_type: name(&self.catalog.kinds, machine.kind),
+                machine_type: name(&self.catalog.machine_type_names, machine.machine_type),
                 zone: name(&self.catalog.zones, machine.zone),
                 spot: machine.spot,
                 tasks: machine.attempts.len(),
-                quiet_s: machine.heard_at.map(|at| now - at),
+                quiet_s: machine.last_seen.map(|at| now - at),
             })
             .collect()
     }
 
     /// Segments of the log in use.
     pub fn log_segments(&self) -> usize {
-        self.commits.segment_count()
+        self.log_writer.segment_count()
     }
 
     /// Age of the oldest unfinished job.
     pub fn oldest_job_s(&self, now: f64) -> Option<f64> {
-        let open = self.jobs.values().filter(|job| !job.over());
-        open.map(|job| now - job.known_at).max_by(f64::total_cmp)
+        let open = self.jobs.values().filter(|job| !job.is_finished());
+        open.map(|job| now - job.submitted_at).max_by(f64::total_cmp)
     }
 
     /// Unfinished jobs: how many, and their tasks on no machine.
     pub fn queue(&self) -> (usize, u64) {
-        let open = self.jobs.values().filter(|job| !job.over());
+        let open = self.jobs.values().filter(|job| !job.is_finished());
         open.fold((0, 0), |(jobs, tasks), job| (jobs + 1, tasks + job.pending.len() as u64))
     }
 }
--- a/crates/gladekeel-controller/src/leader/timers.rs
+++ b/crates/gladekeel-controller/src/leader/timers.rs
@@ -1,6 +1,6 @@
 //! When the leader's periodic work is due.
 
-use crate::options::Options;
+use crate::runtime_settings::RuntimeSettings;
 
 /// Ticks come many times a second; one that is later than this is a lag.
 const LAG_S: f64 = 0.5;
@@ -38,15 +38,15 @@
     }
 
     /// Asks for a round before its time: something has changed.
-    pub fn request_round(&mut self) {
+    pub fn request_cycle(&mut self) {
         self.round_wanted = true;
     }
 
     /// Whether a round is due; if so, it counts as done.
-    pub fn round_due(&mut self, now: f64, options: &Options) -> bool {
+    pub fn cycle_due(&mut self, now: f64, options: &RuntimeSettings) -> bool {
         let since = now - self.round_at;
-        let early = self.round_wanted && since >= options.round_s * EARLY_ROUND_PART;
-        let due = since >= options.round_s || early;
+        let early = self.round_wanted && since >= options.cycle_interval_s * EARLY_ROUND_PART;
+        let due = since >= options.cycle_interval_s || early;
         if due {
             self.round_at = now;
             self.round_wanted = false;
@@ -55,8 +55,8 @@
     }
 
     /// Whether the work that looks at every machine is due; if so, it counts as done.
-    pub fn upkeep_due(&mut self, now: f64, options: &Options) -> bool {
-        let due = now - self.upkeep_at >= options.round_s;
+    pub fn upkeep_due(&mut self, now: f64, options: &RuntimeSettings) -> bool {
+        let due = now - self.upkeep_at >= options.cycle_interval_s;
         if due {
             self.upkeep_at = now;
         }
--- a/crates/gladekeel-controller/src/leader/zone_bound.rs
+++ b/crates/gladekeel-controller/src/leader/zone_bound.rs
@@ -4,7 +4,7 @@
 //! idle in one zone then looked like room for work that is bound to another one, which waited
 //! for ever.
 
-use super::{Job, Leader, cloud_calls::Pool};
+use super::{Job, Leader, cloud_calls::MachinePool};
 use std::collections::BTreeMap;
 
 /// Work that is bound to a zone and has waited for longer gets machines of its own.
@@ -43,10 +43,10 @@
     fn room_by_zone(&self, spot: bool) -> ByZone {
         let mut room = ByZone::new();
         for machine in self.cluster.machines.values() {
-            let (Some(kind), Some(zone)) = (machine.kind, machine.zone) else { continue };
-            let Some(whole) = self.catalog.room(kind) else { continue };
-            if machine.spot == spot && !machine.leaving() {
-                let used = machine.used.dominant_share_of(whole).min(1.0);
+            let (Some(kind), Some(zone)) = (machine.machine_type, machine.zone) else { continue };
+            let Some(whole) = self.catalog.capacity(kind) else { continue };
+            if machine.spot == spot && !machine.is_leaving() {
+                let used = machine.requested.dominant_share_of(whole).min(1.0);
                 *room.entry((kind, zone)).or_default() += 1.0 - used;
             }
         }
@@ -58,7 +58,7 @@
 
     /// Asks for machines of the first kind that the cloud may have there.
     fn want_in_zone(&mut self, now: f64, (kind, zone): (u32, u32), count: u32, kinds: &[bool]) {
-        let pools = kinds.iter().map(|spot| Pool { kind, zone, spot: *spot });
+        let pools = kinds.iter().map(|spot| MachinePool { kind, zone, spot: *spot });
         let pool = pools.into_iter().find(|pool| self.cluster.cloud.may_have_capacity(*pool, now));
         if let Some(pool) = pool.filter(|_| count > 0) {
             self.cluster.cloud.want(pool, count);
@@ -68,12 +68,15 @@
 
 /// Whether a job has waited long enough for room in the one zone that it may use.
 fn waits_bound(job: &Job, now: f64) -> bool {
-    let waits_s = job.waits_since.map_or(0.0, |since| now - since);
-    !job.over() && !job.pending.is_empty() && now >= job.hold_until && waits_s > BOUND_WAITS_S
+    let waits_s = job.waiting_since.map_or(0.0, |since| now - since);
+    !job.is_finished()
+        && !job.pending.is_empty()
+        && now >= job.backoff_until
+        && waits_s > BOUND_WAITS_S
 }
 
 /// The only zone in which further tasks of a job may be, if there is only one.
 fn bound_zone(job: &Job) -> Option<u32> {
-    let held = || job.by_zone.iter().position(|tasks| *tasks > 0).map(|zone| zone as u32);
+    let held = || job.tasks_by_zone.iter().position(|tasks| *tasks > 0).map(|zone| zone as u32);
     job.zone.or_else(|| held().filter(|_| job.spec.single_zone))
 }
--- a/crates/gladekeel-controller/src/lib.rs
+++ b/crates/gladekeel-controller/src/lib.rs
@@ -5,19 +5,19 @@
 //! it sockets and a clock; the testkit gives it a simulated world instead.
 
 pub mod admin;
-pub mod cloud;
+pub mod assignment_log;
+pub mod cloud_api;
+pub mod heartbeat_balancing;
 pub mod keys;
 pub mod leader;
-pub mod log;
 pub mod node;
-pub mod options;
-pub mod sharing;
+pub mod runtime_settings;
 pub mod shell;
-pub mod sockets;
+pub mod socket_budget;
+pub mod store_view;
 pub mod stored_types;
-pub mod world;
 
 mod api;
-mod checkin;
 mod election;
+mod heartbeat_routing;
 mod metrics;
--- a/crates/gladekeel-controller/src/metrics.rs
+++ b/crates/gladekeel-controller/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics in the Prometheus text format.
 
-use crate::{leader::Leader, node::Node, sockets::SocketUse};
+use crate::{leader::Leader, node::Node, socket_budget::SocketUse};
 use hdrhistogram::Histogram;
 use std::{collections::BTreeMap, fmt::Write as _};
 
@@ -141,18 +141,18 @@
     fn node_metrics(&self, now: f64, out: &mut Exposition) {
         let leading = f64::from(u8::from(self.leader.is_some()));
         out.gauge("leading", "Whether this node leads.", leading);
-        out.gauge("token", "The fencing token.", self.world.token as f64);
+        out.gauge("token", "The fencing token.", self.store.highest_token as f64);
         let takeovers = self.leadership as f64;
         out.counter("takeovers_total", "Times that this node began to lead.", takeovers);
-        if let Some(contact) = self.contact {
+        if let Some(contact) = self.last_store_contact {
             let help = "Age of the last contact to the state service.";
             out.gauge("state_contact_seconds", help, now - contact);
         }
-        let requests = self.state_requests as f64;
+        let requests = self.store_requests as f64;
         out.counter("state_requests_total", "Requests to the state service.", requests);
-        let writes = self.state_writes as f64;
+        let writes = self.store_writes as f64;
         out.counter("state_writes_total", "Puts and deletes asked for.", writes);
-        let waiting = self.users.len() as f64;
+        let waiting = self.user_queue.len() as f64;
         out.gauge("waiting_requests", "Requests that wait for the store.", waiting);
     }
 
@@ -174,17 +174,21 @@
         ];
         let uses = uses.map(|(name, count)| (name, count as f64));
         out.family("gauge", "sockets", "Connections held, by use.", "use", uses);
-        let limit = self.params.limits.max_connections as f64;
+        let limit = self.deployment.limits.max_connections as f64;
         out.gauge("sockets_limit", "Connections that the process may hold.", limit);
     }
 }
 
 /// What only a leader knows.
 fn leader_metrics(leader: &Leader, now: f64, out: &mut Exposition) {
-    let counts = leader.counts();
+    let counts = leader.counters();
     for (name, help, value) in [
-        ("rounds_total", "Rounds of decisions.", counts.rounds),
-        ("machines_looked_at_total", "Times that placing looked at a machine.", counts.looked),
+        ("rounds_total", "Rounds of decisions.", counts.scheduling_cycles),
+        (
+            "machines_looked_at_total",
+            "Times that placing looked at a machine.",
+            counts.machines_examined,
+        ),
         ("commits_total", "Commits of the leader.", counts.commits),
         ("commit_writes_total", "Writes in them; by commits, the batch size.", counts.writes),
         ("task_starts_total", "Task starts committed.", counts.starts),
@@ -197,11 +201,11 @@
         out.counter(name, help, value as f64);
     }
     let spend = [
-        ("boot", counts.spend.boot),
-        ("idle", counts.spend.idle),
-        ("gaps", counts.spend.gaps),
-        ("waiting", counts.spend.waiting),
-        ("running", counts.spend.running),
+        ("boot", counts.cost.boot),
+        ("idle", counts.cost.idle),
+        ("gaps", counts.cost.gaps),
+        ("waiting", counts.cost.waiting),
+        ("running", counts.cost.running),
     ];
     let help = "Estimate of the money spent since this node leads.";
     out.family("counter", "spend_estimate", help, "on", spend);
--- a/crates/gladekeel-controller/src/node/events.rs
+++ b/crates/gladekeel-controller/src/node/event.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     api::Reply,
-    cloud::{CloudCall, CloudOutcome},
-    leader::{DirectCall, DirectOutcome},
+    cloud_api::{CloudOutcome, CloudRequest},
+    leader::{WorkerOutcome, WorkerRequest},
 };
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_wire::mesh::{FrameHeader, FrameKind};
@@ -28,7 +28,7 @@
         body: Vec<u8>,
     },
     /// A call to the state service ended.
-    State {
+    Store {
         /// The call.
         call: CallId,
         /// What came of it.
@@ -42,14 +42,14 @@
         outcome: CloudOutcome,
     },
     /// A direct command to a worker ended.
-    Direct {
+    Worker {
         /// The call.
         call: CallId,
         /// What came of it.
-        outcome: DirectOutcome,
+        outcome: WorkerOutcome,
     },
     /// A frame from another controller.
-    Mesh {
+    Peer {
         /// Its head.
         header: FrameHeader,
         /// What it is for.
@@ -72,34 +72,34 @@
         reply: Reply,
     },
     /// Call the state service.
-    State {
+    CallStore {
         /// To be named in the event.
         call: CallId,
         /// The call.
         request: StoreRequest,
         /// How long to wait.
-        limit_s: f64,
+        timeout_s: f64,
     },
     /// Call the cloud.
-    Cloud {
+    CallCloud {
         /// To be named in the event.
         call: CallId,
         /// The call.
-        request: CloudCall,
+        request: CloudRequest,
         /// How long to wait.
-        limit_s: f64,
+        timeout_s: f64,
     },
     /// Send commands to a worker.
-    Direct {
+    CallWorker {
         /// To be named in the event.
         call: CallId,
         /// Where to and what.
-        request: DirectCall,
+        request: WorkerRequest,
         /// How long to wait.
-        limit_s: f64,
+        timeout_s: f64,
     },
     /// Send a frame to another controller: its place among the settings' peers.
-    Mesh {
+    SendToPeer {
         /// The peer.
         peer: usize,
         /// The frame.
--- a/crates/gladekeel-controller/src/node/reports.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats.rs
@@ -3,8 +3,8 @@
 use super::{CallId, HELLO_S, Node, RELAY_S, RequestId};
 use crate::{
     api::Reply,
-    checkin::{Answer, ReportContext, ReportRouter},
-    sharing::{Listener, ReportSharing},
+    heartbeat_balancing::{HeartbeatBalancer, HeartbeatReceiver},
+    heartbeat_routing::{HeartbeatContext, HeartbeatRoute, HeartbeatRouter},
 };
 use gladekeel_wire::{
     mesh::{FrameHeader, FrameKind, HEARTBEAT_RELAY_LEVEL},
@@ -13,7 +13,7 @@
 };
 use std::collections::BTreeMap;
 
-/// Reports that come within this time are passed on together: each message that arrives on
+/// HeartbeatRelays that come within this time are passed on together: each message that arrives on
 /// its own costs the leader more than what it says.
 const BATCH_S: f64 = 0.05;
 /// A peer that was in contact with the state service within this time knows who leads.
@@ -28,11 +28,11 @@
     fallback: Option<HeartbeatResponse>,
 }
 
-/// Reports on their way between controllers.
+/// HeartbeatRelays on their way between controllers.
 #[derive(Debug)]
-pub(super) struct Reports {
-    router: ReportRouter,
-    sharing: ReportSharing,
+pub(super) struct HeartbeatRelays {
+    router: HeartbeatRouter,
+    sharing: HeartbeatBalancer,
     /// Passed on to the leader, not answered yet.
     relays: BTreeMap<CallId, Relay>,
     /// To be passed on with the next batch: the peer, the call and the report.
@@ -40,11 +40,11 @@
     batch_at: f64,
 }
 
-impl Reports {
-    pub fn new(params: &Deployment, peers: usize) -> Reports {
-        Reports {
-            router: ReportRouter::default(),
-            sharing: ReportSharing::new(params, peers),
+impl HeartbeatRelays {
+    pub fn new(deployment: &Deployment, peers: usize) -> HeartbeatRelays {
+        HeartbeatRelays {
+            router: HeartbeatRouter::default(),
+            sharing: HeartbeatBalancer::new(deployment, peers),
             relays: BTreeMap::new(),
             batch: Vec::new(),
             batch_at: f64::NEG_INFINITY,
@@ -60,43 +60,43 @@
             Err(error) => return self.reply(now, id, Reply::error(400, error.to_string())),
         };
         if let Some(leader) = &mut self.leader {
-            leader.note_report(now, &report);
-            if let Some(elsewhere) = self.listener_for(now, &report, Listener::Leader) {
+            leader.record_heartbeat(now, &report);
+            if let Some(elsewhere) = self.listener_for(now, &report, HeartbeatReceiver::Leader) {
                 return self.reply(now, id, Reply::json(421, &elsewhere));
             }
         }
         let elsewhere = self.leader_elsewhere(now).map(str::to_owned);
         let leader_peer = self.peers.iter().position(|peer| {
             Some(&peer.name) == elsewhere.as_ref()
-                && peer.heard_at.is_some_and(|at| now - at < HELLO_S)
+                && peer.last_seen.is_some_and(|at| now - at < HELLO_S)
         });
         let leader_shares =
-            leader_peer.is_some_and(|at| self.peers[at].level >= HEARTBEAT_RELAY_LEVEL);
-        let context = ReportContext {
+            leader_peer.is_some_and(|at| self.peers[at].protocol_level >= HEARTBEAT_RELAY_LEVEL);
+        let context = HeartbeatContext {
             now,
-            world: &self.world,
+            store: &self.store,
             leader_elsewhere: elsewhere.as_deref(),
             may_renew_leases: self.may_renew_leases(now),
-            fresh: self.fresh(now),
+            store_contact_fresh: self.has_fresh_store_contact(now),
             may_relay: leader_peer.is_some(),
-            leader_shares,
+            leader_expects_relays: leader_shares,
         };
-        let reply = match self.reports.router.answer(&context, self.leader.as_mut(), &report) {
-            Answer::Commands(answer) => Reply::json(200, &answer),
-            Answer::Keep(answer) => {
+        let reply = match self.heartbeats.router.route(&context, self.leader.as_mut(), &report) {
+            HeartbeatRoute::Respond(answer) => Reply::json(200, &answer),
+            HeartbeatRoute::RelayWithFallback(answer) => {
                 if let Some(peer) = leader_peer {
                     return self.pass_on(now, peer, id, body, Some(answer));
                 }
                 Reply::json(200, &answer)
             }
-            Answer::PassOn(fallback) => {
+            HeartbeatRoute::Relay(fallback) => {
                 if let Some(peer) = leader_peer {
                     return self.pass_on(now, peer, id, body, fallback);
                 }
                 not_entitled()
             }
-            Answer::Elsewhere(redirect) => Reply::json(421, &redirect),
-            Answer::NotEntitled => not_entitled(),
+            HeartbeatRoute::Redirect(redirect) => Reply::json(421, &redirect),
+            HeartbeatRoute::NotEntitled => not_entitled(),
         };
         self.reply(now, id, reply);
     }
@@ -106,21 +106,22 @@
         &mut self,
         now: f64,
         report: &Heartbeat,
-        listener: Listener,
+        listener: HeartbeatReceiver,
     ) -> Option<Redirect> {
         if !self.may_renew_leases(now) {
             return None;
         }
-        let passes_on = |peer: &super::PeerView| {
-            peer.level >= HEARTBEAT_RELAY_LEVEL
-                && peer.heard_at.is_some_and(|at| now - at < HELLO_S)
-                && peer.contact_ms < CONTACT_MS
+        let passes_on = |peer: &super::Peer| {
+            peer.protocol_level >= HEARTBEAT_RELAY_LEVEL
+                && peer.last_seen.is_some_and(|at| now - at < HELLO_S)
+                && peer.store_contact_age_ms < CONTACT_MS
         };
         let usable: Vec<bool> = self.peers.iter().map(passes_on).collect();
-        let name = match self.reports.sharing.place(now, &report.machine, listener, &usable)? {
-            Listener::Peer(peer) => &self.peers[peer].name,
-            Listener::Leader => &self.settings.node,
-        };
+        let name =
+            match self.heartbeats.sharing.rebalance(now, &report.machine, listener, &usable)? {
+                HeartbeatReceiver::Peer(peer) => &self.peers[peer].name,
+                HeartbeatReceiver::Leader => &self.settings.node,
+            };
         Some(Redirect { report_to: Some(name.clone()) })
     }
 
@@ -135,25 +136,25 @@
     ) {
         let call = self.next_call;
         self.next_call += 1;
-        self.reports.relays.insert(call, Relay { request, since: now, fallback });
-        self.reports.batch.push((peer, call, body.to_vec()));
+        self.heartbeats.relays.insert(call, Relay { request, since: now, fallback });
+        self.heartbeats.batch.push((peer, call, body.to_vec()));
         self.send_passed_on(now);
     }
 
     /// Sends the reports that are to be passed on, if the last ones are long enough ago.
     pub(super) fn send_passed_on(&mut self, now: f64) {
-        if self.reports.batch.is_empty() || now - self.reports.batch_at < BATCH_S {
+        if self.heartbeats.batch.is_empty() || now - self.heartbeats.batch_at < BATCH_S {
             return;
         }
-        self.reports.batch_at = now;
-        for (peer, call, body) in std::mem::take(&mut self.reports.batch) {
+        self.heartbeats.batch_at = now;
+        for (peer, call, body) in std::mem::take(&mut self.heartbeats.batch) {
             self.send(peer, FrameKind::RelayedHeartbeat, 0, call, &body);
         }
     }
 
     /// Answers workers whose reports the leader has not answered in time.
     pub(super) fn answer_overdue_relays(&mut self, now: f64) {
-        while let Some(first) = self.reports.relays.first_entry() {
+        while let Some(first) = self.heartbeats.relays.first_entry() {
             if now - first.get().since < RELAY_S {
                 return;
             }
@@ -170,17 +171,19 @@
     /// something to say does; the other node keeps the worker's lease otherwise.
     pub(super) fn on_relay(&mut self, now: f64, peer: usize, header: &FrameHeader, payload: &[u8]) {
         let Ok(report) = serde_json::from_slice::<Heartbeat>(payload) else { return };
-        let (may_renew_leases, fresh) = (self.may_renew_leases(now), self.fresh(now));
+        let (may_renew_leases, fresh) =
+            (self.may_renew_leases(now), self.has_fresh_store_contact(now));
         let call = header.correlation_id.get();
         let Some(leader) = &mut self.leader else { return };
         if !may_renew_leases || report.token > leader.token {
             return;
         }
-        let answer = leader.on_report(now, &report, fresh);
+        let answer = leader.on_heartbeat(now, &report, fresh);
         // An answer that brings something about must reach the worker: the next report is
         // to show it.
         let is_needed = report.token != answer.token || !answer.commands.is_empty();
-        if !is_needed && let Some(elsewhere) = self.listener_for(now, &report, Listener::Peer(peer))
+        if !is_needed
+            && let Some(elsewhere) = self.listener_for(now, &report, HeartbeatReceiver::Peer(peer))
         {
             let body = serde_json::to_vec(&elsewhere).expect("wire types always serialise");
             return self.send(peer, FrameKind::RelayedResponse, 421, call, &body);
@@ -191,7 +194,9 @@
 
     /// Passes the leader's answer to a worker's report on to the worker.
     pub(super) fn on_relayed(&mut self, now: f64, header: &FrameHeader, payload: &[u8]) {
-        let Some(relay) = self.reports.relays.remove(&header.correlation_id.get()) else { return };
+        let Some(relay) = self.heartbeats.relays.remove(&header.correlation_id.get()) else {
+            return;
+        };
         let status = header.status.get();
         let reply = Reply { status, retry_after: None, body: payload.to_vec(), plain: false };
         self.reply(now, relay.request, reply);
--- a/crates/gladekeel-controller/src/node/mod.rs
+++ b/crates/gladekeel-controller/src/node/mod.rs
@@ -1,44 +1,44 @@
 //! A controller node without I/O.
 
-mod budgets;
-mod events;
+mod event;
+mod heartbeats;
 mod peers;
-mod queue;
-mod readings;
-mod reports;
-mod store;
-mod users;
+mod rate_limits;
+mod store_calls;
+mod store_reads;
+mod user_queue;
+mod user_requests;
 
-pub use events::{Action, CallId, Event, RequestId};
+pub use event::{Action, CallId, Event, RequestId};
 
 use crate::{
     admin::AdminChange,
     api::Route,
-    cloud::{CloudCall, CloudOutcome},
+    cloud_api::{CloudOutcome, CloudRequest},
     election::Election,
     keys::{self, LeaderRecord},
-    leader::{ClusterState, DirectCall, Leader},
+    leader::{ClusterState, Leader, WorkerRequest},
     metrics::{Latencies, ProcessMetrics},
-    options::Options,
-    sockets::Sockets,
-    world::World,
+    runtime_settings::RuntimeSettings,
+    socket_budget::SocketBudget,
+    store_view::StoreView,
 };
-use budgets::Budgets;
 use gladekeel_store::{Replica, StoreRequest};
 use gladekeel_wire::{
     mesh::{FrameKind, PROTOCOL_LEVEL, PeerHeartbeat},
     settings::{Deployment, Settings},
     store::KeyValue,
 };
-pub(crate) use queue::Then;
-use queue::{UserQueue, UserWrite, Waiter};
+use heartbeats::HeartbeatRelays;
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use readings::Readings;
-use reports::Reports;
+use rate_limits::RateLimits;
 use std::{
     collections::{BTreeMap, HashMap},
     rc::Rc,
 };
+use store_reads::ReadScheduler;
+pub(crate) use user_queue::Continuation;
+use user_queue::{PendingRequest, UserQueue, UserWrite};
 use zerocopy::IntoBytes;
 
 pub use crate::api::Reply;
@@ -88,7 +88,7 @@
 
 /// Why the state service was called.
 #[derive(Debug)]
-enum Purpose {
+enum StoreCallPurpose {
     Sync,
     Load,
     Users(Vec<UserWrite>),
@@ -106,7 +106,7 @@
     /// Its token. Nobody else can change the log while it stands.
     token: u64,
     rows: Vec<KeyValue>,
-    flying: bool,
+    in_flight: bool,
     not_before: f64,
     /// What is known from leading under a lower token.
     cluster: Option<ClusterState>,
@@ -115,48 +115,48 @@
 /// A controller node.
 pub struct Node {
     pub(crate) settings: Rc<Settings>,
-    pub(crate) params: Rc<Deployment>,
+    pub(crate) deployment: Rc<Deployment>,
     record: LeaderRecord,
-    place: u32,
+    node_index: u32,
     epoch: f64,
-    pub(crate) peers: Vec<PeerView>,
+    pub(crate) peers: Vec<Peer>,
     rng: StdRng,
-    pub(crate) options: Options,
+    pub(crate) runtime_settings: RuntimeSettings,
     pub(crate) replica: Replica,
-    pub(crate) world: World,
-    calls: BTreeMap<CallId, (Purpose, StoreRequest, f64)>,
-    cloud_calls: BTreeMap<CallId, (u64, CloudCall)>,
+    pub(crate) store: StoreView,
+    store_calls: BTreeMap<CallId, (StoreCallPurpose, StoreRequest, f64)>,
+    cloud_calls: BTreeMap<CallId, (u64, CloudRequest)>,
     /// Answers of the cloud that came between two tokens of this node.
-    held_answers: Vec<(CloudCall, CloudOutcome)>,
-    direct_calls: BTreeMap<CallId, (DirectCall, f64)>,
+    held_answers: Vec<(CloudRequest, CloudOutcome)>,
+    worker_calls: BTreeMap<CallId, (WorkerRequest, f64)>,
     next_call: CallId,
     /// When the last answered reading of the store was sent.
-    pub(crate) contact: Option<f64>,
-    state_down: bool,
-    pub(crate) readings: Readings,
-    pub(crate) users: UserQueue,
+    pub(crate) last_store_contact: Option<f64>,
+    store_unreachable: bool,
+    pub(crate) store_reads: ReadScheduler,
+    pub(crate) user_queue: UserQueue,
     election: Election,
     pub(crate) leader: Option<Leader>,
     takeover: Option<Takeover>,
     /// The last token under which this process led. Attempts are numbered by token, so
     /// it never leads under the same one again.
-    spent: u64,
-    reports: Reports,
+    last_used_token: u64,
+    heartbeats: HeartbeatRelays,
     /// Calls to workers that may be under way at once.
-    max_direct: usize,
-    pub(crate) budgets: Budgets,
-    resigned: u32,
+    max_worker_calls: usize,
+    pub(crate) rate_limits: RateLimits,
+    consecutive_resignations: u32,
     hello_at: f64,
     counts_at: f64,
     /// Another controller began anew since counts were told.
     peer_restarted: bool,
     confirm_at: f64,
     /// Requests under way that are timed.
-    open: HashMap<RequestId, (&'static str, f64)>,
+    timed_requests: HashMap<RequestId, (&'static str, f64)>,
     pub(crate) latencies: Latencies,
     pub(crate) process: ProcessMetrics,
-    pub(crate) state_requests: u64,
-    pub(crate) state_writes: u64,
+    pub(crate) store_requests: u64,
+    pub(crate) store_writes: u64,
     actions: Vec<Action>,
     /// Counts the times this process has begun to lead, new tokens in a row not counted.
     pub(crate) leadership: u64,
@@ -164,16 +164,16 @@
 
 /// What a node knows of another.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct PeerView {
+pub(crate) struct Peer {
     pub(crate) name: String,
-    pub(crate) heard_at: Option<f64>,
-    pub(crate) contact_ms: u32,
+    pub(crate) last_seen: Option<f64>,
+    pub(crate) store_contact_age_ms: u32,
     /// The token under which it leads, or 0.
-    leads: u64,
+    leader_token: u64,
     /// What it understands: see [`mesh::LEVEL`](gladekeel_wire::mesh::LEVEL).
-    level: u16,
+    protocol_level: u16,
     /// The number that its process drew when it began, or 0 from earlier versions.
-    run: u64,
+    incarnation: u64,
 }
 
 impl Node {
@@ -181,9 +181,9 @@
     /// names the incarnation. `epoch` is the time of day at the start, in seconds.
     pub fn new(settings: Settings, seed: u64, epoch: f64) -> Node {
         let settings = Rc::new(settings);
-        let mut params = settings.deployment.clone();
-        params.store = params.store.lowest();
-        let params = Rc::new(params);
+        let mut deployment = settings.deployment.clone();
+        deployment.store = deployment.store.lowest();
+        let deployment = Rc::new(deployment);
         let mut rng = StdRng::seed_from_u64(seed);
         let run = rng.random();
         let mut names: Vec<&str> = settings.peers.iter().map(|peer| peer.node.as_str()).collect();
@@ -191,48 +191,48 @@
         names.sort_unstable();
         let place = names.iter().position(|name| *name == settings.node).unwrap_or(0) as u32;
         Node {
-            record: LeaderRecord { node: settings.node.clone(), run },
-            place,
+            record: LeaderRecord { node: settings.node.clone(), incarnation: run },
+            node_index: place,
             epoch,
             peers: settings
                 .peers
                 .iter()
-                .map(|peer| PeerView { name: peer.node.clone(), ..PeerView::default() })
+                .map(|peer| Peer { name: peer.node.clone(), ..Peer::default() })
                 .collect(),
             rng,
-            options: Options::new(&params.workers),
+            runtime_settings: RuntimeSettings::new(&deployment.workers),
             replica: Replica::default(),
-            world: World::default(),
-            calls: BTreeMap::new(),
+            store: StoreView::default(),
+            store_calls: BTreeMap::new(),
             cloud_calls: BTreeMap::new(),
             held_answers: Vec::new(),
-            direct_calls: BTreeMap::new(),
+            worker_calls: BTreeMap::new(),
             next_call: 0,
-            contact: None,
-            state_down: false,
-            readings: Readings::default(),
-            users: UserQueue::new(params.store.txn_ops),
+            last_store_contact: None,
+            store_unreachable: false,
+            store_reads: ReadScheduler::default(),
+            user_queue: UserQueue::new(deployment.store.txn_ops),
             election: Election::default(),
             leader: None,
             takeover: None,
-            spent: 0,
-            reports: Reports::new(&params, settings.peers.len()),
-            max_direct: Sockets::of(&params.limits).calls,
-            budgets: Budgets::new(&params, &settings.deployment.store),
-            resigned: 0,
+            last_used_token: 0,
+            heartbeats: HeartbeatRelays::new(&deployment, settings.peers.len()),
+            max_worker_calls: SocketBudget::new(&deployment.limits).worker_calls,
+            rate_limits: RateLimits::new(&deployment, &settings.deployment.store),
+            consecutive_resignations: 0,
             hello_at: 0.0,
             counts_at: 0.0,
             peer_restarted: false,
             confirm_at: 0.0,
-            open: HashMap::new(),
+            timed_requests: HashMap::new(),
             latencies: Latencies::default(),
             process: ProcessMetrics::default(),
-            state_requests: 0,
-            state_writes: 0,
+            store_requests: 0,
+            store_writes: 0,
             actions: Vec::new(),
             leadership: 0,
             settings,
-            params,
+            deployment,
         }
     }
 
@@ -240,19 +240,19 @@
     pub fn handle(&mut self, now: f64, event: Event) -> Vec<Action> {
         match event {
             Event::Http { id, method, path, body } => self.on_http(now, id, &method, &path, &body),
-            Event::State { call, outcome } => self.on_state(now, call, outcome),
+            Event::Store { call, outcome } => self.on_state(now, call, outcome),
             Event::Cloud { call, outcome } => self.on_cloud(now, call, outcome),
-            Event::Direct { call, outcome } => {
-                if let Some((request, _)) = self.direct_calls.remove(&call)
+            Event::Worker { call, outcome } => {
+                if let Some((request, _)) = self.worker_calls.remove(&call)
                     && let Some(leader) = &mut self.leader
                 {
-                    leader.direct_answered(now, &request, &outcome);
+                    leader.worker_answered(now, &request, &outcome);
                 }
             }
-            Event::Mesh { header, kind, payload } => self.on_mesh(now, &header, kind, &payload),
+            Event::Peer { header, kind, payload } => self.on_mesh(now, &header, kind, &payload),
             Event::Tick => self.on_tick(now),
         }
-        self.pump(now);
+        self.send_due(now);
         self.send_direct_commands(now);
         std::mem::take(&mut self.actions)
     }
@@ -264,25 +264,26 @@
 
     /// Whether this node knows the store, and leads or has heard the controller that does.
     pub fn is_settled(&self, now: f64) -> bool {
-        let heard =
-            |name: &str| self.peers.iter().any(|peer| peer.name == name && peer.heard_at.is_some());
+        let heard = |name: &str| {
+            self.peers.iter().any(|peer| peer.name == name && peer.last_seen.is_some())
+        };
         self.replica.revision().is_some()
             && (self.leader.is_some() || self.leader_elsewhere(now).is_some_and(heard))
     }
 
-    fn fresh(&self, now: f64) -> bool {
-        self.contact.is_some_and(|at| now - at < FRESH_S)
+    fn has_fresh_store_contact(&self, now: f64) -> bool {
+        self.last_store_contact.is_some_and(|at| now - at < FRESH_S)
     }
 
     /// Whether leases may be renewed: see `docs/safety.md`, "Keeping leases alive".
     fn may_renew_leases(&self, now: f64) -> bool {
-        let workers = &self.params.workers;
+        let workers = &self.deployment.workers;
         let bound = workers.cancellation_deadline_s - workers.lease_s - MARGIN_S;
-        self.contact.is_some_and(|at| now - at < bound)
+        self.last_store_contact.is_some_and(|at| now - at < bound)
     }
 
     pub(crate) fn reply(&mut self, now: f64, id: RequestId, reply: Reply) {
-        if let Some((what, since)) = self.open.remove(&id) {
+        if let Some((what, since)) = self.timed_requests.remove(&id) {
             self.latencies.note(what, now - since);
         }
         self.actions.push(Action::Reply { id, reply });
@@ -291,7 +292,7 @@
     fn on_http(&mut self, now: f64, id: RequestId, method: &str, path: &str, body: &[u8]) {
         let route = Route::of(method, path);
         if let Some(what) = route.name() {
-            self.open.insert(id, (what, now));
+            self.timed_requests.insert(id, (what, now));
         }
         match route {
             Route::Metrics => {
@@ -306,8 +307,8 @@
             Route::Poll(None) | Route::Cancel(None) => {
                 self.reply(now, id, Reply::error(404, "no such job"));
             }
-            Route::Checkin => self.on_checkin(now, id, body),
-            Route::Up => {
+            Route::Heartbeat => self.on_checkin(now, id, body),
+            Route::Health => {
                 let reply = if self.ready(now) {
                     Reply::json(200, &serde_json::json!({"up": true}))
                 } else {
@@ -337,7 +338,7 @@
     }
 
     fn on_tick(&mut self, now: f64) {
-        for request in self.users.take_older(now - WAIT_S) {
+        for request in self.user_queue.take_older(now - WAIT_S) {
             self.later(now, request, "the state service is slow");
         }
         self.answer_overdue_relays(now);
@@ -347,117 +348,124 @@
                 .peers
                 .iter()
                 .enumerate()
-                .filter(|(_, peer)| peer.heard_at.is_some_and(|at| now - at < HELLO_S));
+                .filter(|(_, peer)| peer.last_seen.is_some_and(|at| now - at < HELLO_S));
             let zones: Vec<&str> =
                 heard.map(|(at, _)| self.settings.peers[at].zone.as_str()).collect();
-            leader.note_store_contact(self.contact);
-            leader.tick(now, &self.options, &self.settings.zone, &zones);
-            self.resign_if_deaf(now);
+            leader.note_store_contact(self.last_store_contact);
+            leader.tick(now, &self.runtime_settings, &self.settings.zone, &zones);
+            self.resign_if_unreachable(now);
         }
         self.publish_counts(now);
         if now - self.hello_at >= 1.0 {
             self.hello_at = now;
-            let contact = self.contact.map_or(u32::MAX, |at| ((now - at) * 1000.0) as u32);
+            let contact =
+                self.last_store_contact.map_or(u32::MAX, |at| ((now - at) * 1000.0) as u32);
             let leads = self.leader.as_ref().map_or(0, |leader| leader.token);
             let hello =
                 PeerHeartbeat { store_contact_age_ms: contact.into(), leader_token: leads.into() };
             for peer in 0..self.peers.len() {
                 // Versions without a level get no number either.
-                let run = if self.peers[peer].level > 0 { self.record.run } else { 0 };
+                let run =
+                    if self.peers[peer].protocol_level > 0 { self.record.incarnation } else { 0 };
                 self.send(peer, FrameKind::PeerHeartbeat, PROTOCOL_LEVEL, run, hello.as_bytes());
             }
             // The store tells of them in its own time; one that it never tells of was
             // no job of this deployment.
-            self.world.called_off.retain(|_, at| now - *at < CALLED_OFF_S);
+            self.store.pending_cancellations.retain(|_, at| now - *at < CALLED_OFF_S);
         }
     }
 
     /// A leader that hears none of its workers cannot do its work; another may.
-    fn resign_if_deaf(&mut self, now: f64) {
+    fn resign_if_unreachable(&mut self, now: f64) {
         // While the state service is out of reach nobody could follow, and somebody must
         // delete the machines that hold cancelled tasks.
-        let fresh = self.fresh(now);
+        let fresh = self.has_fresh_store_contact(now);
         let Some(leader) = self.leader.as_ref().filter(|_| fresh) else { return };
         let (all, quiet) = leader.silence(now);
-        let workers = &self.params.workers;
+        let workers = &self.deployment.workers;
         // Of many machines some reports are due at any time.
         let deaf_s = (DEAF_REPORTS * workers.heartbeat_interval_s / all.max(1) as f64)
             .clamp(DEAF_LEAST_S, workers.heartbeat_timeout_s() + 2.0);
         if quiet < deaf_s {
-            self.resigned = 0;
+            self.consecutive_resignations = 0;
         }
-        let patience = deaf_s * f64::from(1 << self.resigned.min(4));
+        let patience = deaf_s * f64::from(1 << self.consecutive_resignations.min(4));
         if all == 0 || quiet < patience || now - leader.since() < patience || self.peers.is_empty()
         {
             return;
         }
-        if let Some(call) = self.election.resign(now, 6.0 * f64::from(1 << self.resigned.min(4))) {
+        if let Some(call) =
+            self.election.resign(now, 6.0 * f64::from(1 << self.consecutive_resignations.min(4)))
+        {
             tracing::warn!(machines = all, "no worker is heard: resigning");
-            self.resigned += 1;
+            self.consecutive_resignations += 1;
             self.leader = None;
-            self.call_state(now, Purpose::Election, call);
-            self.readings.wanted = true;
+            self.call_state(now, StoreCallPurpose::Election, call);
+            self.store_reads.wanted = true;
         }
     }
 
     /// Sends whatever is due.
-    fn pump(&mut self, now: f64) {
+    fn send_due(&mut self, now: f64) {
         self.send_reading(now);
         self.send_user_writes(now);
-        if self.fresh(now) {
+        if self.has_fresh_store_contact(now) {
             // After stepping down in vain, too, a new token is needed.
             let idle = self.leader.is_none() && self.takeover.is_none();
-            let renew = self.leader.as_ref().filter(|l| l.wants_fence()).map(|l| l.token);
-            let renew = renew.or((idle && self.world.token == self.spent).then_some(self.spent));
+            let renew = self.leader.as_ref().filter(|l| l.needs_new_token()).map(|l| l.token);
+            let renew = renew.or((idle && self.store.highest_token == self.last_used_token)
+                .then_some(self.last_used_token));
             let seen = self.seen();
             if let Some(call) = self.election.next(now, seen, &self.record, renew) {
-                self.call_state(now, Purpose::Election, call);
+                self.call_state(now, StoreCallPurpose::Election, call);
             }
         }
         if let Some(takeover) = &mut self.takeover
-            && !takeover.flying
+            && !takeover.in_flight
             && now >= takeover.not_before
         {
-            takeover.flying = true;
+            takeover.in_flight = true;
             let (token, after) = (takeover.token, takeover.rows.last().map(|row| row.key.clone()));
-            let call = StoreRequest::List { prefix: keys::LOG.into(), after };
-            self.call_state(now, Purpose::Log(token), call);
+            let call = StoreRequest::List { prefix: keys::ASSIGNMENT_LOG_PREFIX.into(), after };
+            self.call_state(now, StoreCallPurpose::Log(token), call);
         }
         self.send_confirmation(now);
         if let Some(leader) = &mut self.leader {
             let token = leader.token;
-            if let Some(txn) = leader.next_commit(now, self.budgets.leader_writes.bucket_at(now)) {
-                self.call_state(now, Purpose::Lead(token), StoreRequest::Commit(txn));
+            if let Some(txn) =
+                leader.next_commit(now, self.rate_limits.leader_writes.bucket_at(now))
+            {
+                self.call_state(now, StoreCallPurpose::Lead(token), StoreRequest::Commit(txn));
             }
         }
         while let Some(leader) = &mut self.leader
-            && self.budgets.cloud.can_take(now, 1.0)
+            && self.rate_limits.cloud.can_take(now, 1.0)
         {
             let Some(request) = leader.next_cloud(now) else { break };
-            self.budgets.cloud.try_take(now, 1.0);
+            self.rate_limits.cloud.try_take(now, 1.0);
             let call = self.next_call;
             self.next_call += 1;
             self.cloud_calls.insert(call, (self.leadership, request.clone()));
-            self.actions.push(Action::Cloud { call, request, limit_s: CLOUD_S });
+            self.actions.push(Action::CallCloud { call, request, timeout_s: CLOUD_S });
         }
     }
 
     /// Sends commands and questions to workers.
     fn send_direct_commands(&mut self, now: f64) {
-        let may_start = self.fresh(now);
-        let recent = self.direct_calls.values().rev();
+        let may_start = self.has_fresh_store_contact(now);
+        let recent = self.worker_calls.values().rev();
         let mut recent = recent.take_while(|(_, at)| now - at < HANGS_S).count();
         while recent < DIRECT_WINDOW
-            && self.direct_calls.len() < self.max_direct
+            && self.worker_calls.len() < self.max_worker_calls
             && let Some(leader) = &mut self.leader
-            && let Some(request) = leader.next_direct(now, may_start)
+            && let Some(request) = leader.next_worker_request(now, may_start)
         {
             recent += 1;
             let call = self.next_call;
             self.next_call += 1;
-            self.direct_calls.insert(call, (request.clone(), now));
+            self.worker_calls.insert(call, (request.clone(), now));
             let limit_s = if request.body.is_some() { DIRECT_S } else { PROBE_S };
-            self.actions.push(Action::Direct { call, request, limit_s });
+            self.actions.push(Action::CallWorker { call, request, timeout_s: limit_s });
         }
     }
 }
--- a/crates/gladekeel-controller/src/node/peers.rs
+++ b/crates/gladekeel-controller/src/node/peers.rs
@@ -1,7 +1,7 @@
 //! What controllers tell one another.
 
-use super::{Action, COUNTS_S, HELLO_S, Node, PeerView};
-use crate::world::Counts;
+use super::{Action, COUNTS_S, HELLO_S, Node, Peer};
+use crate::store_view::JobProgress;
 use gladekeel_wire::{
     JobId,
     mesh::{self, FrameHeader, FrameKind, PeerHeartbeat},
@@ -12,11 +12,17 @@
     /// Another node that leads: as the store says, or, when it cannot be asked, as the
     /// other controllers do.
     pub(super) fn leader_elsewhere(&self, now: f64) -> Option<&str> {
-        let heard = |peer: &&PeerView| peer.heard_at.is_some_and(|at| now - at < HELLO_S);
-        let told = self.peers.iter().filter(heard).filter(|peer| peer.leads > self.world.token);
-        let told = told.max_by_key(|peer| peer.leads).map(|peer| peer.name.as_str());
-        let stored = self.world.leader.as_ref().map(|(record, _)| record.node.as_str());
-        told.or(stored.filter(|node| self.fresh(now) && *node != self.settings.node))
+        let heard = |peer: &&Peer| peer.last_seen.is_some_and(|at| now - at < HELLO_S);
+        let told = self
+            .peers
+            .iter()
+            .filter(heard)
+            .filter(|peer| peer.leader_token > self.store.highest_token);
+        let told = told.max_by_key(|peer| peer.leader_token).map(|peer| peer.name.as_str());
+        let stored = self.store.leader.as_ref().map(|(record, _)| record.node.as_str());
+        told.or(
+            stored.filter(|node| self.has_fresh_store_contact(now) && *node != self.settings.node)
+        )
     }
 
     pub(super) fn send(
@@ -27,14 +33,14 @@
         call: u64,
         payload: &[u8],
     ) {
-        let header = FrameHeader::new(kind, status, call, self.place, payload.len());
+        let header = FrameHeader::new(kind, status, call, self.node_index, payload.len());
         let mut frame = header.as_bytes().to_vec();
         frame.extend_from_slice(payload);
-        self.actions.push(Action::Mesh { peer, frame });
+        self.actions.push(Action::SendToPeer { peer, frame });
     }
 
     pub(super) fn nudge(&mut self) {
-        let leader = self.world.leader.as_ref().map(|(record, _)| record.node.clone());
+        let leader = self.store.leader.as_ref().map(|(record, _)| record.node.clone());
         let peer = leader.and_then(|name| self.peers.iter().position(|peer| peer.name == name));
         if let Some(peer) = peer {
             self.send(peer, FrameKind::StoreChanged, 0, 0, &[]);
@@ -52,7 +58,7 @@
         let Some(name) = self.node_at(header.sender.get()) else { return };
         let Some(peer) = self.peers.iter().position(|peer| peer.name == name) else { return };
         match kind {
-            FrameKind::StoreChanged => self.readings.wanted = true,
+            FrameKind::StoreChanged => self.store_reads.wanted = true,
             FrameKind::PeerHeartbeat => self.on_hello(now, peer, header, payload),
             FrameKind::RelayedHeartbeat => self.on_relay(now, peer, header, payload),
             FrameKind::RelayedResponse => self.on_relayed(now, header, payload),
@@ -72,32 +78,32 @@
     fn on_hello(&mut self, now: f64, peer: usize, header: &FrameHeader, payload: &[u8]) {
         let Ok(hello) = PeerHeartbeat::read_from_bytes(payload) else { return };
         let peer = &mut self.peers[peer];
-        peer.heard_at = Some(now);
-        peer.contact_ms = hello.store_contact_age_ms.get();
-        peer.leads = hello.leader_token.get();
-        peer.level = header.status.get();
+        peer.last_seen = Some(now);
+        peer.store_contact_age_ms = hello.store_contact_age_ms.get();
+        peer.leader_token = hello.leader_token.get();
+        peer.protocol_level = header.status.get();
         // It knows no counts, and would show a running job as queued until the job's next
         // change.
-        self.peer_restarted |= peer.run != header.correlation_id.get();
-        peer.run = header.correlation_id.get();
+        self.peer_restarted |= peer.incarnation != header.correlation_id.get();
+        peer.incarnation = header.correlation_id.get();
         // A leader that the state service no longer answers learns here that another one
         // leads; to stop early is always safe.
         if self.leader.as_ref().is_some_and(|leader| leader.token < hello.leader_token.get()) {
             tracing::warn!(by = peer.name, "another node leads: no longer leading");
             self.leader = None;
-            self.readings.wanted = true;
+            self.store_reads.wanted = true;
         }
     }
 
     fn on_counts(&mut self, sender: &str, payload: &[u8]) {
-        let leader = self.world.leader.as_ref();
+        let leader = self.store.leader.as_ref();
         if leader.is_none_or(|(record, _)| record.node != sender) {
             return;
         }
         for (id, done, running) in mesh::decode_job_progress(payload).unwrap_or_default() {
             // Jobs that this node has not heard of yet are told again.
-            if self.world.jobs.contains_key(&id) {
-                self.world.counts.insert(id, Counts { done, running });
+            if self.store.jobs.contains_key(&id) {
+                self.store.job_progress.insert(id, JobProgress { done, running });
             }
         }
     }
@@ -105,22 +111,22 @@
     fn on_cancellations(&mut self, payload: &[u8]) {
         // The frame may have been held back, but the last reading that was answered did not
         // tell of it.
-        let after = self.contact.unwrap_or(f64::NEG_INFINITY);
+        let after = self.last_store_contact.unwrap_or(f64::NEG_INFINITY);
         for id in mesh::decode_job_ids(payload).unwrap_or_default() {
             self.call_off(&id, after);
         }
-        self.readings.wanted = true;
+        self.store_reads.wanted = true;
     }
 
     /// A job's cancellation is committed, some time after `after`; the store has not told
     /// of it yet, and may not for long.
     pub(super) fn call_off(&mut self, id: &JobId, after: f64) {
-        if self.world.final_states.contains_key(id) {
+        if self.store.final_states.contains_key(id) {
             return;
         }
-        self.world.called_off.insert(id.clone(), after);
+        self.store.pending_cancellations.insert(id.clone(), after);
         if let Some(leader) = &mut self.leader {
-            leader.call_off(id, after);
+            leader.apply_pending_cancellation(id, after);
         }
     }
 
@@ -134,8 +140,8 @@
         let payload = mesh::encode_job_ids(ids.iter());
         for peer in 0..self.peers.len() {
             // One that has not been heard of late may come back as the version before.
-            let heard = self.peers[peer].heard_at.is_some_and(|at| now - at < HELLO_S);
-            if heard && self.peers[peer].level >= 1 {
+            let heard = self.peers[peer].last_seen.is_some_and(|at| now - at < HELLO_S);
+            if heard && self.peers[peer].protocol_level >= 1 {
                 self.send(peer, FrameKind::Cancellations, 0, 0, &payload);
             }
         }
@@ -151,10 +157,10 @@
         let Some(leader) = &mut self.leader else { return };
         let changed = leader.take_counts();
         for (id, counts) in &changed {
-            self.world.counts.insert(id.clone(), *counts);
+            self.store.job_progress.insert(id.clone(), *counts);
         }
-        let told: Vec<(&JobId, &Counts)> = if peer_restarted {
-            self.world.counts.iter().collect()
+        let told: Vec<(&JobId, &JobProgress)> = if peer_restarted {
+            self.store.job_progress.iter().collect()
         } else {
             changed.iter().map(|(id, counts)| (id, counts)).collect()
         };
--- a/crates/gladekeel-controller/src/node/budgets.rs
+++ b/crates/gladekeel-controller/src/node/rate_limits.rs
@@ -14,7 +14,7 @@
 
 /// What this node may ask of the state service and of the cloud.
 #[derive(Debug)]
-pub(crate) struct Budgets {
+pub(crate) struct RateLimits {
     /// Requests to the state service.
     pub requests: TokenBucket,
     /// Writes for users and operators.
@@ -25,17 +25,17 @@
     pub cloud: TokenBucket,
 }
 
-impl Budgets {
-    /// Budgets by the limits that are kept to in `params`; `today` are the state service's
+impl RateLimits {
+    /// RateLimits by the limits that are kept to in `deployment`; `today` are the state service's
     /// limits until those that it will have apply.
-    pub fn new(params: &Deployment, today: &StoreLimits) -> Budgets {
-        let share = params.store.rps / f64::from(params.controllers.max(1));
-        let users = params.store.write_rps * USERS_PART;
-        let cloud = params.cloud.rps * CLOUD_PART;
-        Budgets {
+    pub fn new(deployment: &Deployment, today: &StoreLimits) -> RateLimits {
+        let share = deployment.store.rps / f64::from(deployment.controllers.max(1));
+        let users = deployment.store.write_rps * USERS_PART;
+        let cloud = deployment.cloud.rps * CLOUD_PART;
+        RateLimits {
             requests: TokenBucket::new(share * STEADY_REQUESTS, share * (1.0 - STEADY_REQUESTS)),
             user_writes: TokenBucket::new(users.max(0.5), users.max(1.0)),
-            leader_writes: LeaderWrites::new(params.store.write_rps, today.write_rps),
+            leader_writes: LeaderWrites::new(deployment.store.write_rps, today.write_rps),
             cloud: TokenBucket::new(cloud, cloud.max(1.0)),
         }
     }
--- a/crates/gladekeel-controller/src/node/store.rs
+++ b/crates/gladekeel-controller/src/node/store_calls.rs
@@ -1,76 +1,86 @@
 //! Readings of the state service, and who leads by them.
 
 use super::{
-    Action, CHANGE_S, CONFIRM_S, CallId, Node, OVERTAKE_S, Purpose, STATE_S, Takeover, Waiter,
+    Action, CHANGE_S, CONFIRM_S, CallId, Node, OVERTAKE_S, PendingRequest, STATE_S,
+    StoreCallPurpose, Takeover,
 };
 use crate::{
-    election::Seen,
+    election::ObservedLeader,
     keys,
-    leader::{Leader, LogRow, Start},
-    options::Options,
-    world::Topic,
+    leader::{Leader, LeaderTerm, LogRow},
+    runtime_settings::RuntimeSettings,
+    store_view::ChangeKind,
 };
 use gladekeel_store::{Change, StoreOutcome, StoreRequest};
 use gladekeel_wire::store::KeyValue;
 use rand::Rng;
 
 impl Node {
-    pub(super) fn call_state(&mut self, now: f64, purpose: Purpose, request: StoreRequest) {
+    pub(super) fn call_state(
+        &mut self,
+        now: f64,
+        purpose: StoreCallPurpose,
+        request: StoreRequest,
+    ) {
         let call = self.next_call;
         self.next_call += 1;
-        self.state_requests += 1;
-        self.state_writes += request.write_count() as u64;
-        let changes = matches!(purpose, Purpose::Users(_) | Purpose::Lead(_) | Purpose::Log(_));
+        self.store_requests += 1;
+        self.store_writes += request.write_count() as u64;
+        let changes = matches!(
+            purpose,
+            StoreCallPurpose::Users(_) | StoreCallPurpose::Lead(_) | StoreCallPurpose::Log(_)
+        );
         let limit_s = if changes { CHANGE_S } else { STATE_S };
-        self.calls.insert(call, (purpose, request.clone(), now));
-        self.actions.push(Action::State { call, request, limit_s });
+        self.store_calls.insert(call, (purpose, request.clone(), now));
+        self.actions.push(Action::CallStore { call, request, timeout_s: limit_s });
     }
 
     pub(super) fn on_state(&mut self, now: f64, call: CallId, outcome: StoreOutcome) {
-        let Some((purpose, request, sent_at)) = self.calls.remove(&call) else { return };
+        let Some((purpose, request, sent_at)) = self.store_calls.remove(&call) else { return };
         match purpose {
-            Purpose::Sync | Purpose::Load => self.on_read(now, sent_at, outcome),
-            Purpose::Admin(id, change) => self.admin_written(now, id, change, &outcome),
-            Purpose::Users(writes) => self.users_written(now, writes, outcome),
-            Purpose::Lead(token) => {
+            StoreCallPurpose::Sync | StoreCallPurpose::Load => self.on_read(now, sent_at, outcome),
+            StoreCallPurpose::Admin(id, change) => self.admin_written(now, id, change, &outcome),
+            StoreCallPurpose::Users(writes) => self.users_written(now, writes, outcome),
+            StoreCallPurpose::Lead(token) => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.token == token) {
                     if outcome == StoreOutcome::RateLimited {
-                        self.budgets.leader_writes.refused(now);
+                        self.rate_limits.leader_writes.refused(now);
                     }
-                    self.readings.wanted |= leader.commit_answered(now, &outcome);
+                    self.store_reads.wanted |= leader.commit_answered(now, &outcome);
                 }
             }
-            Purpose::Log(token) => self.on_log(now, token, outcome),
-            Purpose::Confirm(token) => self.on_confirm(now, token, outcome),
-            Purpose::Election => {
-                self.readings.wanted |= self.election.answered(now, sent_at, &request, &outcome);
+            StoreCallPurpose::Log(token) => self.on_log(now, token, outcome),
+            StoreCallPurpose::Confirm(token) => self.on_confirm(now, token, outcome),
+            StoreCallPurpose::Election => {
+                self.store_reads.wanted |= self.election.answered(now, sent_at, &request, &outcome);
             }
         }
     }
 
     pub(super) fn on_read(&mut self, now: f64, sent_at: f64, outcome: StoreOutcome) {
-        self.readings.in_flight -= 1;
+        self.store_reads.in_flight -= 1;
         match outcome {
             StoreOutcome::Page(rows) => {
                 let changes = self.replica.apply_page(rows);
                 self.apply(now, &changes);
-                self.readings.wanted = true;
+                self.store_reads.wanted = true;
             }
             StoreOutcome::Watched(events) => {
                 let changes = self.replica.apply_watch(events);
                 self.apply(now, &changes);
                 if let Some(leader) = &mut self.leader {
-                    leader.stop_placing(!self.world.unreadable.is_empty());
+                    leader.suspend_scheduling(!self.store.unreadable.is_empty());
                 }
-                self.contact = Some(self.contact.map_or(sent_at, |at| at.max(sent_at)));
-                self.state_down = false;
-                self.readings.answered();
+                self.last_store_contact =
+                    Some(self.last_store_contact.map_or(sent_at, |at| at.max(sent_at)));
+                self.store_unreachable = false;
+                self.store_reads.answered();
                 self.lead_or_follow(now);
                 // Everyone who came before this reading was sent is served by it.
-                let (served, waiting) = std::mem::take(&mut self.users.waiting)
+                let (served, waiting) = std::mem::take(&mut self.user_queue.waiting)
                     .into_iter()
-                    .partition(|waiter: &Waiter| waiter.from <= sent_at);
-                self.users.waiting = waiting;
+                    .partition(|waiter: &PendingRequest| waiter.from <= sent_at);
+                self.user_queue.waiting = waiting;
                 self.serve(now, served);
                 self.answer_written(now);
             }
@@ -79,21 +89,21 @@
                 if self.replica.revision().is_some() {
                     self.replica.invalidate();
                 }
-                self.readings.wanted = true;
+                self.store_reads.wanted = true;
             }
             StoreOutcome::RateLimited => {
-                self.readings.not_before = now + 0.1 + self.rng.random::<f64>() * 0.1;
-                self.readings.wanted = true;
+                self.store_reads.not_before = now + 0.1 + self.rng.random::<f64>() * 0.1;
+                self.store_reads.wanted = true;
             }
             outcome => {
                 // A slow answer is not an outage; a refusal, or several in a row, is.
-                let several = self.readings.lost();
+                let several = self.store_reads.lost();
                 if outcome == StoreOutcome::Unknown && !several {
                     return;
                 }
-                self.state_down = true;
-                self.readings.not_before = now + 0.25;
-                for request in self.users.take_all() {
+                self.store_unreachable = true;
+                self.store_reads.not_before = now + 0.25;
+                for request in self.user_queue.take_all() {
                     self.later(now, request, "the state service cannot be reached");
                 }
             }
@@ -102,56 +112,58 @@
 
     pub(super) fn apply(&mut self, now: f64, changes: &[Change]) {
         // What is new here was not so yet when the last reading before was sent.
-        let after = self.contact.unwrap_or(f64::NEG_INFINITY);
+        let after = self.last_store_contact.unwrap_or(f64::NEG_INFINITY);
         for change in changes {
-            match self.world.apply(change, after) {
-                Topic::Job(id) => {
+            match self.store.apply(change, after) {
+                ChangeKind::Job(id) => {
                     if let Some(leader) = &mut self.leader {
                         if change.current.is_some() {
-                            leader.add_job(&self.world, &id, now);
+                            leader.add_job(&self.store, &id, now);
                         } else {
                             leader.forget_job(&id);
                         }
                     }
                 }
-                Topic::FinalState(id) => {
+                ChangeKind::FinalState(id) => {
                     if let Some(leader) = &mut self.leader {
-                        leader.apply_final_state(&self.world, &id);
+                        leader.apply_final_state(&self.store, &id);
                     }
                 }
-                Topic::Options => {
+                ChangeKind::Options => {
                     // What a later version stored and this one does not know is left out.
-                    let usual = Options::new(&self.params.workers);
+                    let usual = RuntimeSettings::new(&self.deployment.workers);
                     let known = usual.values();
-                    let stored = self.world.options.iter();
+                    let stored = self.store.options.iter();
                     let stored = stored
                         .filter(|(name, _)| known.contains_key(*name))
                         .map(|(name, value)| (name.clone(), *value))
                         .collect();
-                    self.options = usual.with(&stored).unwrap_or(usual);
+                    self.runtime_settings = usual.with(&stored).unwrap_or(usual);
                 }
-                Topic::Drain(machine) => {
+                ChangeKind::Drain(machine) => {
                     if let Some(leader) = &mut self.leader {
-                        leader.apply_drain(&self.world, &machine);
+                        leader.apply_drain(&self.store, &machine);
                     }
                 }
-                Topic::Other => {}
+                ChangeKind::Other => {}
             }
         }
     }
 
-    pub(super) fn seen(&self) -> Seen {
-        match &self.world.leader {
-            None => Seen::Nobody,
-            Some((record, _)) if *record == self.record => Seen::Me,
-            Some((record, version)) if record.node == self.record.node => Seen::Ghost(*version),
-            Some(_) => Seen::Other,
+    pub(super) fn seen(&self) -> ObservedLeader {
+        match &self.store.leader {
+            None => ObservedLeader::Vacant,
+            Some((record, _)) if *record == self.record => ObservedLeader::ThisIncarnation,
+            Some((record, version)) if record.node == self.record.node => {
+                ObservedLeader::StaleIncarnation(*version)
+            }
+            Some(_) => ObservedLeader::OtherNode,
         }
     }
 
     /// The store was read: begin to lead, go on under a new token, or stop.
     pub(super) fn lead_or_follow(&mut self, now: f64) {
-        let token = match &self.world.leader {
+        let token = match &self.store.leader {
             Some((record, token)) if *record == self.record => *token,
             _ => {
                 self.takeover = None;
@@ -164,7 +176,7 @@
         };
         if self.leader.as_ref().is_some_and(|leader| leader.token == token)
             || self.takeover.as_ref().is_some_and(|takeover| takeover.token == token)
-            || token <= self.spent
+            || token <= self.last_used_token
         {
             return;
         }
@@ -176,20 +188,21 @@
         // Answers of the cloud are of use to the same knowledge that asked.
         self.leadership += u64::from(cluster.is_none());
         let rows = Vec::new();
-        self.takeover = Some(Takeover { token, rows, flying: false, not_before: now, cluster });
+        self.takeover = Some(Takeover { token, rows, in_flight: false, not_before: now, cluster });
     }
 
     /// The leader's call that changes the store, if one is under way: when it was sent.
     pub(super) fn lead_call(&self, token: u64) -> Option<(CallId, f64)> {
-        let mut calls = self.calls.iter();
-        let found = calls.find(|(_, (p, ..))| matches!(p, Purpose::Lead(of) if *of == token));
+        let mut calls = self.store_calls.iter();
+        let found =
+            calls.find(|(_, (p, ..))| matches!(p, StoreCallPurpose::Lead(of) if *of == token));
         found.map(|(call, (.., sent_at))| (*call, *sent_at))
     }
 
     /// Looks in the store for a transaction whose answer is slow to come.
     pub(super) fn send_confirmation(&mut self, now: f64) {
         let Some(leader) = &self.leader else { return };
-        let (token, mark) = (leader.token, leader.commit_mark());
+        let (token, mark) = (leader.token, leader.commit_marker());
         let slow = self.lead_call(token).is_some_and(|(_, at)| now - at >= CONFIRM_S);
         if let Some((key, _)) = mark
             && slow
@@ -197,7 +210,7 @@
         {
             self.confirm_at = now;
             let call = StoreRequest::List { prefix: key.clone(), after: None };
-            self.call_state(now, Purpose::Confirm(token), call);
+            self.call_state(now, StoreCallPurpose::Confirm(token), call);
         }
     }
 
@@ -208,18 +221,19 @@
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.token == token) else {
             return;
         };
-        let Some((key, text)) = leader.commit_mark() else { return };
+        let Some((key, text)) = leader.commit_marker() else { return };
         // Nobody else writes there under this token, and all of it was made at once.
         let made = rows.entries.iter().find(|row| row.key == *key && row.value == text.as_str());
         if let Some(version) = made.map(|row| row.version) {
-            self.calls.remove(&call);
-            self.readings.wanted |= leader.commit_answered(now, &StoreOutcome::Committed(version));
+            self.store_calls.remove(&call);
+            self.store_reads.wanted |=
+                leader.commit_answered(now, &StoreOutcome::Committed(version));
         }
     }
 
     pub(super) fn on_log(&mut self, now: f64, token: u64, outcome: StoreOutcome) {
         let Some(takeover) = self.takeover.as_mut().filter(|t| t.token == token) else { return };
-        takeover.flying = false;
+        takeover.in_flight = false;
         let StoreOutcome::Page(rows) = outcome else {
             takeover.not_before = now + 0.2;
             return;
@@ -229,7 +243,7 @@
             return;
         }
         let read = |row: KeyValue| {
-            let slot = row.key.strip_prefix(keys::LOG)?.parse().ok()?;
+            let slot = row.key.strip_prefix(keys::ASSIGNMENT_LOG_PREFIX)?.parse().ok()?;
             Some(LogRow { slot, version: row.version, text: row.value.as_str()?.to_owned() })
         };
         let rows: Option<Vec<LogRow>> =
@@ -237,16 +251,23 @@
         let (cluster, salt) = (takeover.cluster.take(), self.rng.random());
         let leader = match rows {
             // Attempts of a job that cannot be read would count as attempts of none.
-            Some(rows) if !self.world.old_layout && self.world.unreadable.is_empty() => {
-                let (epoch, params) = (self.epoch, self.params.clone());
-                Leader::new(&self.world, rows, Start { token, now, epoch, params, salt }, cluster)
-                    .ok()
+            Some(rows)
+                if !self.store.has_legacy_assignments && self.store.unreadable.is_empty() =>
+            {
+                let (epoch, deployment) = (self.epoch, self.deployment.clone());
+                Leader::new(
+                    &self.store,
+                    rows,
+                    LeaderTerm { token, now, epoch, deployment, salt },
+                    cluster,
+                )
+                .ok()
             }
             _ => None,
         };
         let answers = std::mem::take(&mut self.held_answers);
         if let Some(mut leader) = leader {
-            self.spent = token;
+            self.last_used_token = token;
             self.takeover = None;
             for (request, outcome) in answers {
                 leader.cloud_answered(now, &request, outcome);
@@ -254,38 +275,38 @@
             self.leader = Some(leader);
         } else if let Some(takeover) = &mut self.takeover {
             // Placing without it would start tasks twice. Operators must look.
-            let keys = &self.world.unreadable;
+            let keys = &self.store.unreadable;
             tracing::error!(?keys, "the log in the state service cannot be read: placing nothing");
             takeover.not_before = now + 5.0;
         }
     }
 
     pub(super) fn send_reading(&mut self, now: f64) {
-        if now < self.readings.not_before {
+        if now < self.store_reads.not_before {
             return;
         }
-        let since = now - self.readings.sent_at;
-        let due = match self.readings.in_flight {
+        let since = now - self.store_reads.sent_at;
+        let due = match self.store_reads.in_flight {
             0 => {
                 let idle_s = if self.leader.is_some() { 0.25 } else { 0.4 };
-                self.readings.wanted || !self.users.waiting.is_empty() || since >= idle_s
+                self.store_reads.wanted || !self.user_queue.waiting.is_empty() || since >= idle_s
             }
             // Pages of a whole reading come one after the other.
             1 => self.replica.revision().is_some() && since >= OVERTAKE_S,
             _ => false,
         };
-        if !due || !self.budgets.requests.try_take(now, 1.0) {
+        if !due || !self.rate_limits.requests.try_take(now, 1.0) {
             return;
         }
-        self.readings.begin(now);
-        let prefix = keys::ALL.to_owned();
+        self.store_reads.begin(now);
+        let prefix = keys::REPLICATED_PREFIX.to_owned();
         match self.replica.revision() {
             Some(since) => {
-                self.call_state(now, Purpose::Sync, StoreRequest::Watch { prefix, since })
+                self.call_state(now, StoreCallPurpose::Sync, StoreRequest::Watch { prefix, since });
             }
             None => {
                 let after = self.replica.next_page_after();
-                self.call_state(now, Purpose::Load, StoreRequest::List { prefix, after });
+                self.call_state(now, StoreCallPurpose::Load, StoreRequest::List { prefix, after });
             }
         }
     }
--- a/crates/gladekeel-controller/src/node/readings.rs
+++ b/crates/gladekeel-controller/src/node/store_reads.rs
@@ -1,11 +1,11 @@
-//! Readings of the store: when the next one is due, and how the last ones went.
+//! ReadScheduler of the store: when the next one is due, and how the last ones went.
 
-/// Readings without an answer in a row, after which the service counts as out of reach.
+/// ReadScheduler without an answer in a row, after which the service counts as out of reach.
 const DOWN: u32 = 2;
 
-/// Readings of the store.
+/// ReadScheduler of the store.
 #[derive(Debug)]
-pub(crate) struct Readings {
+pub(crate) struct ReadScheduler {
     /// How many are under way.
     pub in_flight: u32,
     /// Those that had no answer since the last that had.
@@ -18,13 +18,13 @@
     pub not_before: f64,
 }
 
-impl Default for Readings {
+impl Default for ReadScheduler {
     fn default() -> Self {
-        Readings { in_flight: 0, unanswered: 0, wanted: true, sent_at: -1.0, not_before: 0.0 }
+        ReadScheduler { in_flight: 0, unanswered: 0, wanted: true, sent_at: -1.0, not_before: 0.0 }
     }
 }
 
-impl Readings {
+impl ReadScheduler {
     /// One is sent.
     pub fn begin(&mut self, now: f64) {
         self.in_flight += 1;
--- a/crates/gladekeel-controller/src/node/queue.rs
+++ b/crates/gladekeel-controller/src/node/user_queue.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(crate) struct UserQueue {
     /// Those that wait for a reading.
-    pub waiting: Vec<Waiter>,
+    pub waiting: Vec<PendingRequest>,
     /// Changes that are in no transaction yet.
     pub writes: VecDeque<UserWrite>,
     /// Transactions with changes under way.
@@ -46,7 +46,7 @@
 
     /// Takes out the requests that have waited since before a time.
     pub fn take_older(&mut self, than: f64) -> Vec<RequestId> {
-        let is_late = |waiter: &mut Waiter| waiter.since <= than;
+        let is_late = |waiter: &mut PendingRequest| waiter.since <= than;
         let mut late: Vec<RequestId> =
             self.waiting.extract_if(.., is_late).map(|waiter| waiter.request).collect();
         while self.writes.front().is_some_and(|write| write.since <= than) {
@@ -76,18 +76,18 @@
 
 /// A request that waits for the store to be read.
 #[derive(Debug)]
-pub(crate) struct Waiter {
+pub(crate) struct PendingRequest {
     pub request: RequestId,
     pub id: Option<JobId>,
     pub since: f64,
     /// A reading that was sent at this time or later will do.
     pub from: f64,
-    pub then: Then,
+    pub then: Continuation,
 }
 
 /// What follows the reading.
 #[derive(Debug)]
-pub(crate) enum Then {
+pub(crate) enum Continuation {
     /// Answer an operator with the settings.
     Settings,
     /// Answer with the job's state, or 404.
--- a/crates/gladekeel-controller/src/node/users.rs
+++ b/crates/gladekeel-controller/src/node/user_requests.rs
@@ -1,11 +1,12 @@
 //! What users ask for: accepted, cancelled, told.
 
 use super::{
-    MAX_USER_COMMITS, Node, OVERTAKE_S, Purpose, RequestId, Then, UserWrite, WAIT_S, Waiter,
+    Continuation, MAX_USER_COMMITS, Node, OVERTAKE_S, PendingRequest, RequestId, StoreCallPurpose,
+    UserWrite, WAIT_S,
 };
 use crate::{
     admin::AdminChange,
-    api::{self, Reply, Verdict},
+    api::{self, Admission, Reply},
     keys,
 };
 use gladekeel_store::{StoreOutcome, StoreRequest};
@@ -32,12 +33,12 @@
         if self.replica.revision().is_none() {
             return false;
         }
-        if self.contact.is_some_and(|at| now - at < 3.0) || self.peers.is_empty() {
+        if self.last_store_contact.is_some_and(|at| now - at < 3.0) || self.peers.is_empty() {
             return true;
         }
         let mut heard =
-            self.peers.iter().filter(|p| p.heard_at.is_some_and(|at| now - at < 2.5)).peekable();
-        heard.peek().is_some() && heard.all(|peer| peer.contact_ms >= 2500)
+            self.peers.iter().filter(|p| p.last_seen.is_some_and(|at| now - at < 2.5)).peekable();
+        heard.peek().is_some() && heard.all(|peer| peer.store_contact_age_ms >= 2500)
     }
 
     /// Makes a change for an operator, who is answered once it is made or not.
@@ -51,8 +52,8 @@
         if self.overloaded(now, id) {
             return;
         }
-        self.budgets.user_writes.try_take(now, 1.0);
-        self.call_state(now, Purpose::Admin(id, change), StoreRequest::Commit(txn));
+        self.rate_limits.user_writes.try_take(now, 1.0);
+        self.call_state(now, StoreCallPurpose::Admin(id, change), StoreRequest::Commit(txn));
     }
 
     pub(super) fn later(&mut self, now: f64, id: RequestId, what: &str) {
@@ -61,11 +62,11 @@
     }
 
     pub(crate) fn overloaded(&mut self, now: f64, id: RequestId) -> bool {
-        let over = self.users.is_full();
+        let over = self.user_queue.is_full();
         if over {
             tracing::debug!(id, "told to come back: too many requests are waiting");
             self.reply(now, id, Reply::later(503, 2, "too many requests are waiting"));
-        } else if self.state_down || self.replica.revision().is_none() {
+        } else if self.store_unreachable || self.replica.revision().is_none() {
             // Known to be out of reach: said at once, rather than after a wait.
             self.later(now, id, "the state service cannot be reached");
             return true;
@@ -73,23 +74,29 @@
         over
     }
 
-    pub(crate) fn wait(&mut self, now: f64, request: RequestId, id: Option<JobId>, then: Then) {
-        self.users.waiting.push(Waiter { request, id, since: now, from: now, then });
-        self.readings.wanted = true;
+    pub(crate) fn wait(
+        &mut self,
+        now: f64,
+        request: RequestId,
+        id: Option<JobId>,
+        then: Continuation,
+    ) {
+        self.user_queue.waiting.push(PendingRequest { request, id, since: now, from: now, then });
+        self.store_reads.wanted = true;
     }
 
     pub(super) fn on_poll(&mut self, now: f64, request: RequestId, id: JobId) {
         if let Some(status) = self.final_status(&id) {
             self.reply(now, request, Reply::json(200, &status));
         } else if !self.overloaded(now, request) {
-            self.wait(now, request, Some(id), Then::Poll);
+            self.wait(now, request, Some(id), Continuation::Poll);
         }
     }
 
     /// A final state never changes, so it can be told without asking the store.
     pub(super) fn final_status(&self, id: &JobId) -> Option<JobStatus> {
-        self.world.final_states.get(id)?;
-        api::status(&self.world, id)
+        self.store.final_states.get(id)?;
+        api::status(&self.store, id)
     }
 
     pub(super) fn on_submit(&mut self, now: f64, request: RequestId, body: &[u8]) {
@@ -99,7 +106,7 @@
         };
         let value = serde_json::to_vec(&spec).expect("wire types always serialise");
         // Such a write would be refused together with everything in its batch.
-        let too_long = value.len() + 100 > (self.params.store.value_kb * 1024.0) as usize;
+        let too_long = value.len() + 100 > (self.deployment.store.value_kb * 1024.0) as usize;
         let id = spec.id.clone();
         if let Some(status) = self.final_status(&id) {
             return self.reply(now, request, Reply::json(200, &status));
@@ -107,20 +114,28 @@
         if self.overloaded(now, request) {
             return;
         }
-        if self.world.jobs.contains_key(&id) {
-            return self.wait(now, request, Some(id), Then::Poll);
+        if self.store.jobs.contains_key(&id) {
+            return self.wait(now, request, Some(id), Continuation::Poll);
         }
         // A job that was accepted once is never refused later, so look first.
         if too_long {
-            let then = Then::Refuse(400, "the description is too long".into());
+            let then = Continuation::Refuse(400, "the description is too long".into());
             return self.wait(now, request, Some(id), then);
         }
-        match api::judge(&self.params, &self.world, &spec) {
-            Verdict::Never(why) => self.wait(now, request, Some(id), Then::Refuse(422, why)),
-            Verdict::Unknown => self.later(now, request, "machine types are not known yet"),
-            Verdict::Fine => {
+        match api::check_admission(&self.deployment, &self.store, &spec) {
+            Admission::Rejected(why) => {
+                self.wait(now, request, Some(id), Continuation::Refuse(422, why));
+            }
+            Admission::Unknown => self.later(now, request, "machine types are not known yet"),
+            Admission::Accepted => {
                 let spec = Some(Rc::new(spec));
-                self.users.writes.push_back(UserWrite { request, id, spec, since: now, tries: 0 });
+                self.user_queue.writes.push_back(UserWrite {
+                    request,
+                    id,
+                    spec,
+                    since: now,
+                    tries: 0,
+                });
             }
         }
     }
@@ -132,8 +147,8 @@
         if self.overloaded(now, request) {
             return;
         }
-        if self.world.jobs.contains_key(&id) {
-            self.users.writes.push_back(UserWrite {
+        if self.store.jobs.contains_key(&id) {
+            self.user_queue.writes.push_back(UserWrite {
                 request,
                 id,
                 spec: None,
@@ -141,26 +156,26 @@
                 tries: 0,
             });
         } else {
-            self.wait(now, request, Some(id), Then::Cancel { tries: 0 });
+            self.wait(now, request, Some(id), Continuation::Cancel { tries: 0 });
         }
     }
 
     /// The store was read after these requests came in.
-    pub(super) fn serve(&mut self, now: f64, waiters: Vec<Waiter>) {
-        for Waiter { request, id, since, then, .. } in waiters {
+    pub(super) fn serve(&mut self, now: f64, waiters: Vec<PendingRequest>) {
+        for PendingRequest { request, id, since, then, .. } in waiters {
             let Some(id) = id else {
                 self.answer_settings(now, request);
                 continue;
             };
-            if self.world.is_unreadable(&id) && !self.world.final_states.contains_key(&id) {
+            if self.store.is_unreadable(&id) && !self.store.final_states.contains_key(&id) {
                 self.later(now, request, "what is stored of the job cannot be read");
                 continue;
             }
-            let status = api::status(&self.world, &id);
+            let status = api::status(&self.store, &id);
             let open = status.as_ref().is_some_and(|status| !status.state.is_final());
             match (then, status) {
-                (Then::Cancel { tries }, _) if open && tries < MAX_TRIES => {
-                    self.users.writes.push_back(UserWrite {
+                (Continuation::Cancel { tries }, _) if open && tries < MAX_TRIES => {
+                    self.user_queue.writes.push_back(UserWrite {
                         request,
                         id,
                         spec: None,
@@ -168,23 +183,26 @@
                         tries,
                     });
                 }
-                (Then::Cancel { .. }, Some(_)) if open => {
+                (Continuation::Cancel { .. }, Some(_)) if open => {
                     self.later(now, request, "not cancelled yet");
                 }
                 (_, Some(status)) => self.reply(now, request, Reply::json(200, &status)),
-                (Then::Create { spec, tries }, None)
+                (Continuation::Create { spec, tries }, None)
                     if tries < MAX_TRIES && now - since < WAIT_S =>
                 {
                     let spec = Some(spec);
-                    self.users.writes.push_back(UserWrite { request, id, spec, since, tries });
+                    self.user_queue.writes.push_back(UserWrite { request, id, spec, since, tries });
                 }
-                (Then::Create { .. } | Then::Unknown, None) => {
+                (Continuation::Create { .. } | Continuation::Unknown, None) => {
                     self.later(now, request, "not accepted yet");
                 }
-                (Then::Refuse(code, why), None) => {
+                (Continuation::Refuse(code, why), None) => {
                     self.reply(now, request, Reply::error(code, why));
                 }
-                (Then::Poll | Then::Cancel { .. } | Then::Settings, None) => {
+                (
+                    Continuation::Poll | Continuation::Cancel { .. } | Continuation::Settings,
+                    None,
+                ) => {
                     self.reply(now, request, Reply::error(404, "no such job"));
                 }
             }
@@ -198,21 +216,21 @@
         writes: Vec<UserWrite>,
         outcome: StoreOutcome,
     ) {
-        self.users.in_flight -= 1;
+        self.user_queue.in_flight -= 1;
         match outcome {
             StoreOutcome::Committed(_) => self.user_writes_committed(now, writes),
             StoreOutcome::Conflict(failed) => self.user_writes_conflicted(now, writes, &failed),
             StoreOutcome::RateLimited => {
-                self.budgets.user_writes.drain(now);
-                self.users.not_before = now + 0.1 + self.rng.random::<f64>() * 0.1;
+                self.rate_limits.user_writes.drain(now);
+                self.user_queue.not_before = now + 0.1 + self.rng.random::<f64>() * 0.1;
                 self.queue_again(writes);
             }
             // Too large: the limits are lower than the settings say. Nothing was done, and
             // what goes in halves may be taken.
             StoreOutcome::LeaseNotFound if writes.len() > 1 => {
-                self.users.most_at_once = writes.len() / 2;
+                self.user_queue.most_at_once = writes.len() / 2;
                 tracing::warn!(
-                    at_once = self.users.most_at_once,
+                    at_once = self.user_queue.most_at_once,
                     "the state service takes less than its settings say: writing less at once"
                 );
                 self.queue_again(writes);
@@ -242,7 +260,7 @@
             let answer = JobStatus { id: write.id, state, done: None, running: None };
             self.reply(now, write.request, Reply::json(status, &answer));
         }
-        self.readings.wanted |= self.leader.is_some();
+        self.store_reads.wanted |= self.leader.is_some();
         self.nudge();
     }
 
@@ -253,14 +271,14 @@
             write.tries += 1;
             let own = [keys::job(&write.id), keys::final_state(&write.id)];
             if !failed.is_empty() && !own.iter().any(|key| failed.contains(key)) {
-                self.users.writes.push_front(write);
+                self.user_queue.writes.push_front(write);
                 continue;
             }
             let then = match write.spec {
-                Some(spec) => Then::Create { spec, tries: write.tries },
-                None => Then::Cancel { tries: write.tries },
+                Some(spec) => Continuation::Create { spec, tries: write.tries },
+                None => Continuation::Cancel { tries: write.tries },
             };
-            self.users.waiting.push(Waiter {
+            self.user_queue.waiting.push(PendingRequest {
                 request: write.request,
                 id: Some(write.id),
                 since: write.since,
@@ -268,7 +286,7 @@
                 then,
             });
         }
-        self.readings.wanted = true;
+        self.store_reads.wanted = true;
     }
 
     /// The changes may have been made, or may be later: a reading tells whether they show.
@@ -276,10 +294,10 @@
         for write in writes {
             let then = match write.spec {
                 // If it shows, it is accepted.
-                Some(_) => Then::Unknown,
-                None => Then::Cancel { tries: MAX_TRIES },
+                Some(_) => Continuation::Unknown,
+                None => Continuation::Cancel { tries: MAX_TRIES },
             };
-            self.users.waiting.push(Waiter {
+            self.user_queue.waiting.push(PendingRequest {
                 request: write.request,
                 id: Some(write.id),
                 since: now,
@@ -287,13 +305,13 @@
                 then,
             });
         }
-        self.readings.wanted = true;
+        self.store_reads.wanted = true;
     }
 
     /// Puts changes back in front of the queue, in their order.
     fn queue_again(&mut self, writes: Vec<UserWrite>) {
         for write in writes.into_iter().rev() {
-            self.users.writes.push_front(write);
+            self.user_queue.writes.push_front(write);
         }
     }
 
@@ -301,51 +319,53 @@
     /// that shows may have been put there through another node, so it is told as known.
     pub(super) fn answer_written(&mut self, now: f64) {
         let mut shown = Vec::new();
-        for (call, (purpose, _, sent_at)) in &mut self.calls {
-            let Purpose::Users(writes) = purpose else { continue };
+        for (call, (purpose, _, sent_at)) in &mut self.store_calls {
+            let StoreCallPurpose::Users(writes) = purpose else { continue };
             if now - *sent_at < OVERTAKE_S {
                 continue;
             }
-            let world = &self.world;
+            let store = &self.store;
             shown.extend(
                 writes
                     .extract_if(.., |write| match write.spec {
-                        Some(_) => world.jobs.contains_key(&write.id),
-                        None => world.final_states.contains_key(&write.id),
+                        Some(_) => store.jobs.contains_key(&write.id),
+                        None => store.final_states.contains_key(&write.id),
                     })
                     .map(|write| (*call, write)),
             );
         }
         for (call, write) in shown {
-            if let Some(status) = api::status(&self.world, &write.id) {
+            if let Some(status) = api::status(&self.store, &write.id) {
                 self.reply(now, write.request, Reply::json(200, &status));
             }
             if self
-                .calls
+                .store_calls
                 .get(&call)
-                .is_some_and(|(p, ..)| matches!(p, Purpose::Users(w) if w.is_empty()))
+                .is_some_and(|(p, ..)| matches!(p, StoreCallPurpose::Users(w) if w.is_empty()))
             {
-                self.calls.remove(&call);
-                self.users.in_flight -= 1;
+                self.store_calls.remove(&call);
+                self.user_queue.in_flight -= 1;
             }
         }
     }
 
     pub(super) fn send_user_writes(&mut self, now: f64) {
-        if self.users.in_flight >= MAX_USER_COMMITS
-            || self.users.writes.is_empty()
-            || now < self.users.not_before
+        if self.user_queue.in_flight >= MAX_USER_COMMITS
+            || self.user_queue.writes.is_empty()
+            || now < self.user_queue.not_before
         {
             return;
         }
-        if !self.budgets.user_writes.can_take(now, 1.0) {
+        if !self.rate_limits.user_writes.can_take(now, 1.0) {
             return;
         }
-        let most =
-            self.users.most_at_once.min(self.budgets.user_writes.available(now).max(1.0) as usize);
+        let most = self
+            .user_queue
+            .most_at_once
+            .min(self.rate_limits.user_writes.available(now).max(1.0) as usize);
         let mut batch = Batch::default();
         let mut kept = VecDeque::new();
-        while let Some(write) = self.users.writes.pop_front() {
+        while let Some(write) = self.user_queue.writes.pop_front() {
             if batch.has(&write.id) || batch.writes.len() >= most || batch.bytes > MAX_BATCH_BYTES {
                 kept.push_back(write);
                 continue;
@@ -353,19 +373,23 @@
             match &write.spec {
                 Some(spec) => batch.create(spec, self.epoch + write.since),
                 None => {
-                    let version = self.world.jobs.get(&write.id).map_or(0, |job| job.version);
+                    let version = self.store.jobs.get(&write.id).map_or(0, |job| job.version);
                     batch.cancel(&write.id, version);
                 }
             }
             batch.writes.push(write);
         }
-        self.users.writes = kept;
+        self.user_queue.writes = kept;
         if batch.writes.is_empty() {
             return;
         }
-        self.budgets.user_writes.try_take(now, batch.writes.len() as f64);
-        self.users.in_flight += 1;
-        self.call_state(now, Purpose::Users(batch.writes), StoreRequest::Commit(batch.txn));
+        self.rate_limits.user_writes.try_take(now, batch.writes.len() as f64);
+        self.user_queue.in_flight += 1;
+        self.call_state(
+            now,
+            StoreCallPurpose::Users(batch.writes),
+            StoreRequest::Commit(batch.txn),
+        );
     }
 }
 
--- a/crates/gladekeel-controller/src/options.rs
+++ b/crates/gladekeel-controller/src/runtime_settings.rs
@@ -7,46 +7,46 @@
 
 /// The options in force.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Options {
+pub struct RuntimeSettings {
     /// β and ε of the division of room.
-    pub hopper: FairShare,
+    pub fair_share: FairShare,
     /// Time between rounds of decisions.
-    pub round_s: f64,
+    pub cycle_interval_s: f64,
     /// A task is slow past this many times its job's median.
-    pub restart_multiple: f64,
+    pub straggler_multiple: f64,
     /// An idle machine beyond need is kept this long.
-    pub idle_s: f64,
+    pub idle_timeout_s: f64,
     /// A machine silent for this long that does not answer either is deleted, if others
     /// of its zone are heard.
-    pub silent_s: f64,
+    pub unreachable_after_s: f64,
     /// A task waits this long for room before others are stopped for it.
     pub preempt_after_s: f64,
     /// The same before others are stopped that save their progress.
-    pub preempt_saving_after_s: f64,
+    pub preempt_checkpointed_after_s: f64,
     /// How the fleet is sized.
-    pub sizing: AutoscalerConfig,
+    pub autoscaler: AutoscalerConfig,
 }
 
-impl Options {
+impl RuntimeSettings {
     /// What is in force until operators say otherwise.
-    pub fn new(workers: &WorkerTimings) -> Options {
-        Options {
-            hopper: FairShare::default(),
-            round_s: 1.0,
-            restart_multiple: 3.0,
-            idle_s: 15.0,
+    pub fn new(workers: &WorkerTimings) -> RuntimeSettings {
+        RuntimeSettings {
+            fair_share: FairShare::default(),
+            cycle_interval_s: 1.0,
+            straggler_multiple: 3.0,
+            idle_timeout_s: 15.0,
             // Time to ask it several times.
-            silent_s: workers.probe_after_s() + 6.5,
+            unreachable_after_s: workers.probe_after_s() + 6.5,
             preempt_after_s: 6.0,
-            preempt_saving_after_s: 1.0,
-            sizing: AutoscalerConfig::default(),
+            preempt_checkpointed_after_s: 1.0,
+            autoscaler: AutoscalerConfig::default(),
         }
     }
 }
 
 /// A change that cannot be made.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum BadOption {
+pub enum InvalidRuntimeSetting {
     /// There is no option of this name.
     #[error("{name}: no such setting; there are {}", names().join(", "))]
     Unknown {
@@ -73,17 +73,17 @@
     name: &'static str,
     least: f64,
     most: f64,
-    place: fn(&mut Options) -> &mut f64,
+    place: fn(&mut RuntimeSettings) -> &mut f64,
 }
 
 impl Field {
-    fn of(name: &str) -> Result<&'static Field, BadOption> {
+    fn of(name: &str) -> Result<&'static Field, InvalidRuntimeSetting> {
         let field = FIELDS.iter().find(|field| field.name == name);
-        field.ok_or_else(|| BadOption::Unknown { name: name.to_owned() })
+        field.ok_or_else(|| InvalidRuntimeSetting::Unknown { name: name.to_owned() })
     }
 
-    fn out_of_range(&self) -> BadOption {
-        BadOption::OutOfRange { name: self.name, least: self.least, most: self.most }
+    fn out_of_range(&self) -> InvalidRuntimeSetting {
+        InvalidRuntimeSetting::OutOfRange { name: self.name, least: self.least, most: self.most }
     }
 }
 
@@ -92,35 +92,45 @@
 }
 
 const FIELDS: &[Field] = &[
-    Field { name: "beta", least: 1.01, most: 2.0, place: |o| &mut o.hopper.beta },
-    Field { name: "epsilon", least: 0.0, most: 1.0, place: |o| &mut o.hopper.epsilon },
-    Field { name: "round_s", least: 0.2, most: 30.0, place: |o| &mut o.round_s },
-    Field { name: "restart_multiple", least: 1.5, most: 100.0, place: |o| &mut o.restart_multiple },
-    Field { name: "idle_s", least: 0.0, most: 3600.0, place: |o| &mut o.idle_s },
-    Field { name: "silent_s", least: 5.0, most: 600.0, place: |o| &mut o.silent_s },
+    Field { name: "beta", least: 1.01, most: 2.0, place: |o| &mut o.fair_share.beta },
+    Field { name: "epsilon", least: 0.0, most: 1.0, place: |o| &mut o.fair_share.epsilon },
+    Field { name: "round_s", least: 0.2, most: 30.0, place: |o| &mut o.cycle_interval_s },
+    Field {
+        name: "restart_multiple",
+        least: 1.5,
+        most: 100.0,
+        place: |o| &mut o.straggler_multiple,
+    },
+    Field { name: "idle_s", least: 0.0, most: 3600.0, place: |o| &mut o.idle_timeout_s },
+    Field { name: "silent_s", least: 5.0, most: 600.0, place: |o| &mut o.unreachable_after_s },
     Field { name: "preempt_after_s", least: 0.0, most: 3600.0, place: |o| &mut o.preempt_after_s },
     Field {
         name: "preempt_saving_after_s",
         least: 0.0,
         most: 3600.0,
-        place: |o| &mut o.preempt_saving_after_s,
+        place: |o| &mut o.preempt_checkpointed_after_s,
     },
     Field {
         name: "fleet_memory_s",
         least: 1.0,
         most: 86400.0,
-        place: |o| &mut o.sizing.smoothing_s,
+        place: |o| &mut o.autoscaler.smoothing_s,
+    },
+    Field {
+        name: "fleet_keep",
+        least: 0.0,
+        most: 3.0,
+        place: |o| &mut o.autoscaler.spot_retention,
     },
-    Field { name: "fleet_keep", least: 0.0, most: 3.0, place: |o| &mut o.sizing.spot_retention },
     Field {
         name: "fleet_fill",
         least: 0.05,
         most: 1.0,
-        place: |o| &mut o.sizing.target_utilization,
+        place: |o| &mut o.autoscaler.target_utilization,
     },
 ];
 
-impl Options {
+impl RuntimeSettings {
     /// Every option by name.
     pub fn values(&self) -> BTreeMap<String, f64> {
         let mut copy = self.clone();
@@ -128,7 +138,10 @@
     }
 
     /// The options with some changed; all or none.
-    pub fn with(&self, values: &BTreeMap<String, f64>) -> Result<Options, BadOption> {
+    pub fn with(
+        &self,
+        values: &BTreeMap<String, f64>,
+    ) -> Result<RuntimeSettings, InvalidRuntimeSetting> {
         let mut new = self.clone();
         for (name, value) in values {
             let field = Field::of(name)?;
@@ -142,16 +155,19 @@
     }
 
     /// The same for values that an operator has sent, which need not be numbers.
-    pub fn with_json(&self, values: &BTreeMap<String, Value>) -> Result<Options, BadOption> {
+    pub fn with_json(
+        &self,
+        values: &BTreeMap<String, Value>,
+    ) -> Result<RuntimeSettings, InvalidRuntimeSetting> {
         if values.is_empty() {
-            return Err(BadOption::Empty);
+            return Err(InvalidRuntimeSetting::Empty);
         }
         let number = |(name, value): (&String, &Value)| {
             let field = Field::of(name)?;
             let number = value.as_f64().ok_or_else(|| field.out_of_range())?;
             Ok((name.clone(), number))
         };
-        let numbers = values.iter().map(number).collect::<Result<_, BadOption>>()?;
+        let numbers = values.iter().map(number).collect::<Result<_, InvalidRuntimeSetting>>()?;
         self.with(&numbers)
     }
 }
--- a/crates/gladekeel-controller/src/shell.rs
+++ b/crates/gladekeel-controller/src/shell.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     api::Route,
-    leader::{DirectCall, DirectOutcome},
+    leader::{WorkerOutcome, WorkerRequest},
     node::{Action, Event, Node, Reply, RequestId},
-    sockets::{SocketUse, Sockets},
+    socket_budget::{SocketBudget, SocketUse},
 };
 use gladekeel_http::{
     Client, ClientError, ConnectionClasses, ConnectionCounts, Limits, Pool, Request, Response,
@@ -93,7 +93,7 @@
 
 /// Runs a node until the process ends. Must be called inside a `LocalSet`.
 pub async fn run(settings: Settings, seed: u64) -> io::Result<()> {
-    let sockets = Sockets::of(&settings.deployment.limits);
+    let sockets = SocketBudget::new(&settings.deployment.limits);
     let users = listen(settings.listen, sockets.served)?;
     let peers = TcpListener::bind(settings.peer_listen).await?;
     let shell = Rc::new(Shell::new(&settings, &sockets, seed));
@@ -134,7 +134,7 @@
 }
 
 /// The server for users, operators and workers.
-fn user_server(listener: TcpListener, settings: &Settings, sockets: &Sockets) -> Server {
+fn user_server(listener: TcpListener, settings: &Settings, sockets: &SocketBudget) -> Server {
     // Workers are silent between reports, users between polls.
     let evictable_s =
         (2.0 * settings.deployment.workers.heartbeat_interval_s).max(EVICTABLE_AFTER_S);
@@ -143,9 +143,9 @@
         ..Limits::for_connections(sockets.served)
     };
     let classes = ConnectionClasses {
-        reserved: vec![sockets.kept_users, sockets.kept_workers],
+        reserved: vec![sockets.reserved_for_users, sockets.reserved_for_workers],
         classify: |request| match Route::of(&request.method, &request.path) {
-            Route::Checkin => WORKERS,
+            Route::Heartbeat => WORKERS,
             _ => USERS,
         },
     };
@@ -153,7 +153,7 @@
 }
 
 /// Lets the node act on the time that passes.
-async fn tick(shell: Rc<Shell>, sockets: Sockets, served: Rc<ConnectionCounts>) {
+async fn tick(shell: Rc<Shell>, sockets: SocketBudget, served: Rc<ConnectionCounts>) {
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -165,7 +165,7 @@
 }
 
 impl Shell {
-    fn new(settings: &Settings, sockets: &Sockets, seed: u64) -> Shell {
+    fn new(settings: &Settings, sockets: &SocketBudget, seed: u64) -> Shell {
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mesh_connections = Rc::default();
         let connect = |peer: &Peer| {
@@ -181,7 +181,7 @@
             cloud: Client::new(settings.services.cloud, CLOUD_CONNECTIONS),
             mesh: settings.peers.iter().map(connect).collect(),
             mesh_connections,
-            workers: Pool::new(sockets.calls),
+            workers: Pool::new(sockets.worker_calls),
             node: RefCell::new(Node::new(settings.clone(), seed, epoch.as_secs_f64())),
         }
     }
@@ -198,7 +198,8 @@
 
     /// Lets time pass; measures it if the node made a round of decisions.
     fn tick(self: &Rc<Self>) {
-        let rounds = || self.node.borrow().leader().map(|leader| leader.counts().rounds);
+        let rounds =
+            || self.node.borrow().leader().map(|leader| leader.counters().scheduling_cycles);
         let before = rounds();
         let start = Instant::now();
         self.handle(Event::Tick);
@@ -224,7 +225,7 @@
                     let _ = sender.send(reply);
                 }
             }
-            Action::State { call, request, limit_s } => {
+            Action::CallStore { call, request, timeout_s: limit_s } => {
                 let shell = self.clone();
                 spawn_local(async move {
                     let (method, target, body) = request.encode();
@@ -235,31 +236,31 @@
                         Err(ClientError::NotSent(_)) => StoreOutcome::Unavailable,
                         Err(ClientError::NoAnswer(_)) => StoreOutcome::Unknown,
                     };
-                    shell.handle(Event::State { call, outcome });
+                    shell.handle(Event::Store { call, outcome });
                 });
             }
-            Action::Cloud { call, request, limit_s } => {
+            Action::CallCloud { call, request, timeout_s: limit_s } => {
                 let shell = self.clone();
                 spawn_local(async move {
                     let (method, target, body) = request.encode();
                     let limit = Duration::from_secs_f64(limit_s);
                     let outcome = match shell.cloud.send(method, &target, &body, limit).await {
                         Ok(reply) => request.decode(reply.status, &reply.body),
-                        Err(ClientError::NotSent(_)) => crate::cloud::CloudOutcome::Trouble,
-                        Err(ClientError::NoAnswer(_)) => crate::cloud::CloudOutcome::Unknown,
+                        Err(ClientError::NotSent(_)) => crate::cloud_api::CloudOutcome::Unavailable,
+                        Err(ClientError::NoAnswer(_)) => crate::cloud_api::CloudOutcome::Unknown,
                     };
                     shell.handle(Event::Cloud { call, outcome });
                 });
             }
-            Action::Direct { call, request, limit_s } => {
+            Action::CallWorker { call, request, timeout_s: limit_s } => {
                 let shell = self.clone();
                 spawn_local(async move {
                     let limit = Duration::from_secs_f64(limit_s);
                     let outcome = shell.command(&request, limit).await;
-                    shell.handle(Event::Direct { call, outcome });
+                    shell.handle(Event::Worker { call, outcome });
                 });
             }
-            Action::Mesh { peer, frame } => {
+            Action::SendToPeer { peer, frame } => {
                 // A full queue means that the peer is out of reach; what it would
                 // get later would be stale.
                 let _ = self.mesh[peer].try_send(frame);
@@ -268,8 +269,8 @@
     }
 
     /// Sends commands to a worker.
-    async fn command(&self, request: &DirectCall, limit: Duration) -> DirectOutcome {
-        let Ok(addr) = request.addr.parse() else { return DirectOutcome::NotSent };
+    async fn command(&self, request: &WorkerRequest, limit: Duration) -> WorkerOutcome {
+        let Ok(addr) = request.addr.parse() else { return WorkerOutcome::NotSent };
         let sent = match &request.body {
             Some(commands) => {
                 let body = serde_json::to_vec(commands).expect("wire types always serialise");
@@ -279,10 +280,10 @@
         };
         match sent {
             Ok(reply) if reply.status == 200 => serde_json::from_slice(&reply.body)
-                .map_or(DirectOutcome::Unknown, DirectOutcome::Done),
-            Ok(reply) if matches!(reply.status, 400 | 409) => DirectOutcome::NotExecuted,
-            Ok(_) | Err(ClientError::NoAnswer(_)) => DirectOutcome::Unknown,
-            Err(ClientError::NotSent(_)) => DirectOutcome::NotSent,
+                .map_or(WorkerOutcome::Unknown, WorkerOutcome::Done),
+            Ok(reply) if matches!(reply.status, 400 | 409) => WorkerOutcome::NotExecuted,
+            Ok(_) | Err(ClientError::NoAnswer(_)) => WorkerOutcome::Unknown,
+            Err(ClientError::NotSent(_)) => WorkerOutcome::NotSent,
         }
     }
 
@@ -381,6 +382,6 @@
         };
         let mut payload = vec![0; header.payload_len.get() as usize];
         timeout(MESH_SILENCE, stream.read_exact(&mut payload)).await??;
-        shell.handle(Event::Mesh { header, kind, payload });
+        shell.handle(Event::Peer { header, kind, payload });
     }
 }
--- a/crates/gladekeel-controller/src/sockets.rs
+++ b/crates/gladekeel-controller/src/socket_budget.rs
@@ -8,30 +8,36 @@
 /// Connections by what they are for. What is left over is for the listeners, the state
 /// service, the cloud, other controllers, and newcomers until they are let in or refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sockets {
+pub struct SocketBudget {
     /// From users and workers.
     pub served: usize,
     /// Of these, kept for users, operators and health checks.
-    pub kept_users: usize,
+    pub reserved_for_users: usize,
     /// Of these, kept for workers.
-    pub kept_workers: usize,
+    pub reserved_for_workers: usize,
     /// To workers: commands and questions under way, and connections kept for more.
-    pub calls: usize,
+    pub worker_calls: usize,
     /// Kept back beside what is served.
     rest: usize,
 }
 
-impl Sockets {
+impl SocketBudget {
     /// The division under these limits. Most go to workers: each of them holds a
     /// connection to the leader, and one that finds no place reports through another
     /// node. Calls to workers are short.
-    pub fn of(limits: &ProcessLimits) -> Sockets {
+    pub fn new(limits: &ProcessLimits) -> SocketBudget {
         let all = limits.max_connections;
         let calls = (all / 8).max(2);
         // Newcomers that are being refused, and the process's own connections.
         let rest = all / 32 + 4 + all / 40 + 8;
         let served = (all * 4 / 5).min(all - calls - rest);
-        Sockets { served, kept_users: (all / 20).max(2), kept_workers: served / 2, calls, rest }
+        SocketBudget {
+            served,
+            reserved_for_users: (all / 20).max(2),
+            reserved_for_workers: served / 2,
+            worker_calls: calls,
+            rest,
+        }
     }
 
     /// Frames that may wait for another controller; newer ones are dropped. All workers that
@@ -44,8 +50,8 @@
     /// connection spares a new one for the next command.
     pub fn calls_beside(&self, served: usize) -> usize {
         // Some stay free for those who come until this is asked again.
-        let free = (self.served + self.calls).saturating_sub(served + self.rest);
-        free.max(self.calls)
+        let free = (self.served + self.worker_calls).saturating_sub(served + self.rest);
+        free.max(self.worker_calls)
     }
 }
 
--- a/crates/gladekeel-controller/src/world.rs
+++ b/crates/gladekeel-controller/src/store_view.rs
@@ -29,41 +29,41 @@
 
 /// The store, typed.
 #[derive(Debug, Default)]
-pub struct World {
+pub struct StoreView {
     /// Jobs that are not cleared away.
     pub jobs: BTreeMap<JobId, StoredJob>,
     /// Final states, for ever.
     pub final_states: HashMap<JobId, JobState>,
     /// Jobs that are cancelled and not cleared away: the last time at which that was not
     /// so yet, on this node's clock. Their users cannot have been told earlier.
-    pub cancelled_after: HashMap<JobId, f64>,
+    pub cancelled_no_earlier_than: HashMap<JobId, f64>,
     /// Jobs of which another controller told that it has committed their cancellation,
     /// and when: it ends work, starts nothing and makes no user's answer.
-    pub called_off: HashMap<JobId, f64>,
+    pub pending_cancellations: HashMap<JobId, f64>,
     /// Finished and running tasks as the leader last told, for display.
-    pub counts: BTreeMap<JobId, Counts>,
+    pub job_progress: BTreeMap<JobId, JobProgress>,
     /// Whether the store holds assignments in a layout that this version cannot read.
-    pub old_layout: bool,
+    pub has_legacy_assignments: bool,
     /// Keys of jobs and final states whose values cannot be read. As long as there are any,
     /// nothing is placed and nothing is said of these jobs.
     pub unreadable: BTreeSet<String>,
     /// Who leads, and the token.
     pub leader: Option<(LeaderRecord, u64)>,
     /// Highest token ever seen.
-    pub token: u64,
+    pub highest_token: u64,
     /// Machine types.
-    pub types: StoredTypes,
+    pub machine_types: StoredTypes,
     /// The operators' settings.
     pub options: BTreeMap<String, f64>,
     /// Version of their key.
     pub options_version: u64,
     /// Machines to drain, with versions.
-    pub drains: BTreeMap<String, u64>,
+    pub drain_orders: BTreeMap<String, u64>,
 }
 
 /// How many of a job's tasks are finished and running, for display.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct JobProgress {
     /// Finished.
     pub done: u32,
     /// On machines.
@@ -72,7 +72,7 @@
 
 /// What a change was about.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Topic {
+pub enum ChangeKind {
     /// A new job.
     Job(JobId),
     /// A final state.
@@ -91,10 +91,11 @@
         .ok()
 }
 
-impl World {
+impl StoreView {
     /// Whether a job's tasks must end, as far as this node knows.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
-        self.final_states.get(id) == Some(&JobState::Cancelled) || self.called_off.contains_key(id)
+        self.final_states.get(id) == Some(&JobState::Cancelled)
+            || self.pending_cancellations.contains_key(id)
     }
 
     /// Whether what the store holds of a job cannot be read.
@@ -116,10 +117,10 @@
     }
 
     /// Takes over a change of the replica that was made after the time `after`.
-    pub fn apply(&mut self, change: &Change, after: f64) -> Topic {
+    pub fn apply(&mut self, change: &Change, after: f64) -> ChangeKind {
         let key = change.key.as_str();
-        if let Some(name) = key.strip_prefix(keys::JOB) {
-            let Ok(id) = name.parse::<JobId>() else { return Topic::Other };
+        if let Some(name) = key.strip_prefix(keys::JOB_PREFIX) {
+            let Ok(id) = name.parse::<JobId>() else { return ChangeKind::Other };
             let spec = self.read_or_note::<JobSpec>(change);
             let stored =
                 change.current.as_ref().zip(spec).map(|((value, version), spec)| StoredJob {
@@ -130,50 +131,51 @@
             if let Some(stored) = stored {
                 self.jobs.insert(id.clone(), stored);
             } else if change.current.is_none() {
-                self.cancelled_after.remove(&id);
-                self.called_off.remove(&id);
+                self.cancelled_no_earlier_than.remove(&id);
+                self.pending_cancellations.remove(&id);
                 self.jobs.remove(&id);
             }
-            return Topic::Job(id);
+            return ChangeKind::Job(id);
         }
-        if let Some(name) = key.strip_prefix(keys::FINAL_STATE) {
-            let Ok(id) = name.parse::<JobId>() else { return Topic::Other };
+        if let Some(name) = key.strip_prefix(keys::FINAL_STATE_PREFIX) {
+            let Ok(id) = name.parse::<JobId>() else { return ChangeKind::Other };
             if let Some(state) = self.read_or_note::<JobState>(change) {
                 // The first final state wins, for ever.
                 let first = *self.final_states.entry(id.clone()).or_insert(state);
                 if first == JobState::Cancelled && self.jobs.contains_key(&id) {
-                    self.cancelled_after.entry(id.clone()).or_insert(after);
+                    self.cancelled_no_earlier_than.entry(id.clone()).or_insert(after);
                 }
-                self.counts.remove(&id);
+                self.job_progress.remove(&id);
             }
-            return Topic::FinalState(id);
+            return ChangeKind::FinalState(id);
         }
-        if key.starts_with(keys::OLD_PAGES) {
-            self.old_layout |= change.current.is_some();
+        if key.starts_with(keys::LEGACY_ASSIGNMENTS_PREFIX) {
+            self.has_legacy_assignments |= change.current.is_some();
         } else if key == keys::LEADER {
             self.leader = change
                 .current
                 .as_ref()
                 .and_then(|(value, version)| Some((read(key, value)?, *version)));
-            self.token = self.token.max(self.leader.as_ref().map_or(0, |(_, token)| *token));
-        } else if let Some(part) = keys::part_of_types(key) {
+            self.highest_token =
+                self.highest_token.max(self.leader.as_ref().map_or(0, |(_, token)| *token));
+        } else if let Some(part) = keys::parse_machine_types_part(key) {
             let stored =
                 change.current.as_ref().map(|(value, version)| (read(key, value), *version));
-            self.types.apply(part, stored);
+            self.machine_types.apply(part, stored);
         }
         if key == keys::OPTIONS {
             let now = change.current.as_ref();
             self.options = now.and_then(|(value, _)| read(key, value)).unwrap_or_default();
             self.options_version = now.map_or(0, |(_, version)| *version);
-            return Topic::Options;
+            return ChangeKind::Options;
         }
-        if let Some(machine) = key.strip_prefix(keys::DRAIN) {
+        if let Some(machine) = key.strip_prefix(keys::DRAIN_PREFIX) {
             match &change.current {
-                Some((_, version)) => self.drains.insert(machine.to_owned(), *version),
-                None => self.drains.remove(machine),
+                Some((_, version)) => self.drain_orders.insert(machine.to_owned(), *version),
+                None => self.drain_orders.remove(machine),
             };
-            return Topic::Drain(machine.to_owned());
+            return ChangeKind::Drain(machine.to_owned());
         }
-        Topic::Other
+        ChangeKind::Other
     }
 }
--- a/crates/gladekeel-controller/tests/cloud.rs
+++ b/crates/gladekeel-controller/tests/cloud.rs
@@ -1,11 +1,11 @@
 //! Requests to the cloud and their answers.
 
-use gladekeel_controller::cloud::{CloudCall, CloudOutcome};
+use gladekeel_controller::cloud_api::{CloudOutcome, CloudRequest};
 use gladekeel_wire::cloud::RentRequest;
 
 #[test]
 fn answers_tell_no_capacity_from_trouble() {
-    let rent = CloudCall::Rent(RentRequest {
+    let rent = CloudRequest::Rent(RentRequest {
         request_id: "r-1".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
@@ -13,10 +13,10 @@
         count: 1,
     });
     assert_eq!(rent.decode(503, br#"{"error":"no capacity"}"#), CloudOutcome::NoCapacity);
-    assert_eq!(rent.decode(503, br#"{"error":"trouble"}"#), CloudOutcome::Trouble);
+    assert_eq!(rent.decode(503, br#"{"error":"trouble"}"#), CloudOutcome::Unavailable);
     assert_eq!(rent.decode(200, b"nonsense"), CloudOutcome::Unknown);
     assert_eq!(
-        CloudCall::List { after: Some("n-1".into()) }.encode().1,
+        CloudRequest::ListMachines { after: Some("n-1".into()) }.encode().1,
         "/machines?since=n-1&limit=500"
     );
 }
--- a/crates/gladekeel-controller/tests/formats_37c5e95.rs
+++ b/crates/gladekeel-controller/tests/formats_37c5e95.rs
@@ -7,9 +7,12 @@
 //! code.
 
 use gladekeel_controller::{
+    assignment_log::{
+        Assignment, AttemptOutcome, ProgressPage, Release, Segment, SegmentWriter, decode,
+        segment_capacity,
+    },
     keys::{self, LeaderRecord},
-    log::{Assigned, End, Progress, Released, Segment, Writer, capacity, decode},
-    world::{Topic, World},
+    store_view::{ChangeKind, StoreView},
 };
 use gladekeel_store::Change;
 use gladekeel_wire::{
@@ -47,17 +50,17 @@
 
 /// The same segment by this version's writer.
 fn encode(segment: &Segment) -> String {
-    let mut writer = Writer::default();
-    for row in &segment.assigned {
-        writer.assign(&row.job, row.index, &row.machine, row.session, row.attempt);
+    let mut writer = SegmentWriter::default();
+    for row in &segment.assignments {
+        writer.assign(&row.job, row.index, &row.machine, row.incarnation, row.attempt);
     }
-    for row in &segment.released {
-        writer.release(&row.job, row.index, row.attempt, row.end);
+    for row in &segment.releases {
+        writer.release(&row.job, row.index, row.attempt, row.outcome);
     }
-    for row in &segment.progress {
-        writer.progress(&row.job, row.chunk, &row.done, &row.restarted);
+    for row in &segment.progress_pages {
+        writer.progress(&row.job, row.page, &row.done, &row.restarted);
     }
-    writer.encode(segment.seq)
+    writer.encode(segment.sequence)
 }
 
 /// Guards against a segment that means something else to the other version: a leader
@@ -66,31 +69,35 @@
 fn segments_are_read_and_written_as_production_s() {
     let text = include_str!("fixtures/37c5e95_segment.txt").trim_end();
     let (a, b) = (job("job-000412"), job("job-a_b.c-9"));
-    let assigned = |job: &JobId, index, machine: &str, session, attempt| Assigned {
+    let assigned = |job: &JobId, index, machine: &str, session, attempt| Assignment {
         job: job.clone(),
         index,
         machine: machine.into(),
-        session,
+        incarnation: session,
         attempt,
     };
-    let released =
-        |job: &JobId, index, attempt, end| Released { job: job.clone(), index, attempt, end };
+    let released = |job: &JobId, index, attempt, end| Release {
+        job: job.clone(),
+        index,
+        attempt,
+        outcome: end,
+    };
     let before = 40 << 32;
     let expected = Segment {
-        seq: 258,
-        assigned: vec![
+        sequence: 258,
+        assignments: vec![
             assigned(&a, 0, "n-000001", 1, TOKEN + 1),
             assigned(&a, 70_000, "n-000002", 3, TOKEN + 2),
             assigned(&b, 5, "n-000001", 2, TOKEN + 3),
         ],
-        released: vec![
-            released(&a, 1, before + 7, End::Done),
-            released(&a, 2, before + 8, End::Again),
-            released(&b, 3, before + 9, End::Restart),
+        releases: vec![
+            released(&a, 1, before + 7, AttemptOutcome::Done),
+            released(&a, 2, before + 8, AttemptOutcome::Requeued),
+            released(&b, 3, before + 9, AttemptOutcome::Restarted),
         ],
-        progress: vec![
-            Progress { job: a, chunk: 17, done: vec![0x81, 0, 0xff], restarted: vec![2] },
-            Progress { job: b, chunk: 0, done: vec![], restarted: vec![] },
+        progress_pages: vec![
+            ProgressPage { job: a, page: 17, done: vec![0x81, 0, 0xff], restarted: vec![2] },
+            ProgressPage { job: b, page: 0, done: vec![], restarted: vec![] },
         ],
     };
     assert_eq!(decode(text), Ok(expected.clone()));
@@ -100,8 +107,15 @@
 /// Guards against ends of attempts, and chunks of progress, that are numbered anew.
 #[test]
 fn numbers_in_segments_stay() {
-    assert_eq!([End::Done as u16, End::Again as u16, End::Restart as u16], [1, 2, 3]);
-    assert_eq!(keys::CHUNK, 4096);
+    assert_eq!(
+        [
+            AttemptOutcome::Done as u16,
+            AttemptOutcome::Requeued as u16,
+            AttemptOutcome::Restarted as u16
+        ],
+        [1, 2, 3]
+    );
+    assert_eq!(keys::TASKS_PER_PAGE, 4096);
 }
 
 /// Guards against a bound on what is read: production filled segments up to 4 KB, and
@@ -109,19 +123,19 @@
 #[test]
 fn segments_beyond_the_lowered_limit_are_read() {
     let text = include_str!("fixtures/37c5e95_segment_large.txt").trim_end();
-    assert!(text.len() > 2048 && text.len() * 3 / 4 > capacity(2048));
+    assert!(text.len() > 2048 && text.len() * 3 / 4 > segment_capacity(2048));
     let segment = decode(text).expect("production's segment");
     let a = job("job-000412");
-    let rows: Vec<Assigned> = (0..161)
-        .map(|n| Assigned {
+    let rows: Vec<Assignment> = (0..161)
+        .map(|n| Assignment {
             job: a.clone(),
             index: n,
             machine: format!("n-{:06}", n / 8),
-            session: 1,
+            incarnation: 1,
             attempt: TOKEN + u64::from(n),
         })
         .collect();
-    let expected = Segment { seq: 259, assigned: rows, ..Segment::default() };
+    let expected = Segment { sequence: 259, assignments: rows, ..Segment::default() };
     assert_eq!(segment, expected);
     assert_eq!(encode(&expected), text);
 }
@@ -135,11 +149,13 @@
         decode(value(&key).as_str().unwrap()).expect("production's segment")
     };
     let (first, second) = (log(0), log(1));
-    assert_eq!((first.seq, second.seq), (0, 1));
+    assert_eq!((first.sequence, second.sequence), (0, 1));
     let rows: Vec<(String, u32, u64, &str, u64)> = first
-        .assigned
+        .assignments
         .iter()
-        .map(|row| (row.job.to_string(), row.index, row.attempt, row.machine.as_str(), row.session))
+        .map(|row| {
+            (row.job.to_string(), row.index, row.attempt, row.machine.as_str(), row.incarnation)
+        })
         .collect();
     let (a, b) = ("job-000412".to_owned(), "job-a_b.c-9".to_owned());
     let base = 2 << 24;
@@ -152,11 +168,11 @@
             (a, 2, base + 3, "n-000001", 1),
         ]
     );
-    assert!(first.released.is_empty() && first.progress.is_empty());
-    let done: Vec<(u32, u64, End)> =
-        second.released.iter().map(|row| (row.index, row.attempt, row.end)).collect();
-    assert_eq!(done, [0, 1, 2].map(|n| (n, base + 1 + u64::from(n), End::Done)));
-    assert!(second.assigned.is_empty() && second.progress.is_empty());
+    assert!(first.releases.is_empty() && first.progress_pages.is_empty());
+    let done: Vec<(u32, u64, AttemptOutcome)> =
+        second.releases.iter().map(|row| (row.index, row.attempt, row.outcome)).collect();
+    assert_eq!(done, [0, 1, 2].map(|n| (n, base + 1 + u64::from(n), AttemptOutcome::Done)));
+    assert!(second.assignments.is_empty() && second.progress_pages.is_empty());
 }
 
 /// Guards against keys that move: both versions must find the same rows.
@@ -167,33 +183,39 @@
     assert_eq!(keys::final_state(&id), "gk/fate/job-000412");
     assert_eq!(keys::drain("n-000007"), "gk/drain/n-000007");
     assert_eq!(keys::log(1), "gl/000001");
-    assert_eq!((keys::LEADER, keys::TYPES, keys::OPTIONS), ("gk/leader", "gk/types", "gk/options"));
-    assert_eq!((keys::ALL, keys::LOG, keys::ACCEPTED_AT), ("gk/", "gl/", "accepted_at"));
+    assert_eq!(
+        (keys::LEADER, keys::MACHINE_TYPES, keys::OPTIONS),
+        ("gk/leader", "gk/types", "gk/options")
+    );
+    assert_eq!(
+        (keys::REPLICATED_PREFIX, keys::ASSIGNMENT_LOG_PREFIX, keys::ACCEPTED_AT),
+        ("gk/", "gl/", "accepted_at")
+    );
 }
 
 /// Guards against stored values that are read otherwise than production meant them, and
 /// against rows that are silently passed over.
 #[test]
 fn the_stored_world_is_read() {
-    let mut world = World::default();
+    let mut world = StoreView::default();
     let (a, b) = (job("job-000412"), job("job-a_b.c-9"));
     for (version, (key, value)) in (10..).zip(stored()) {
         let topic = world.apply(&put(&key, value, version), 5.0);
         let expected = match key.as_str() {
-            "gk/job/job-000412" => Topic::Job(a.clone()),
-            "gk/job/job-a_b.c-9" => Topic::Job(b.clone()),
-            "gk/fate/job-000412" => Topic::FinalState(a.clone()),
-            "gk/fate/job-a_b.c-9" => Topic::FinalState(b.clone()),
-            "gk/options" => Topic::Options,
-            "gk/drain/n-000007" => Topic::Drain("n-000007".into()),
-            _ => Topic::Other,
+            "gk/job/job-000412" => ChangeKind::Job(a.clone()),
+            "gk/job/job-a_b.c-9" => ChangeKind::Job(b.clone()),
+            "gk/fate/job-000412" => ChangeKind::FinalState(a.clone()),
+            "gk/fate/job-a_b.c-9" => ChangeKind::FinalState(b.clone()),
+            "gk/options" => ChangeKind::Options,
+            "gk/drain/n-000007" => ChangeKind::Drain("n-000007".into()),
+            _ => ChangeKind::Other,
         };
         assert_eq!(topic, expected, "{key}");
     }
 
-    let record = LeaderRecord { node: "node-0".into(), run: 559_256_596_868_823_998 };
+    let record = LeaderRecord { node: "node-0".into(), incarnation: 559_256_596_868_823_998 };
     assert_eq!(world.leader, Some((record, 10)));
-    assert_eq!(world.token, 10);
+    assert_eq!(world.highest_token, 10);
     let types = vec![MachineType {
         name: "m32".into(),
         cpus: 32.0,
@@ -206,8 +228,8 @@
         boot_s: 20.0,
         zones: vec!["a".into(), "b".into()],
     }];
-    assert_eq!(world.types.all(), Some(&MachineTypes { types }));
-    assert_eq!(world.types.versions(), BTreeMap::from([(0, 11)]));
+    assert_eq!(world.machine_types.all(), Some(&MachineTypes { types }));
+    assert_eq!(world.machine_types.versions(), BTreeMap::from([(0, 11)]));
 
     let spec = JobSpec {
         id: a.clone(),
@@ -256,8 +278,8 @@
     assert_eq!(world.final_states[&b], JobState::Cancelled);
     assert!(world.is_cancelled(&b) && !world.is_cancelled(&a));
     // The time is this node's own: production stores none.
-    assert_eq!(world.cancelled_after.get(&b), Some(&5.0));
-    assert_eq!(world.cancelled_after.get(&a), None);
+    assert_eq!(world.cancelled_no_earlier_than.get(&b), Some(&5.0));
+    assert_eq!(world.cancelled_no_earlier_than.get(&a), None);
 
     let options = BTreeMap::from(
         [
@@ -276,8 +298,8 @@
         .map(|(name, value)| (name.to_owned(), value)),
     );
     assert_eq!((&world.options, world.options_version), (&options, 16));
-    assert_eq!(world.drains, BTreeMap::from([("n-000007".to_owned(), 17)]));
-    assert!(!world.old_layout, "production keeps no assignments in pages");
+    assert_eq!(world.drain_orders, BTreeMap::from([("n-000007".to_owned(), 17)]));
+    assert!(!world.has_legacy_assignments, "production keeps no assignments in pages");
 }
 
 /// Guards against options that are dropped whole for one that this version does not
@@ -286,8 +308,8 @@
 fn an_option_without_a_place_costs_no_other() {
     let mut stored = value(keys::OPTIONS);
     stored["of_another_version"] = json!(7.5);
-    let mut world = World::default();
-    assert_eq!(world.apply(&put(keys::OPTIONS, stored, 4), 0.0), Topic::Options);
+    let mut world = StoreView::default();
+    assert_eq!(world.apply(&put(keys::OPTIONS, stored, 4), 0.0), ChangeKind::Options);
     assert_eq!(world.options.len(), 12);
     assert_eq!(world.options["of_another_version"], 7.5);
     assert_eq!((world.options["beta"], world.options["round_s"]), (1.5, 2.0));
@@ -300,8 +322,8 @@
     let written = |state: JobState| serde_json::to_value(state).unwrap();
     assert_eq!(written(JobState::Done), value("gk/fate/job-000412"));
     assert_eq!(written(JobState::Cancelled), value("gk/fate/job-a_b.c-9"));
-    let record = LeaderRecord { node: "node-0".into(), run: 559_256_596_868_823_998 };
+    let record = LeaderRecord { node: "node-0".into(), incarnation: 559_256_596_868_823_998 };
     assert_eq!(serde_json::to_value(record).unwrap(), value(keys::LEADER));
-    let types: MachineTypes = serde_json::from_value(value(keys::TYPES)).unwrap();
-    assert_eq!(serde_json::to_value(types).unwrap(), value(keys::TYPES));
+    let types: MachineTypes = serde_json::from_value(value(keys::MACHINE_TYPES)).unwrap();
+    assert_eq!(serde_json::to_value(types).unwrap(), value(keys::MACHINE_TYPES));
 }
--- a/crates/gladekeel-controller/tests/formats_fe9a16c.rs
+++ b/crates/gladekeel-controller/tests/formats_fe9a16c.rs
@@ -8,9 +8,12 @@
 //! change with the code.
 
 use gladekeel_controller::{
+    assignment_log::{
+        Assignment, AttemptOutcome, ProgressPage, Release, Segment, SegmentWriter, decode,
+        segment_capacity,
+    },
     keys::{self, LeaderRecord},
-    log::{Assigned, End, Progress, Released, Segment, Writer, capacity, decode},
-    world::World,
+    store_view::StoreView,
 };
 use gladekeel_store::Change;
 use gladekeel_wire::{
@@ -46,25 +49,25 @@
 
 /// The same segment by this version's writer.
 fn encode(segment: &Segment) -> String {
-    let mut writer = Writer::default();
-    for row in &segment.assigned {
-        writer.assign(&row.job, row.index, &row.machine, row.session, row.attempt);
+    let mut writer = SegmentWriter::default();
+    for row in &segment.assignments {
+        writer.assign(&row.job, row.index, &row.machine, row.incarnation, row.attempt);
     }
-    for row in &segment.released {
-        writer.release(&row.job, row.index, row.attempt, row.end);
+    for row in &segment.releases {
+        writer.release(&row.job, row.index, row.attempt, row.outcome);
     }
-    for row in &segment.progress {
-        writer.progress(&row.job, row.chunk, &row.done, &row.restarted);
+    for row in &segment.progress_pages {
+        writer.progress(&row.job, row.page, &row.done, &row.restarted);
     }
-    writer.encode(segment.seq)
+    writer.encode(segment.sequence)
 }
 
-fn assigned(job: &JobId, index: u32, machine: &str, session: u64, attempt: u64) -> Assigned {
-    Assigned { job: job.clone(), index, machine: machine.into(), session, attempt }
+fn assigned(job: &JobId, index: u32, machine: &str, session: u64, attempt: u64) -> Assignment {
+    Assignment { job: job.clone(), index, machine: machine.into(), incarnation: session, attempt }
 }
 
-fn released(job: &JobId, index: u32, attempt: u64, end: End) -> Released {
-    Released { job: job.clone(), index, attempt, end }
+fn released(job: &JobId, index: u32, attempt: u64, end: AttemptOutcome) -> Release {
+    Release { job: job.clone(), index, attempt, outcome: end }
 }
 
 /// Guards against a gang that is told otherwise: each task has the id that its gang's
@@ -74,21 +77,21 @@
     let text = include_str!("fixtures/fe9a16c_segment.txt").trim_end();
     let (gang, array) = (job("job-g.1"), job("job-000412"));
     let expected = Segment {
-        seq: 300,
-        assigned: vec![
+        sequence: 300,
+        assignments: vec![
             assigned(&gang, 0, "n-000001", 1, TOKEN + 64),
             assigned(&gang, 1, "n-000002", 1, TOKEN + 65),
             assigned(&gang, 2, "n-000003", 4, TOKEN + 66),
             assigned(&array, 99_999, "n-000003", 4, TOKEN + 67),
         ],
-        released: vec![
-            released(&gang, 1, TOKEN + 65, End::Again),
-            released(&gang, 0, TOKEN + 64, End::Done),
-            released(&array, 7, TOKEN + 3, End::Restart),
+        releases: vec![
+            released(&gang, 1, TOKEN + 65, AttemptOutcome::Requeued),
+            released(&gang, 0, TOKEN + 64, AttemptOutcome::Done),
+            released(&array, 7, TOKEN + 3, AttemptOutcome::Restarted),
         ],
-        progress: vec![Progress {
+        progress_pages: vec![ProgressPage {
             job: array,
-            chunk: 24,
+            page: 24,
             done: vec![0x80, 0x01],
             restarted: vec![0x10],
         }],
@@ -103,12 +106,12 @@
 fn full_segments_are_read_and_written() {
     let text = include_str!("fixtures/fe9a16c_segment_full.txt").trim_end();
     assert!(text.len() + 2 <= 2048 && text.len() > 1900, "{} characters", text.len());
-    assert!(text.len() * 3 / 4 <= capacity(2048));
+    assert!(text.len() * 3 / 4 <= segment_capacity(2048));
     let gang = job("job-g.1");
     let rows = (0..71)
         .map(|n| assigned(&gang, n, &format!("n-{:06}", n / 4), 1, TOKEN + 128 + u64::from(n)))
         .collect();
-    let expected = Segment { seq: 301, assigned: rows, ..Segment::default() };
+    let expected = Segment { sequence: 301, assignments: rows, ..Segment::default() };
     assert_eq!(decode(text), Ok(expected.clone()));
     assert_eq!(encode(&expected), text);
 }
@@ -119,13 +122,13 @@
 fn a_committed_log_is_read_and_written() {
     let texts: Vec<(String, String)> = stored()
         .into_iter()
-        .filter(|(key, _)| key.starts_with(keys::LOG))
+        .filter(|(key, _)| key.starts_with(keys::ASSIGNMENT_LOG_PREFIX))
         .map(|(key, value)| (key, value.as_str().unwrap().to_owned()))
         .collect();
     let mut log = Vec::new();
     for (seq, (key, text)) in (0..).zip(&texts) {
         let segment = decode(text).expect("a segment");
-        assert_eq!(segment.seq, seq, "{key}");
+        assert_eq!(segment.sequence, seq, "{key}");
         assert_eq!(&encode(&segment), text, "{key}");
         log.push(segment);
     }
@@ -135,7 +138,7 @@
 
     let (first, second) = (job("job-g_2"), job("job-g.1"));
     let of = |segment: &Segment, job: &JobId| -> Vec<(u32, u64, String)> {
-        let rows = segment.assigned.iter().filter(|row| row.job == *job);
+        let rows = segment.assignments.iter().filter(|row| row.job == *job);
         rows.map(|row| (row.index, row.attempt, row.machine.clone())).collect()
     };
     let on = |index: u32, attempt: u64, machine: &str| (index, attempt, machine.to_owned());
@@ -148,10 +151,16 @@
         of(&log[6], &first),
         [on(0, FIRST_LEADER + 12, "n-000002"), on(1, FIRST_LEADER + 13, "n-000002")]
     );
-    let ends = |segment: &Segment| -> Vec<(u32, u64, End)> {
-        segment.released.iter().map(|row| (row.index, row.attempt, row.end)).collect()
+    let ends = |segment: &Segment| -> Vec<(u32, u64, AttemptOutcome)> {
+        segment.releases.iter().map(|row| (row.index, row.attempt, row.outcome)).collect()
     };
-    assert_eq!(ends(&log[5]), [(0, FIRST_LEADER, End::Again), (1, FIRST_LEADER + 1, End::Again)]);
+    assert_eq!(
+        ends(&log[5]),
+        [
+            (0, FIRST_LEADER, AttemptOutcome::Requeued),
+            (1, FIRST_LEADER + 1, AttemptOutcome::Requeued)
+        ]
+    );
     // Done with its first task; the others are released as they are proved to be gone.
     assert_eq!(
         of(&log[2], &second),
@@ -161,10 +170,13 @@
             on(2, FIRST_LEADER + 11, "n-000005"),
         ]
     );
-    assert_eq!(ends(&log[7]), [(0, FIRST_LEADER + 9, End::Done)]);
+    assert_eq!(ends(&log[7]), [(0, FIRST_LEADER + 9, AttemptOutcome::Done)]);
     assert_eq!(
         ends(&log[8]),
-        [(1, FIRST_LEADER + 10, End::Done), (2, FIRST_LEADER + 11, End::Done)]
+        [
+            (1, FIRST_LEADER + 10, AttemptOutcome::Done),
+            (2, FIRST_LEADER + 11, AttemptOutcome::Done)
+        ]
     );
     assert_eq!(
         of(&log[11], &job("job-g.5")),
@@ -175,19 +187,19 @@
 /// Guards against stored values that are read otherwise than fe9a16c meant them.
 #[test]
 fn the_stored_world_is_read() {
-    let mut world = World::default();
+    let mut world = StoreView::default();
     let rows = stored();
     for (version, (key, value)) in (10..).zip(rows.clone()) {
         world.apply(&Change { key, current: Some((value, version)) }, 5.0);
     }
-    let record = LeaderRecord { node: "node-2".into(), run: 4_463_397_701_659_385_190 };
+    let record = LeaderRecord { node: "node-2".into(), incarnation: 4_463_397_701_659_385_190 };
     assert_eq!(world.leader.as_ref().map(|(record, _)| record), Some(&record));
-    assert_eq!(world.types.all().map(|types| types.types.len()), Some(1));
+    assert_eq!(world.machine_types.all().map(|types| types.types.len()), Some(1));
     assert_eq!(
         (world.options.len(), world.options["beta"], world.options["idle_s"]),
         (11, 1.5, 200.0)
     );
-    assert_eq!(world.drains.keys().collect::<Vec<_>>(), ["n-000001"]);
+    assert_eq!(world.drain_orders.keys().collect::<Vec<_>>(), ["n-000001"]);
 
     let shapes = ["job-a-3", "job-g.1", "job-g.5", "job-g_2", "job-s.4"].map(|id| {
         let spec = &world.jobs[&job(id)].spec;
@@ -216,19 +228,19 @@
 fn values_are_written_as_by_fe9a16c() {
     let mut jobs = 0;
     for (key, stored) in stored() {
-        let written = if key.starts_with(keys::JOB) {
+        let written = if key.starts_with(keys::JOB_PREFIX) {
             jobs += 1;
             let spec: JobSpec = serde_json::from_value(stored.clone()).unwrap();
             let mut value = serde_json::to_value(&spec).unwrap();
             value[keys::ACCEPTED_AT] = stored[keys::ACCEPTED_AT].clone();
             value
-        } else if key.starts_with(keys::FINAL_STATE) {
+        } else if key.starts_with(keys::FINAL_STATE_PREFIX) {
             let state: JobState = serde_json::from_value(stored.clone()).unwrap();
             serde_json::to_value(state).unwrap()
         } else if key == keys::LEADER {
             let record: LeaderRecord = serde_json::from_value(stored.clone()).unwrap();
             serde_json::to_value(record).unwrap()
-        } else if key == keys::TYPES {
+        } else if key == keys::MACHINE_TYPES {
             let types: MachineTypes = serde_json::from_value(stored.clone()).unwrap();
             serde_json::to_value(types).unwrap()
         } else {
--- a/crates/gladekeel-controller/tests/metrics.rs
+++ b/crates/gladekeel-controller/tests/metrics.rs
@@ -2,7 +2,7 @@
 
 use gladekeel_controller::{
     node::{Action, Event, Node},
-    sockets::SocketUse,
+    socket_budget::SocketUse,
 };
 
 const SETTINGS: &str = r#"
--- a/crates/gladekeel-controller/tests/stored_types.rs
+++ b/crates/gladekeel-controller/tests/stored_types.rs
@@ -61,9 +61,9 @@
 #[test]
 fn keys_name_their_parts() {
     for part in [0, 1, 12] {
-        assert_eq!(keys::part_of_types(&keys::types_part(part)), Some(part));
+        assert_eq!(keys::parse_machine_types_part(&keys::machine_types_part(part)), Some(part));
     }
-    assert_eq!(keys::types_part(0), "gk/types");
-    assert_eq!(keys::part_of_types("gk/typesetting"), None);
-    assert_eq!(keys::part_of_types("gk/types/x"), None);
+    assert_eq!(keys::machine_types_part(0), "gk/types");
+    assert_eq!(keys::parse_machine_types_part("gk/typesetting"), None);
+    assert_eq!(keys::parse_machine_types_part("gk/types/x"), None);
 }
--- a/crates/gladekeel-sched/src/lib.rs
+++ b/crates/gladekeel-sched/src/lib.rs
@@ -1,11 +1,11 @@
 //! Scheduling decisions, without I/O, clocks or names.
 //!
 //! - [`Interner`] maps names to dense indices at the door;
-//! - [`share`] sizes jobs and divides room between them;
-//! - [`place`] turns the division into placements on machines;
-//! - [`preempt`] tells what is stopped for those with a better claim;
-//! - [`restart`] tells which tasks are slow enough to start anew;
-//! - [`fleet`] says how many machines there should be.
+//! - [`fair_share`] sizes jobs and divides room between them;
+//! - [`cycle`] turns the division into placements on machines;
+//! - [`preemption`] tells what is stopped for those with a better claim;
+//! - [`straggler`] tells which tasks are slow enough to start anew;
+//! - [`autoscaling`] says how many machines there should be.
 //!
 //! Time and random choices are passed in: the same input gives the same output.
 
--- a/crates/gladekeel-testkit/examples/playground.rs
+++ b/crates/gladekeel-testkit/examples/playground.rs
@@ -7,7 +7,7 @@
 //! to see what a controller of a large deployment does under a profiler.
 
 use gladekeel_controller::{
-    cloud::{CloudCall, CloudOutcome},
+    cloud_api::{CloudOutcome, CloudRequest},
     keys,
 };
 use gladekeel_http::{Client, Limits, Request, Response, Server};
@@ -340,16 +340,16 @@
 
     fn answer_cloud(self: &Rc<Self>, request: &Request) -> Response {
         let call = match (request.method.as_str(), request.path.as_str()) {
-            ("GET", "/flavors") => Some(CloudCall::Types),
+            ("GET", "/flavors") => Some(CloudRequest::ListMachineTypes),
             ("GET", "/machines") => {
-                Some(CloudCall::List { after: query(request, "since").map(Into::into) })
+                Some(CloudRequest::ListMachines { after: query(request, "since").map(Into::into) })
             }
             ("POST", "/machines") => {
-                serde_json::from_slice(&request.body).ok().map(CloudCall::Rent)
+                serde_json::from_slice(&request.body).ok().map(CloudRequest::Rent)
             }
             ("POST", "/machines/delete") => serde_json::from_slice::<MachineNames>(&request.body)
                 .ok()
-                .map(|names| CloudCall::Delete(names.machines)),
+                .map(|names| CloudRequest::Delete(names.machines)),
             _ => None,
         };
         let Some(call) = call else { return Response::text(400, "malformed\n") };
@@ -375,7 +375,7 @@
     fn keep_jobs(&self, txn: &Transaction) {
         for write in &txn.writes {
             let Write::Put { key, value, .. } = write else { continue };
-            let id = key.strip_prefix(keys::JOB).and_then(|name| name.parse().ok());
+            let id = key.strip_prefix(keys::JOB_PREFIX).and_then(|name| name.parse().ok());
             if let (Some(id), Ok(spec)) = (id, serde_json::from_value(value.clone())) {
                 self.jobs.borrow_mut().insert(id, spec);
             }
--- a/crates/gladekeel-testkit/src/cloud.rs
+++ b/crates/gladekeel-testkit/src/cloud.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the cloud.
 
-use gladekeel_controller::cloud::{CloudCall, CloudOutcome};
+use gladekeel_controller::cloud_api::{CloudOutcome, CloudRequest};
 use gladekeel_wire::cloud::{ListedMachine, MachinePage, MachineState, MachineType, MachineTypes};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -63,17 +63,21 @@
     }
 
     /// Carries out a call. Returns the machines that came and those that went.
-    pub fn call(&mut self, now: f64, call: &CloudCall) -> (CloudOutcome, Vec<String>, Vec<String>) {
+    pub fn call(
+        &mut self,
+        now: f64,
+        call: &CloudRequest,
+    ) -> (CloudOutcome, Vec<String>, Vec<String>) {
         let none = Vec::new;
         if self.down {
-            return (CloudOutcome::Trouble, none(), none());
+            return (CloudOutcome::Unavailable, none(), none());
         }
         match call {
-            CloudCall::Types => {
+            CloudRequest::ListMachineTypes => {
                 let types = MachineTypes { types: self.types.clone() };
                 (CloudOutcome::Types(types), none(), none())
             }
-            CloudCall::Rent(rent) => {
+            CloudRequest::Rent(rent) => {
                 let what = format!("{rent:?}");
                 if let Some((before, names)) = self.charters.get(&rent.request_id) {
                     if *before != what {
@@ -112,12 +116,12 @@
                 self.charters.insert(rent.request_id.clone(), (what, names.clone()));
                 (CloudOutcome::Rented(names.clone()), names, none())
             }
-            CloudCall::Delete(names) => {
+            CloudRequest::Delete(names) => {
                 let gone: Vec<String> =
                     names.iter().filter(|name| self.take(now, name)).cloned().collect();
                 (CloudOutcome::Deleted, none(), gone)
             }
-            CloudCall::List { after } => {
+            CloudRequest::ListMachines { after } => {
                 let then = now - self.lag_s;
                 let rows = self.machines.iter().filter(|(name, m)| {
                     after.as_ref().is_none_or(|after| *name > after)
--- a/crates/gladekeel-testkit/src/scenario/expectations.rs
+++ b/crates/gladekeel-testkit/src/scenario/expectations.rs
@@ -67,7 +67,7 @@
         ["written", rest @ ..] => compare("written", sim.state.written as f64, rest),
         ["bytes", rest @ ..] => compare("bytes", sim.state.bytes as f64, rest),
         ["looked", rest @ ..] => {
-            compare("looked", sim.leader_counts().map_or(0, |c| c.looked) as f64, rest)
+            compare("looked", sim.leader_counts().map_or(0, |c| c.machines_examined) as f64, rest)
         }
         ["attempt_lookups", rest @ ..] => {
             let lookups = sim.leader_counts().map_or(0, |c| c.attempt_lookups);
--- a/crates/gladekeel-testkit/src/scenario/world.rs
+++ b/crates/gladekeel-testkit/src/scenario/world.rs
@@ -85,7 +85,7 @@
             "team" => spec.team = (*value).into(),
             "class" => spec.class = (*value).into(),
             "saves" => {
-                (spec.checkpoint_interval_s, spec.checkpoint_write_s) = (number(value)?, 2.0)
+                (spec.checkpoint_interval_s, spec.checkpoint_write_s) = (number(value)?, 2.0);
             }
             "zone" => spec.zone = Some((*value).into()),
             "type" => spec.machine_types = Some(vec![(*value).into()]),
--- a/crates/gladekeel-testkit/src/sim/decision_trace.rs
+++ b/crates/gladekeel-testkit/src/sim/decision_trace.rs
@@ -5,7 +5,7 @@
 //! Names of types and fields have no part in it, so renaming code leaves the digest alone.
 
 use gladekeel_controller::{
-    leader::DirectCall,
+    leader::WorkerRequest,
     node::{Action, Reply},
 };
 use std::fmt;
@@ -36,19 +36,19 @@
                 self.number(*id);
                 self.reply(reply);
             }
-            Action::State { call, request, limit_s } => {
+            Action::CallStore { call, request, timeout_s: limit_s } => {
                 self.tag(b"store");
                 self.call(*call, *limit_s, request.encode());
             }
-            Action::Cloud { call, request, limit_s } => {
+            Action::CallCloud { call, request, timeout_s: limit_s } => {
                 self.tag(b"cloud");
                 self.call(*call, *limit_s, request.encode());
             }
-            Action::Direct { call, request, limit_s } => {
+            Action::CallWorker { call, request, timeout_s: limit_s } => {
                 self.tag(b"worker");
                 self.call(*call, *limit_s, encode_direct(request));
             }
-            Action::Mesh { peer, frame } => {
+            Action::SendToPeer { peer, frame } => {
                 self.tag(b"mesh");
                 self.number(*peer as u64);
                 self.bytes(frame);
@@ -93,7 +93,7 @@
 }
 
 /// What a direct request to a worker puts on the wire.
-fn encode_direct(request: &DirectCall) -> (&'static str, String, Vec<u8>) {
+fn encode_direct(request: &WorkerRequest) -> (&'static str, String, Vec<u8>) {
     match &request.body {
         Some(commands) => {
             let body = serde_json::to_vec(commands).expect("wire types always serialise");
--- a/crates/gladekeel-testkit/src/sim/machines.rs
+++ b/crates/gladekeel-testkit/src/sim/machines.rs
@@ -3,7 +3,7 @@
 use super::{ANSWER_S, End, Sim};
 use crate::worker::{Happened, Worker};
 use gladekeel_controller::{
-    leader::{DirectCall, DirectOutcome},
+    leader::{WorkerOutcome, WorkerRequest},
     node::{CallId, Event},
 };
 use gladekeel_wire::{
@@ -18,11 +18,11 @@
         node: usize,
         incarnation: u64,
         call: CallId,
-        request: DirectCall,
+        request: WorkerRequest,
         limit_s: f64,
     ) {
         self.after(limit_s, move |sim| {
-            sim.event(node, incarnation, Event::Direct { call, outcome: DirectOutcome::Unknown });
+            sim.event(node, incarnation, Event::Worker { call, outcome: WorkerOutcome::Unknown });
         });
         for command in request.body.iter().flat_map(|body| &body.commands) {
             if let Command::Start { task, .. } = command {
@@ -45,16 +45,16 @@
             }
             let outcome = match &request.body {
                 Some(body) => sim.direct(&request.addr, body),
-                None => DirectOutcome::Done(worker.report(sim.now)),
+                None => WorkerOutcome::Done(worker.report(sim.now)),
             };
             sim.deliver(&End::Worker(zone), &End::Node(node), move |sim| {
-                sim.event(node, incarnation, Event::Direct { call, outcome });
+                sim.event(node, incarnation, Event::Worker { call, outcome });
             });
         });
     }
 
-    pub(super) fn direct(&mut self, name: &str, body: &DirectCommands) -> DirectOutcome {
-        let Some(worker) = self.workers.get_mut(name) else { return DirectOutcome::NotExecuted };
+    pub(super) fn direct(&mut self, name: &str, body: &DirectCommands) -> WorkerOutcome {
+        let Some(worker) = self.workers.get_mut(name) else { return WorkerOutcome::NotExecuted };
         let rules = &self.rules;
         let find = |task: &TaskId| rules.task_spec(task);
         let (executed, happened) = worker.direct(self.now, body, &find);
@@ -65,7 +65,7 @@
             let answer = HeartbeatResponse { token: body.token, commands: body.commands.clone() };
             self.sabotage(name, &answer);
         }
-        if executed { DirectOutcome::Done(report) } else { DirectOutcome::NotExecuted }
+        if executed { WorkerOutcome::Done(report) } else { WorkerOutcome::NotExecuted }
     }
 
     pub(super) fn boot(&mut self, name: String) {
--- a/crates/gladekeel-testkit/src/sim/message_faults.rs
+++ b/crates/gladekeel-testkit/src/sim/message_faults.rs
@@ -3,7 +3,7 @@
 //! leader begins.
 
 use super::{ANSWER_S, End, Sim};
-use gladekeel_controller::leader::{DirectCall, DirectOutcome};
+use gladekeel_controller::leader::{WorkerOutcome, WorkerRequest};
 use gladekeel_wire::worker::Heartbeat;
 use rand::Rng;
 use std::ops::Range;
@@ -49,7 +49,7 @@
 
     /// Carries out a direct command much later, without an answer. A machine that hangs
     /// then executes it when it goes on.
-    pub(super) fn delay_command(&mut self, request: DirectCall) {
+    pub(super) fn delay_command(&mut self, request: WorkerRequest) {
         let delay_s = self.rng.random_range(COMMAND_DELAY_S);
         self.after(delay_s, move |sim| {
             let (Some(worker), Some(body)) = (sim.workers.get_mut(&request.addr), request.body)
@@ -59,7 +59,7 @@
             if worker.hung {
                 worker.held.push(body);
             } else if !worker.deaf {
-                let executed = matches!(sim.direct(&request.addr, &body), DirectOutcome::Done(_));
+                let executed = matches!(sim.direct(&request.addr, &body), WorkerOutcome::Done(_));
                 sim.message_faults.commands_late += u64::from(executed);
                 sim.message_faults.commands_refused += u64::from(!executed);
             }
--- a/crates/gladekeel-testkit/src/sim/nodes.rs
+++ b/crates/gladekeel-testkit/src/sim/nodes.rs
@@ -56,9 +56,9 @@
     }
 
     /// The leader's counters.
-    pub fn leader_counts(&self) -> Option<gladekeel_controller::leader::Counts> {
+    pub fn leader_counts(&self) -> Option<gladekeel_controller::leader::LeaderCounters> {
         let node = self.leading()?;
-        Some(self.nodes[node].node.as_ref()?.leader()?.counts().clone())
+        Some(self.nodes[node].node.as_ref()?.leader()?.counters().clone())
     }
 
     /// Segments of the leader's log in use.
@@ -122,16 +122,16 @@
                     then(self, Some(reply));
                 }
             }
-            Action::State { call, request, limit_s } => {
+            Action::CallStore { call, request, timeout_s: limit_s } => {
                 self.call_state(node, incarnation, call, request, limit_s);
             }
-            Action::Cloud { call, request, limit_s } => {
+            Action::CallCloud { call, request, timeout_s: limit_s } => {
                 self.call_cloud(node, incarnation, call, request, limit_s);
             }
-            Action::Direct { call, request, limit_s } => {
+            Action::CallWorker { call, request, timeout_s: limit_s } => {
                 self.call_worker(node, incarnation, call, request, limit_s);
             }
-            Action::Mesh { peer, frame } => {
+            Action::SendToPeer { peer, frame } => {
                 let name = self.nodes[node].settings.peers[peer].node.clone();
                 let to = self.nodes.iter().position(|slot| slot.settings.node == name);
                 let Some(to) = to else { return };
@@ -143,7 +143,7 @@
                     sim.event(
                         to,
                         incarnation,
-                        Event::Mesh { header, kind, payload: payload.to_vec() },
+                        Event::Peer { header, kind, payload: payload.to_vec() },
                     );
                 });
             }
--- a/crates/gladekeel-testkit/src/sim/services.rs
+++ b/crates/gladekeel-testkit/src/sim/services.rs
@@ -2,7 +2,7 @@
 
 use super::{End, Sim};
 use gladekeel_controller::{
-    cloud::{CloudCall, CloudOutcome},
+    cloud_api::{CloudOutcome, CloudRequest},
     node::{CallId, Event},
 };
 use gladekeel_store::{StoreOutcome, StoreRequest};
@@ -18,7 +18,7 @@
         limit_s: f64,
     ) {
         self.after(limit_s, move |sim| {
-            sim.event(node, incarnation, Event::State { call, outcome: StoreOutcome::Unknown });
+            sim.event(node, incarnation, Event::Store { call, outcome: StoreOutcome::Unknown });
         });
         let late = self.late_writes > 0.0
             && matches!(request, StoreRequest::Commit(_))
@@ -51,7 +51,7 @@
                     let slow_s = sim.state_delay();
                     sim.after(slow_s, move |sim| {
                         sim.deliver(&End::State, &End::Node(node), move |sim| {
-                            sim.event(node, incarnation, Event::State { call, outcome });
+                            sim.event(node, incarnation, Event::Store { call, outcome });
                         });
                     });
                 });
@@ -91,7 +91,7 @@
         node: usize,
         incarnation: u64,
         call: CallId,
-        request: CloudCall,
+        request: CloudRequest,
         limit_s: f64,
     ) {
         self.after(limit_s, move |sim| {
--- a/crates/gladekeel-testkit/tests/between_tokens.rs
+++ b/crates/gladekeel-testkit/tests/between_tokens.rs
@@ -1,7 +1,7 @@
 //! A node by itself, between two of its tokens.
 
 use gladekeel_controller::{
-    cloud::{CloudCall, CloudOutcome},
+    cloud_api::{CloudOutcome, CloudRequest},
     keys,
     node::{Action, Event, Node},
 };
@@ -30,34 +30,38 @@
         let mut actions = VecDeque::from(node.handle(now, Event::Tick));
         while let Some(action) = actions.pop_front() {
             let event = match action {
-                Action::State { call, request, .. } => {
+                Action::CallStore { call, request, .. } => {
                     let outcome = state.call(now, 0, &request);
-                    let types = |write: &Write| matches!(write, Write::Put { key, .. } if key == keys::TYPES);
+                    let types = |write: &Write| matches!(write, Write::Put { key, .. } if key == keys::MACHINE_TYPES);
                     match &request {
                         StoreRequest::Commit(txn)
                             if !unanswered && txn.writes.iter().any(types) =>
                         {
                             unanswered = true;
-                            Event::State { call, outcome: StoreOutcome::Unknown }
+                            Event::Store { call, outcome: StoreOutcome::Unknown }
                         }
-                        StoreRequest::List { prefix, .. } if prefix == keys::LOG => {
+                        StoreRequest::List { prefix, .. }
+                            if prefix == keys::ASSIGNMENT_LOG_PREFIX =>
+                        {
                             leaders += 1;
                             if leaders == 2 {
                                 log = Some((call, outcome));
                                 continue;
                             }
-                            Event::State { call, outcome }
+                            Event::Store { call, outcome }
                         }
-                        _ => Event::State { call, outcome },
+                        _ => Event::Store { call, outcome },
+                    }
+                }
+                Action::CallCloud { call, request: CloudRequest::ListMachineTypes, .. } => {
+                    Event::Cloud {
+                        call,
+                        outcome: CloudOutcome::Types(MachineTypes {
+                            types: vec![example_type(vec!["a".into()])],
+                        }),
                     }
                 }
-                Action::Cloud { call, request: CloudCall::Types, .. } => Event::Cloud {
-                    call,
-                    outcome: CloudOutcome::Types(MachineTypes {
-                        types: vec![example_type(vec!["a".into()])],
-                    }),
-                },
-                Action::Cloud { call, request: CloudCall::List { .. }, .. } => {
+                Action::CallCloud { call, request: CloudRequest::ListMachines { .. }, .. } => {
                     lists += 1;
                     list = Some(call);
                     continue;
@@ -70,7 +74,7 @@
             assert!(node.leader().is_none(), "between two tokens");
             let page = MachinePage { machines: Vec::new(), truncated: false };
             node.handle(now, Event::Cloud { call: open, outcome: CloudOutcome::List(page) });
-            node.handle(now, Event::State { call, outcome });
+            node.handle(now, Event::Store { call, outcome });
             assert!(node.leader().is_some());
             lists = 0;
         }
--- a/crates/gladekeel-testkit/tests/settling.rs
+++ b/crates/gladekeel-testkit/tests/settling.rs
@@ -18,11 +18,11 @@
     let mut actions = VecDeque::from(node.handle(now, Event::Tick));
     while let Some(action) = actions.pop_front() {
         match action {
-            Action::State { call, request, .. } => {
+            Action::CallStore { call, request, .. } => {
                 let outcome = state.call(now, 0, &request);
-                actions.extend(node.handle(now, Event::State { call, outcome }));
+                actions.extend(node.handle(now, Event::Store { call, outcome }));
             }
-            Action::Mesh { frame, .. } => frames.push(frame),
+            Action::SendToPeer { frame, .. } => frames.push(frame),
             _ => {}
         }
     }
@@ -35,7 +35,7 @@
         let (head, payload) = frame.split_at(FrameHeader::SIZE);
         let head = head.try_into().expect("a frame begins with a header");
         let (header, kind) = FrameHeader::read(&head).expect("nodes send sound frames");
-        node.handle(now, Event::Mesh { header, kind, payload: payload.to_vec() });
+        node.handle(now, Event::Peer { header, kind, payload: payload.to_vec() });
     }
 }
 
--- a/crates/gladekeel-testkit/tests/two_versions.rs
+++ b/crates/gladekeel-testkit/tests/two_versions.rs
@@ -3,7 +3,7 @@
 //! of a kind above 5. Version fe9a16c tells level 1 and knows kind 6.
 
 use gladekeel_controller::{
-    cloud::{CloudCall, CloudOutcome},
+    cloud_api::{CloudOutcome, CloudRequest},
     keys,
     node::{Action, Event, Node},
 };
@@ -77,14 +77,14 @@
         let mut actions = VecDeque::from(self.node.handle(now, event));
         while let Some(action) = actions.pop_front() {
             let event = match action {
-                Action::State { call, request, .. } => {
-                    Event::State { call, outcome: self.state.call(now, 0, &request) }
+                Action::CallStore { call, request, .. } => {
+                    Event::Store { call, outcome: self.state.call(now, 0, &request) }
                 }
-                Action::Cloud { call, request: CloudCall::Types, .. } => {
+                Action::CallCloud { call, request: CloudRequest::ListMachineTypes, .. } => {
                     let types = vec![example_type(vec!["a".into()])];
                     Event::Cloud { call, outcome: CloudOutcome::Types(MachineTypes { types }) }
                 }
-                Action::Mesh { peer, frame } => {
+                Action::SendToPeer { peer, frame } => {
                     let (head, payload) = frame.split_at(FrameHeader::SIZE);
                     let (header, _) = FrameHeader::read(head.try_into().unwrap()).expect("a head");
                     self.frames.push((peer, header, header.kind.get(), payload.to_vec()));
@@ -94,7 +94,7 @@
                     self.replies.push((id, reply.status, reply.body));
                     continue;
                 }
-                Action::Direct { request, .. } => {
+                Action::CallWorker { request, .. } => {
                     self.direct.extend(request.body.into_iter().flat_map(|body| body.commands));
                     continue;
                 }
@@ -121,7 +121,7 @@
                     );
                     self.handle(
                         now,
-                        Event::Mesh { header, kind: FrameKind::PeerHeartbeat, payload },
+                        Event::Peer { header, kind: FrameKind::PeerHeartbeat, payload },
                     );
                 }
             }
@@ -349,7 +349,7 @@
     rig.run(5);
     assert_eq!(submit(&mut rig, "job-7"), 201);
     rig.run(5);
-    let rounds = |rig: &Rig| rig.node.leader().expect("it leads on").counts().rounds;
+    let rounds = |rig: &Rig| rig.node.leader().expect("it leads on").counters().scheduling_cycles;
     assert!(rounds(&rig) > 3);
     let id: JobId = "job-7".parse().unwrap();
     rig.store(&keys::final_state(&id), "unheard".into());
--- a/crates/gladekeel-wire/src/mesh.rs
+++ b/crates/gladekeel-wire/src/mesh.rs
@@ -37,7 +37,7 @@
 /// What this version understands, told in the status of its hellos. The first version
 /// with a level told 0, and passes over what others tell.
 pub const PROTOCOL_LEVEL: u16 = 2;
-/// From this level on a leader takes [`FrameKind::Relay`] as the usual way of a report: other
+/// From this level on a leader takes [`FrameKind::RelayedHeartbeat`] as the usual way of a report: other
 /// nodes keep their workers instead of sending them to the leader.
 pub const HEARTBEAT_RELAY_LEVEL: u16 = 2;
 
@@ -126,7 +126,7 @@
     id_len: U16,
 }
 
-/// Writes payloads of [`FrameKind::Counts`]: for each job its finished and running tasks.
+/// Writes payloads of [`FrameKind::JobProgress`]: for each job its finished and running tasks.
 pub fn encode_job_progress<'a>(rows: impl Iterator<Item = (&'a JobId, u32, u32)>) -> Vec<Vec<u8>> {
     let mut payloads: Vec<Vec<u8>> = Vec::new();
     for (id, done, running) in rows {
@@ -160,7 +160,7 @@
     Some(rows)
 }
 
-/// Writes a payload of [`FrameKind::Cancelled`]: ids, one a line.
+/// Writes a payload of [`FrameKind::Cancellations`]: ids, one a line.
 pub fn encode_job_ids<'a>(ids: impl Iterator<Item = &'a JobId>) -> Vec<u8> {
     ids.map(JobId::as_str).collect::<Vec<&str>>().join("\n").into_bytes()
 }
