--- a/crates/gladekeel-controller/src/leader/replay.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
@@ -1,7 +1,7 @@
 //! Rebuilding what is on which machine from the log, when a node begins to lead.
 
-use super::{
-    AssignmentPhase, Attempt, AttemptId, Job, Leader, Machine, StopReason, attempt::Outcome,
+use crate::leader::{
+    AssignmentPhase, Attempt, AttemptId, AttemptOutcome, Job, Leader, Machine, StopReason,
 };
 use crate::{assignment_log, keys::TASKS_PER_PAGE};
 use gladekeel_wire::JobId;
@@ -12,7 +12,11 @@
 
 impl Leader {
     /// Replays the log, oldest segment first.
-    pub(super) fn replay(&mut self, segments: Vec<(u32, u64, assignment_log::Segment)>, now: f64) {
+    pub(in crate::leader) fn replay(
+        &mut self,
+        segments: Vec<(u32, u64, assignment_log::Segment)>,
+        now: f64,
+    ) {
         let mut live = LiveAttempts::new();
         for (slot, version, segment) in segments {
             self.replay_segment(slot, version, segment, &mut live);
@@ -47,9 +51,9 @@
             live.remove(&AttemptId::from_logged(released.attempt));
             let Some((ix, job)) = self.job_named(&released.job) else { continue };
             let bits = match released.outcome {
-                Outcome::Done => &mut job.done,
-                Outcome::Restarted => &mut job.restarted,
-                Outcome::Requeued => continue,
+                AttemptOutcome::Done => &mut job.done,
+                AttemptOutcome::Restarted => &mut job.restarted,
+                AttemptOutcome::Requeued => continue,
             };
             if released.index < job.spec.tasks {
                 bits.insert(released.index);
@@ -114,7 +118,7 @@
             }
         }
         for id in ended {
-            self.release(id, Outcome::Done);
+            self.release(id, AttemptOutcome::Done);
         }
         for ix in broken {
             self.stop_gang(ix, StopReason::GangRestart);
--- a/crates/gladekeel-controller/src/leader/commit.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer.rs
@@ -9,16 +9,16 @@
 //! more. What has counted for long is told again in a new segment, so that the log
 //! stays short; a slot with something in it that counts is never written over.
 
-mod draft;
+mod write_batch;
 
-use super::{AssignmentPhase, AttemptId, Job, Leader, StopReason};
+use crate::leader::{AssignmentPhase, AttemptId, Job, Leader, StopReason};
 use crate::{assignment_log, keys, store_view::StoreView};
-use draft::WriteBatch;
 use gladekeel_store::{StoreOutcome, TokenBucket};
 use gladekeel_wire::{
     cloud::MachineTypes, job::JobState, settings::Deployment, store::Transaction,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use write_batch::WriteBatch;
 
 /// Time between transactions: what comes in meanwhile goes together.
 const GROUP_COMMIT_INTERVAL_S: f64 = 0.15;
@@ -60,7 +60,7 @@
 
 /// What is to be written, and what is under way.
 #[derive(Debug, Default)]
-pub(super) struct AssignmentLogWriter {
+pub(in crate::leader) struct AssignmentLogWriter {
     /// Proposed attempts.
     pub proposed: BTreeSet<AttemptId>,
     /// Attempts that are off their machines.
@@ -106,7 +106,7 @@
 
 /// What a transaction under way contains.
 #[derive(Debug, Default)]
-struct InFlightTransaction {
+pub(in crate::leader) struct InFlightTransaction {
     segments: Vec<SentSegment>,
     proposed: BTreeSet<AttemptId>,
     released: BTreeSet<AttemptId>,
@@ -196,7 +196,7 @@
 }
 
 impl Leader {
-    pub(super) fn build_commit(
+    pub(in crate::leader) fn build_commit(
         &mut self,
         now: f64,
         budget: &mut TokenBucket,
@@ -248,7 +248,7 @@
     }
 
     /// Frees the oldest segments as far as nothing in them counts any more.
-    pub(super) fn reclaim(&mut self) {
+    pub(in crate::leader) fn reclaim(&mut self) {
         while let Some(mut oldest) = self.log_writer.segments.pop_front() {
             while oldest.attempts.pop_if(|id| !self.assigns(oldest.seq, *id)).is_some() {}
             while oldest
@@ -266,7 +266,7 @@
     }
 
     /// Sets the version of a drain order's key.
-    pub(super) fn set_drain_version(&mut self, machine: &str, version: Option<u64>) {
+    pub(in crate::leader) fn set_drain_version(&mut self, machine: &str, version: Option<u64>) {
         match version {
             Some(version) => self.log_writer.drain_versions.insert(machine.to_owned(), version),
             None => self.log_writer.drain_versions.remove(machine),
@@ -412,7 +412,7 @@
 
     /// Drops proposals that are in no transaction. A gang is placed whole or not at all:
     /// what is committed of it is stopped, and the rest is withdrawn with them.
-    pub(super) fn withdraw(&mut self, ids: &[AttemptId], now: f64) {
+    pub(in crate::leader) fn withdraw(&mut self, ids: &[AttemptId], now: f64) {
         let mut gangs = BTreeSet::new();
         for id in ids {
             let Some(job_ix) = self.attempts.get(*id).map(|attempt| attempt.job) else { continue };
--- a/crates/gladekeel-controller/src/leader/commit/draft.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/write_batch.rs
@@ -21,7 +21,7 @@
 const CLEANED: usize = 3;
 
 /// A transaction in the making.
-pub(super) struct WriteBatch {
+pub(in crate::leader) struct WriteBatch {
     pub txn: Transaction,
     pub sent: InFlightTransaction,
     segments: Vec<(SegmentWriter, SentSegment)>,
@@ -107,7 +107,7 @@
 
 impl Leader {
     /// Gives the draft's segments their slots.
-    pub(super) fn seal(&mut self, draft: &mut WriteBatch) {
+    pub(in crate::leader) fn seal(&mut self, draft: &mut WriteBatch) {
         for (writer, mut segment) in std::mem::take(&mut draft.segments) {
             (segment.slot, segment.version) =
                 self.log_writer.free.pop_front().unwrap_or_else(|| {
@@ -125,7 +125,11 @@
     }
 
     /// Adds releases of about so many bytes; tells whether all of them fit.
-    pub(super) fn draft_released(&self, draft: &mut WriteBatch, most_bytes: usize) -> bool {
+    pub(in crate::leader) fn draft_released(
+        &self,
+        draft: &mut WriteBatch,
+        most_bytes: usize,
+    ) -> bool {
         for id in &self.log_writer.released {
             if draft.sent.released.len() * RELEASED_BYTES >= most_bytes {
                 return false;
@@ -158,7 +162,7 @@
     }
 
     /// Adds jobs that are done; tells whether all of them fit.
-    pub(super) fn draft_finished(&self, draft: &mut WriteBatch) -> bool {
+    pub(in crate::leader) fn draft_finished(&self, draft: &mut WriteBatch) -> bool {
         let mut all_fit = true;
         for ix in &self.log_writer.finished {
             let Some(job) = self.jobs.get(ix).filter(|job| job.final_state.is_none()) else {
@@ -191,7 +195,7 @@
         true
     }
 
-    pub(super) fn draft_proposed(&self, draft: &mut WriteBatch) -> bool {
+    pub(in crate::leader) fn draft_proposed(&self, draft: &mut WriteBatch) -> bool {
         for id in &self.log_writer.proposed {
             if !self.draft_assigned(draft, *id) {
                 return false;
@@ -202,7 +206,7 @@
     }
 
     /// Tells again what still counts of the oldest segments, once there are many.
-    pub(super) fn draft_cleaning(&self, draft: &mut WriteBatch) {
+    pub(in crate::leader) fn draft_cleaning(&self, draft: &mut WriteBatch) {
         // A log that holds much that counts may be longer.
         let live = self.attempts.len() * 48 / self.log_writer.capacity.max(1);
         let long = LONG_LOG.max(4 * live);
@@ -252,7 +256,7 @@
         draft.sent.types = Some(parts.len() as u32);
     }
 
-    pub(super) fn draft_clearing(&self, draft: &mut WriteBatch) {
+    pub(in crate::leader) fn draft_clearing(&self, draft: &mut WriteBatch) {
         self.draft_types(draft);
         for machine in &self.log_writer.drains {
             if draft.fits(1) {
@@ -272,12 +276,12 @@
     }
 
     /// Whether a segment is the newest one that assigns an attempt.
-    pub(super) fn assigns(&self, seq: u64, id: AttemptId) -> bool {
+    pub(in crate::leader) fn assigns(&self, seq: u64, id: AttemptId) -> bool {
         self.attempts.get(id).is_some_and(|attempt| attempt.segment == seq)
     }
 
     /// Whether what a segment tells of a chunk is told by no newer one.
-    pub(super) fn tells(&self, seq: u64, job: u32, chunk: u32) -> bool {
+    pub(in crate::leader) fn tells(&self, seq: u64, job: u32, chunk: u32) -> bool {
         self.jobs.get(&job).is_some_and(|job| {
             job.final_state.is_none()
                 && job.progress_segments.get(&chunk).is_none_or(|told| *told <= seq)
--- a/crates/gladekeel-controller/src/leader/attempt.rs
+++ b/crates/gladekeel-controller/src/leader/attempt.rs
@@ -1,6 +1,6 @@
 //! A task on a machine, from its proposal to the commit of its release.
 
-pub use crate::assignment_log::AttemptOutcome as Outcome;
+pub use crate::assignment_log::AttemptOutcome;
 use gladekeel_sched::Resources;
 use gladekeel_wire::worker::TaskState;
 
@@ -12,7 +12,7 @@
     /// In the committed log: it may be on its machine.
     Committed,
     /// Proved to be off its machine; the log does not say so yet.
-    Releasing(Outcome),
+    Releasing(AttemptOutcome),
 }
 
 /// Why an attempt is being stopped.
--- a/crates/gladekeel-controller/src/leader/cloud_calls.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests.rs
@@ -2,8 +2,8 @@
 //!
 //! What should be rented or returned is decided elsewhere; this module asks for it.
 
-use super::{Leader, Machine, machine::DeletionReason};
 use crate::cloud_api::{CloudOutcome, CloudRequest};
+use crate::leader::{Leader, Machine, machine::DeletionReason};
 use gladekeel_wire::cloud::{
     ListedMachine, MAX_MACHINES_PER_DELETE_REQUEST, MAX_MACHINES_PER_PAGE,
     MAX_MACHINES_PER_RENT_REQUEST, MachinePage, MachineState, MachineTypes, RentRequest,
@@ -19,7 +19,7 @@
 
 /// Machines of one type and zone, spot or not: what a rental asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) struct MachinePool {
+pub(in crate::leader) struct MachinePool {
     /// The type.
     pub kind: u32,
     /// The zone.
@@ -40,7 +40,7 @@
 
 /// Requests to the cloud, under way and to be made, and what their answers told.
 #[derive(Debug, Default)]
-pub(super) struct CloudRequestQueue {
+pub(in crate::leader) struct CloudRequestQueue {
     deleted: HashMap<String, f64>,
     /// The same in order, to forget the oldest ones.
     deleted_order: VecDeque<String>,
@@ -118,7 +118,7 @@
 }
 
 impl Leader {
-    pub(super) fn next_cloud_call(&mut self, now: f64) -> Option<CloudRequest> {
+    pub(in crate::leader) fn next_cloud_call(&mut self, now: f64) -> Option<CloudRequest> {
         if now < self.cluster.cloud.not_before {
             return None;
         }
@@ -209,7 +209,12 @@
         Some(rents.swap_remove(at))
     }
 
-    pub(super) fn on_cloud(&mut self, now: f64, call: &CloudRequest, outcome: CloudOutcome) {
+    pub(in crate::leader) fn on_cloud(
+        &mut self,
+        now: f64,
+        call: &CloudRequest,
+        outcome: CloudOutcome,
+    ) {
         if let Some(lane) = lane(call) {
             self.cluster.cloud.in_flight.remove(&lane);
         }
--- a/crates/gladekeel-controller/src/leader/spend.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
@@ -1,6 +1,6 @@
 //! An estimate of the money spent, by what machines were doing.
 
-use super::Leader;
+use crate::leader::Leader;
 use gladekeel_wire::worker::TaskState;
 
 /// How often what machines cost is added up.
@@ -23,7 +23,7 @@
 
 impl Leader {
     /// Adds up what machines cost since the last time, by what they were doing.
-    pub(super) fn count_cost(&mut self, now: f64) {
+    pub(in crate::leader) fn count_cost(&mut self, now: f64) {
         if now - self.cost_counted_at < SPEND_EVERY_S {
             return;
         }
--- a/crates/gladekeel-controller/src/leader/sizing.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/scaling.rs
@@ -1,6 +1,8 @@
 //! How many machines of each type there should be, which to rent and which to return.
 
-use super::{Job, Leader, cloud_calls::MachinePool, machine::DeletionReason};
+use crate::leader::{
+    Job, Leader, autoscaling::cloud_requests::MachinePool, machine::DeletionReason,
+};
 use crate::runtime_settings::RuntimeSettings;
 use gladekeel_sched::{
     Resources,
@@ -13,7 +15,7 @@
 
 /// What unfinished jobs and those that came lately ask of the fleet.
 #[derive(Debug, Default)]
-pub(super) struct Demand {
+pub(in crate::leader) struct Demand {
     /// By type, for all its machines and for its ordinary ones alone.
     sizers: HashMap<(u32, bool), Autoscaler>,
     /// Work that came lately, by type and class, and as of when.
@@ -70,7 +72,7 @@
 
 impl Leader {
     /// Decides which machines to rent and which to return.
-    pub(super) fn autoscale(&mut self, now: f64, options: &RuntimeSettings) {
+    pub(in crate::leader) fn autoscale(&mut self, now: f64, options: &RuntimeSettings) {
         self.cluster.cloud.forget_old_deletions(now);
         let gone = self.cluster.leaving.iter().copied().filter(|ix| {
             self.cluster.machines.get(ix).is_some_and(|m| m.deleted && m.attempts.is_empty())
@@ -90,7 +92,7 @@
     }
 
     /// A job has just come.
-    pub(super) fn count_arrival(&mut self, ix: u32) {
+    pub(in crate::leader) fn count_arrival(&mut self, ix: u32) {
         let Some(job) = self.jobs.get(&ix) else { return };
         let Some((kind, fits)) = self.kind_for(job) else { return };
         let run_s = self.expected_run(job);
@@ -133,7 +135,7 @@
     }
 
     /// How long a machine fetches the job's image.
-    pub(super) fn fetch_s(&self, job: &Job) -> f64 {
+    pub(in crate::leader) fn fetch_s(&self, job: &Job) -> f64 {
         let rate = self
             .kind_for(job)
             .and_then(|(kind, _)| self.catalog.machine_type(kind))
@@ -143,13 +145,13 @@
 
     /// How long a task of the job runs: the owner's estimate, put right by what
     /// its class has shown.
-    pub(super) fn expected_run(&self, job: &Job) -> f64 {
+    pub(in crate::leader) fn expected_run(&self, job: &Job) -> f64 {
         let ratio = self.cluster.run_time_ratios.get(&job.spec.class).copied().unwrap_or(1.0);
         (job.spec.estimate_s * ratio).max(1.0)
     }
 
     /// The type on which a job's tasks cost least, and how many fit on one.
-    pub(super) fn kind_for(&self, job: &Job) -> Option<(u32, u32)> {
+    pub(in crate::leader) fn kind_for(&self, job: &Job) -> Option<(u32, u32)> {
         let fitting = |kind: u32| -> Option<(f64, u32, u32)> {
             let machine_type = self.catalog.machine_type(kind)?;
             let fits = job.task_request.times_in(self.catalog.capacity(kind)?, 1000);
--- a/crates/gladekeel-controller/src/leader/standby.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -1,6 +1,6 @@
 //! Machines that are kept for gangs.
 
-use super::Leader;
+use crate::leader::Leader;
 use std::{
     cmp::Reverse,
     collections::{BTreeMap, BTreeSet},
@@ -32,7 +32,7 @@
 
 /// Gangs that should start at once, and the machines that are kept for them.
 #[derive(Debug, Default)]
-pub(super) struct WarmPool {
+pub(in crate::leader) struct WarmPool {
     /// Gangs that came lately, by type and class.
     gangs: BTreeMap<(u32, String), Gangs>,
     /// Ordinary machines to keep for them, by type.
@@ -57,7 +57,7 @@
 
 impl Leader {
     /// A gang has come: so much work, so many of whose tasks fit on a machine.
-    pub(super) fn count_gang(&mut self, ix: u32, kind: u32, work: f64, fits: u32) {
+    pub(in crate::leader) fn count_gang(&mut self, ix: u32, kind: u32, work: f64, fits: u32) {
         let Some(job) = self.jobs.get(&ix).filter(|job| job.is_gang()) else { return };
         if job.has_start_objective(&self.deployment) {
             let (at, class) = (job.submitted_at, job.spec.class.clone());
@@ -73,7 +73,7 @@
 
     /// Keeps ordinary machines in each zone for gangs that should start at once: room for
     /// a whole gang would be late if it had to be gathered, and so would the image.
-    pub(super) fn maintain_warm_pool(&mut self, now: f64) {
+    pub(in crate::leader) fn maintain_warm_pool(&mut self, now: f64) {
         let standby = &mut self.cluster.warm_pool;
         standby.gangs.retain(|_, gangs| now - gangs.at < GANGS_S);
         let mut wanted: BTreeMap<u32, (f64, f64)> = BTreeMap::new();
--- a/crates/gladekeel-controller/src/leader/zone_bound.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
@@ -4,7 +4,7 @@
 //! idle in one zone then looked like room for work that is bound to another one, which waited
 //! for ever.
 
-use super::{Job, Leader, cloud_calls::MachinePool};
+use crate::leader::{Job, Leader, autoscaling::cloud_requests::MachinePool};
 use std::collections::BTreeMap;
 
 /// Work that is bound to a zone and has waited for longer gets machines of its own.
@@ -15,7 +15,7 @@
 
 impl Leader {
     /// Asks for machines in zones to which waiting work is bound and that lack room for it.
-    pub(super) fn want_bound_rentals(&mut self, now: f64) {
+    pub(in crate::leader) fn want_bound_rentals(&mut self, now: f64) {
         let (mut lacking, mut lacking_ordinary) = (ByZone::new(), ByZone::new());
         for job in self.jobs.values().filter(|job| waits_bound(job, now)) {
             let Some(zone) = bound_zone(job) else { continue };
--- a/crates/gladekeel-controller/src/leader/direct.rs
+++ b/crates/gladekeel-controller/src/leader/commands/queue.rs
@@ -4,7 +4,7 @@
 //! while token and incarnation match. Until that is settled its attempt is neither
 //! released for being absent nor forgotten; a new token settles it for good.
 
-use super::{Attempt, AttemptId, Leader, Machine, StopReason, machine::DeletionReason};
+use crate::leader::{Attempt, AttemptId, Leader, Machine, StopReason, machine::DeletionReason};
 use gladekeel_wire::{
     TaskId,
     worker::{Command, DirectCommands, Heartbeat, TaskState},
@@ -22,7 +22,7 @@
 
 /// Direct requests that are to be made, and what is open of those that were.
 #[derive(Debug)]
-pub(super) struct CommandQueue {
+pub(in crate::leader) struct CommandQueue {
     /// Machines for which there may be direct commands.
     pub wanted: BTreeSet<u32>,
     /// Gangs on all of whose machines there may be direct commands.
@@ -86,7 +86,7 @@
 
 impl Machine {
     /// Whether a `run` of this attempt that was sent directly may still arrive.
-    pub(super) fn may_still_start(&self, attempt: AttemptId) -> bool {
+    pub(in crate::leader) fn may_still_start(&self, attempt: AttemptId) -> bool {
         self.unsettled_starts.contains_key(&attempt)
     }
 }
@@ -294,7 +294,7 @@
 
     /// Whether an unanswered `run` needs a new token: its job is cancelled, so that
     /// it must never start, or it has been open for long.
-    pub(super) fn has_unsettled_start(&mut self, now: f64) -> bool {
+    pub(in crate::leader) fn has_unsettled_start(&mut self, now: f64) -> bool {
         let mut needed = false;
         self.commands.unsettled_starts.retain(|ix| {
             let Some(machine) = self.cluster.machines.get(ix).filter(|machine| !machine.deleted)
--- a/crates/gladekeel-controller/src/leader/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
@@ -1,6 +1,6 @@
 //! Which machines are dead, and which may outlast the time that a cancelled job has.
 
-use super::{AssignmentPhase, Leader, Machine, machine::DeletionReason};
+use crate::leader::{AssignmentPhase, Leader, Machine, machine::DeletionReason};
 use crate::runtime_settings::RuntimeSettings;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -35,7 +35,7 @@
     /// Deletes machines on which tasks of a cancelled job may outlast the time they have.
     /// Leases end most of what is out of reach in time, but a machine that hangs ends
     /// none, and what the cloud deletes is gone for certain.
-    pub(super) fn end_cancelled(&mut self, now: f64) {
+    pub(in crate::leader) fn end_cancelled(&mut self, now: f64) {
         let workers = &self.deployment.workers;
         // A new leader may not know when the user was told; the machines that it hears
         // are given time to say that they have stopped.
@@ -67,7 +67,7 @@
     }
 
     /// Marks machines that are dead: silent, failed to boot, taken.
-    pub(super) fn detect_failures(
+    pub(in crate::leader) fn detect_failures(
         &mut self,
         now: f64,
         options: &RuntimeSettings,
--- a/crates/gladekeel-controller/src/leader/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -1,13 +1,13 @@
 //! Tasks on machines that go away: stopped in time, released once the machine is gone.
 
-use super::{
-    AssignmentPhase, Attempt, Job, Leader, StopReason, attempt::Outcome, machine::DeletionReason,
+use crate::leader::{
+    AssignmentPhase, Attempt, AttemptOutcome, Job, Leader, StopReason, machine::DeletionReason,
 };
 use std::collections::BTreeMap;
 
 impl Leader {
     /// Looks after machines that went away and tasks that must leave.
-    pub(super) fn evacuate_leaving_machines(&mut self, now: f64) {
+    pub(in crate::leader) fn evacuate_leaving_machines(&mut self, now: f64) {
         let (mut release, mut withdraw, mut stop) = (Vec::new(), Vec::new(), Vec::new());
         self.cluster
             .leaving
@@ -63,7 +63,7 @@
         }
         self.withdraw(&withdraw, now);
         for id in release {
-            self.release(id, Outcome::Requeued);
+            self.release(id, AttemptOutcome::Requeued);
         }
     }
 
@@ -97,7 +97,12 @@
 
     /// Whether all machines of a gang are heard, so that a stop reaches all its tasks.
     /// `heard` keeps the answers that were worked out at the same time already.
-    pub(super) fn all_heard(&self, job_ix: u32, now: f64, heard: &mut BTreeMap<u32, bool>) -> bool {
+    pub(in crate::leader) fn all_heard(
+        &self,
+        job_ix: u32,
+        now: f64,
+        heard: &mut BTreeMap<u32, bool>,
+    ) -> bool {
         let late_s = self.deployment.workers.heartbeat_timeout_s();
         *heard.entry(job_ix).or_insert_with(|| {
             self.attempts.of_job(job_ix).machines().all(|ix| {
--- a/crates/gladekeel-controller/src/leader/contact.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
@@ -10,7 +10,7 @@
 
 /// Reports as they arrive, for all machines together and by zone.
 #[derive(Debug)]
-pub(super) struct ZoneReachability {
+pub(in crate::leader) struct ZoneReachability {
     /// When any machine was heard.
     heard_at: f64,
     /// How many machines should report, as of the last look.
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -4,60 +4,48 @@
 //! what has been committed of it, and workers' reports say what is. Every step
 //! follows the rules of `docs/safety.md`.
 
+mod assignment_log;
 mod attempt;
 mod attempt_id;
-mod attempts;
+mod attempt_table;
+mod autoscaling;
 mod catalog;
-mod cloud_calls;
-mod commit;
-mod contact;
-mod direct;
-mod evacuation;
-mod exits;
-mod gangs;
+mod commands;
+mod failure_detection;
 mod job;
-mod job_changes;
-mod liveness;
 mod machine;
-mod preemption;
-mod release;
-mod replay;
-mod report;
-mod rounds;
-mod sizing;
-mod spend;
-mod standby;
+mod reconciliation;
+mod scheduling;
 mod status;
 mod timers;
-mod zone_bound;
 
-pub use attempt::{AssignmentPhase, Attempt, StopReason};
+pub use attempt::{AssignmentPhase, Attempt, AttemptOutcome, StopReason};
 pub use attempt_id::AttemptId;
-pub use direct::{WorkerOutcome, WorkerRequest};
+pub use autoscaling::cost::CostBreakdown;
+pub use commands::queue::{WorkerOutcome, WorkerRequest};
 pub use job::Job;
 pub use machine::Machine;
-pub use spend::CostBreakdown;
 
 use crate::{
-    assignment_log::{self, UnreadableSegment},
+    assignment_log::UnreadableSegment,
     cloud_api::{CloudOutcome, CloudRequest},
     runtime_settings::RuntimeSettings,
     socket_budget::SocketBudget,
     store_view::StoreView,
 };
-use attempts::AttemptTable;
+use assignment_log::writer::AssignmentLogWriter;
+pub use assignment_log::writer::LogRow;
+use attempt_table::AttemptTable;
+use autoscaling::cloud_requests::CloudRequestQueue;
+use autoscaling::scaling::Demand;
+use autoscaling::warm_pool::WarmPool;
 use catalog::Catalog;
-use cloud_calls::CloudRequestQueue;
-use commit::AssignmentLogWriter;
-pub use commit::LogRow;
-use contact::ZoneReachability;
-use direct::CommandQueue;
+use commands::queue::CommandQueue;
+use failure_detection::reachability::ZoneReachability;
 use gladekeel_sched::{Interner, Resources, cycle::TeamQuota};
 use gladekeel_wire::{
     JobId, cloud::MachineTypes, job::MAX_TASKS, settings::Deployment, store::Transaction,
 };
-use sizing::Demand;
-use standby::WarmPool;
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
     rc::Rc,
@@ -213,7 +201,7 @@
             .collect();
         let mut segments = rows
             .into_iter()
-            .map(|row| Ok((row.slot, row.version, assignment_log::decode(&row.text)?)))
+            .map(|row| Ok((row.slot, row.version, crate::assignment_log::decode(&row.text)?)))
             .collect::<Result<Vec<_>, UnreadableSegment>>()?;
         segments.sort_by_key(|(_, _, segment)| segment.sequence);
         let mut leader = Leader {
--- a/crates/gladekeel-controller/src/leader/report.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Workers' reports and the commands that answer them.
 
-use super::{
-    AssignmentPhase, AttemptId, Job, Leader, Machine, StopReason, attempt::Outcome,
+use crate::leader::{
+    AssignmentPhase, AttemptId, AttemptOutcome, Job, Leader, Machine, StopReason,
     machine::ExpectedEffects,
 };
 use gladekeel_wire::TaskId;
@@ -18,7 +18,11 @@
 impl Leader {
     /// Applies what a report says of its machine. Returns the machine if the report is
     /// newer than all that were received from it.
-    pub(super) fn apply_heartbeat(&mut self, now: f64, report: &Heartbeat) -> Option<u32> {
+    pub(in crate::leader) fn apply_heartbeat(
+        &mut self,
+        now: f64,
+        report: &Heartbeat,
+    ) -> Option<u32> {
         if self.cluster.cloud.is_gone(&report.machine) {
             return None;
         }
@@ -69,7 +73,7 @@
             if self.attempts.get(id).is_some_and(|attempt| attempt.incarnation < report.incarnation)
             {
                 // A newer incarnation: the worker has killed and forgotten everything before it.
-                self.release(id, Outcome::Requeued);
+                self.release(id, AttemptOutcome::Requeued);
             }
         }
         self.set_zone(ix, zone);
@@ -182,7 +186,7 @@
         } else if self.may_start_now(id, seen.may_start) {
             commands.push(Command::Start { task, attempt: self.reported_attempt(id) });
         } else if seen.settled && self.is_gone_for_good(id) {
-            self.release(id, Outcome::Requeued);
+            self.release(id, AttemptOutcome::Requeued);
         }
     }
 
@@ -245,7 +249,7 @@
     }
 
     /// Applies a task's reported state; returns whether the task has ended.
-    pub(super) fn apply_task_status(
+    pub(in crate::leader) fn apply_task_status(
         &mut self,
         now: f64,
         id: AttemptId,
--- a/crates/gladekeel-controller/src/leader/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -1,6 +1,6 @@
 //! Jobs as they come, are cancelled and go, in the store and by word of other controllers.
 
-use super::{Job, Leader, StopReason};
+use crate::leader::{Job, Leader, StopReason};
 use crate::store_view::StoreView;
 use gladekeel_wire::JobId;
 
--- a/crates/gladekeel-controller/src/leader/release.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/release.rs
@@ -1,10 +1,10 @@
 //! The end of an attempt: proven to be off its machine, then committed, then forgotten.
 
-use super::{AssignmentPhase, AttemptId, Leader, StopReason, attempt::Outcome};
+use crate::leader::{AssignmentPhase, AttemptId, AttemptOutcome, Leader, StopReason};
 
 impl Leader {
     /// Marks an attempt as off its machine. It keeps its room until that is committed.
-    pub(super) fn release(&mut self, id: AttemptId, outcome: Outcome) {
+    pub(in crate::leader) fn release(&mut self, id: AttemptId, outcome: AttemptOutcome) {
         let released = self.attempts.update(id, |attempt| {
             let live = attempt.phase == AssignmentPhase::Committed;
             if live {
@@ -15,7 +15,7 @@
         let Some((job_ix, index)) = released.flatten() else { return };
         self.log_writer.released.insert(id);
         let Some(job) = self.jobs.get_mut(&job_ix) else { return };
-        if job.is_gang() && outcome == Outcome::Done {
+        if job.is_gang() && outcome == AttemptOutcome::Done {
             // The tasks of a gang complete together: one that is done tells of all.
             if job.done.count() < job.spec.tasks {
                 (0..job.spec.tasks).for_each(|index| _ = job.done.insert(index));
@@ -28,10 +28,10 @@
             self.stop_gang(job_ix, StopReason::GangRestart);
         }
         let Some(job) = self.jobs.get_mut(&job_ix) else { return };
-        if outcome == Outcome::Restarted {
+        if outcome == AttemptOutcome::Restarted {
             job.restarted.insert(index);
         }
-        if outcome == Outcome::Done && job.done.insert(index) {
+        if outcome == AttemptOutcome::Done && job.done.insert(index) {
             self.changed_progress.insert(job_ix);
             if job.done.count() == job.spec.tasks && job.final_state.is_none() {
                 self.log_writer.finished.insert(job_ix);
@@ -40,7 +40,7 @@
     }
 
     /// The room of an attempt is free: its release is committed, or it never was.
-    pub(super) fn free(&mut self, id: AttemptId, outcome: Outcome, now: f64) {
+    pub(in crate::leader) fn free(&mut self, id: AttemptId, outcome: AttemptOutcome, now: f64) {
         let Some(attempt) = self.attempts.remove(id) else { return };
         if let Some(machine) = self.cluster.machines.get_mut(&attempt.machine) {
             machine.attempts.remove(&id);
@@ -52,8 +52,8 @@
         if let Some(job) = self.jobs.get_mut(&attempt.job) {
             self.teams[job.team as usize].used -= attempt.resources;
             job.count_zone(attempt.zone, -1);
-            if outcome != Outcome::Done {
-                job.requeue(attempt.task_index, outcome == Outcome::Restarted, now);
+            if outcome != AttemptOutcome::Done {
+                job.requeue(attempt.task_index, outcome == AttemptOutcome::Restarted, now);
             }
             if job.final_state.is_some() && self.attempts.of_job(attempt.job).is_empty() {
                 self.log_writer.cleared.insert(attempt.job);
--- a/crates/gladekeel-controller/src/leader/exits.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
@@ -1,6 +1,6 @@
 //! What the end of a task means for its job, its machine and its gang.
 
-use super::{AttemptId, Leader, StopReason, attempt::Outcome, machine::DeletionReason};
+use crate::leader::{AttemptId, AttemptOutcome, Leader, StopReason, machine::DeletionReason};
 use gladekeel_wire::job::JobKind;
 use gladekeel_wire::worker::{ExitCause, TaskStatus};
 
@@ -38,7 +38,7 @@
 
 impl Leader {
     /// Applies the end of a task that its machine has reported.
-    pub(super) fn on_exit(&mut self, now: f64, id: AttemptId, reported: &TaskStatus) {
+    pub(in crate::leader) fn on_exit(&mut self, now: f64, id: AttemptId, reported: &TaskStatus) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let ended = Ended {
             job: attempt.job,
@@ -52,7 +52,7 @@
             return;
         }
         let outcome = self.outcome_of(now, ended, reported);
-        if outcome != Outcome::Done {
+        if outcome != AttemptOutcome::Done {
             let machine = self.cluster.machine_names.name(ended.machine);
             tracing::info!(
                 task = %reported.task,
@@ -66,12 +66,12 @@
     }
 
     /// What comes of an end, after its cause has been dealt with.
-    fn outcome_of(&mut self, now: f64, ended: Ended, reported: &TaskStatus) -> Outcome {
+    fn outcome_of(&mut self, now: f64, ended: Ended, reported: &TaskStatus) -> AttemptOutcome {
         match reported.cause {
             Some(ExitCause::Done) => return self.on_done(now, ended),
             Some(ExitCause::Stopped) if ended.stop == Some(StopReason::Straggler) => {
                 self.cluster.counters.restarts += 1;
-                return Outcome::Restarted;
+                return AttemptOutcome::Restarted;
             }
             Some(ExitCause::Stopped) => {}
             Some(ExitCause::GangMemberLost) => self.stop_gang(ended.job, StopReason::GangRestart),
@@ -89,15 +89,15 @@
                 self.on_refusal(now, ended, reported);
             }
         }
-        Outcome::Requeued
+        AttemptOutcome::Requeued
     }
 
-    fn on_done(&mut self, now: f64, ended: Ended) -> Outcome {
-        let Some(job) = self.jobs.get_mut(&ended.job) else { return Outcome::Requeued };
+    fn on_done(&mut self, now: f64, ended: Ended) -> AttemptOutcome {
+        let Some(job) = self.jobs.get_mut(&ended.job) else { return AttemptOutcome::Requeued };
         if job.spec.kind == JobKind::Service {
             // A service is done when it is cancelled, and not before.
             job.backoff_until = now + SERVICE_AGAIN_S;
-            return Outcome::Requeued;
+            return AttemptOutcome::Requeued;
         }
         job.failures = 0;
         job.failed_on.clear();
@@ -112,7 +112,7 @@
                 self.cluster.run_time_ratios.entry(job.spec.class.clone()).or_insert(ratio);
             *learned += (ratio - *learned) * RATIO_WEIGHT;
         }
-        Outcome::Done
+        AttemptOutcome::Done
     }
 
     /// A task has failed: its job is to blame if that happens to it on every machine, else
--- a/crates/gladekeel-controller/src/leader/rounds.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle.rs
@@ -1,6 +1,6 @@
 //! A round of placements.
 
-use super::{AssignmentPhase, Attempt, AttemptId, Job, Leader};
+use crate::leader::{AssignmentPhase, Attempt, AttemptId, Job, Leader};
 use crate::runtime_settings::RuntimeSettings;
 use gladekeel_sched::cycle;
 use gladekeel_wire::job::JobKind;
@@ -13,14 +13,14 @@
 const STARVED_S: f64 = 75.0;
 
 /// A round with the leader's indices beside its own.
-pub(super) struct CycleInput {
+pub(in crate::leader) struct CycleInput {
     pub cycle: cycle::SchedulingCycle,
     pub jobs: Vec<u32>,
     pub machines: Vec<u32>,
 }
 
 impl Leader {
-    pub(super) fn run_scheduling_cycle(&mut self, now: f64, options: &RuntimeSettings) {
+    pub(in crate::leader) fn run_scheduling_cycle(&mut self, now: f64, options: &RuntimeSettings) {
         if self.jobs.values().all(|job| job.pending.is_empty()) {
             return;
         }
@@ -65,7 +65,7 @@
     }
 
     /// The round as things are; full machines are in it only if `full`.
-    pub(super) fn round_input(&self, now: f64, full: bool) -> CycleInput {
+    pub(in crate::leader) fn round_input(&self, now: f64, full: bool) -> CycleInput {
         let most = self.log_writer.batch(&self.deployment);
         let mut input = CycleInput {
             cycle: cycle::SchedulingCycle {
--- a/crates/gladekeel-controller/src/leader/gangs.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
@@ -1,6 +1,6 @@
 //! Gangs: their tasks share an attempt number, and are stopped together.
 
-use super::{AttemptId, Job, Leader, StopReason};
+use crate::leader::{AttemptId, Job, Leader, StopReason};
 use gladekeel_wire::worker::TaskStatus;
 
 /// How long a place is looked for to replace a task of a gang that waits.
@@ -10,13 +10,13 @@
     /// Whether a gang has not started and is not being stopped: a task of it that is gone
     /// can be replaced under the same number while the others wait. Of what an earlier
     /// leader placed it is not known whether it has run.
-    pub(super) fn still_waits(&self, job_ix: u32) -> bool {
+    pub(in crate::leader) fn still_waits(&self, job_ix: u32) -> bool {
         self.jobs.contains_key(&job_ix) && self.attempts.of_job(job_ix).none_started()
     }
 
     /// Gangs that lack a task and find no place for it begin anew, rather than hold
     /// machines until they give up by themselves.
-    pub(super) fn end_incomplete(&mut self, now: f64) {
+    pub(in crate::leader) fn end_incomplete(&mut self, now: f64) {
         let gangs = self.jobs.iter().filter(|(ix, job)| {
             let waits_s = job.waiting_since.map_or(0.0, |since| now - since);
             job.is_gang()
@@ -31,7 +31,7 @@
 
     /// Stops all tasks of a gang that are not being stopped yet: one decision for all,
     /// sent to all at once.
-    pub(super) fn stop_gang(&mut self, job_ix: u32, why: StopReason) {
+    pub(in crate::leader) fn stop_gang(&mut self, job_ix: u32, why: StopReason) {
         if !self.jobs.contains_key(&job_ix) {
             return;
         }
@@ -48,14 +48,14 @@
 
     /// The number under which a worker knows an attempt. The tasks of a gang share
     /// one: that is how they find one another.
-    pub(super) fn reported_attempt(&self, id: AttemptId) -> u64 {
+    pub(in crate::leader) fn reported_attempt(&self, id: AttemptId) -> u64 {
         let Some(attempt) = self.attempts.get(id) else { return id.logged() };
         let gang = self.jobs.get(&attempt.job).is_some_and(Job::is_gang);
         if gang { id.gang_number(attempt.task_index) } else { id.logged() }
     }
 
     /// The attempt that a worker speaks of.
-    pub(super) fn attempt_id(&self, reported: &TaskStatus) -> AttemptId {
+    pub(in crate::leader) fn attempt_id(&self, reported: &TaskStatus) -> AttemptId {
         let job = self.job_names.get(&reported.task.job).and_then(|ix| self.jobs.get(&ix));
         match job {
             Some(job) if job.is_gang() => {
--- a/crates/gladekeel-controller/src/leader/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -1,6 +1,8 @@
 //! Stopping tasks: for others with a better claim, or because they are slow.
 
-use super::{AssignmentPhase, Attempt, AttemptId, Job, Leader, StopReason, rounds::CycleInput};
+use crate::leader::{
+    AssignmentPhase, Attempt, AttemptId, Job, Leader, StopReason, scheduling::cycle::CycleInput,
+};
 use crate::runtime_settings::RuntimeSettings;
 use gladekeel_sched::{
     preemption::{PreemptionCandidate, PreemptionCandidates},
@@ -21,7 +23,7 @@
 impl Leader {
     /// Stops tasks that are slow on machines where everything is. Looks at some of the
     /// machines each time.
-    pub(super) fn restart_stragglers(&mut self, now: f64, options: &RuntimeSettings) {
+    pub(in crate::leader) fn restart_stragglers(&mut self, now: f64, options: &RuntimeSettings) {
         let some = self.cluster.machines.len() / SLOW_ROUNDS + 1;
         let mut range = self.cluster.machines.range(self.straggler_cursor..);
         let machines: Vec<u32> = range.by_ref().take(some).map(|(ix, _)| *ix).collect();
@@ -63,7 +65,11 @@
     }
 
     /// Stops tasks for others that have a better claim and found no room.
-    pub(super) fn preempt_for_waiting_jobs(&mut self, now: f64, options: &RuntimeSettings) {
+    pub(in crate::leader) fn preempt_for_waiting_jobs(
+        &mut self,
+        now: f64,
+        options: &RuntimeSettings,
+    ) {
         if !self.has_claimant(now, options) {
             return;
         }
