--- a/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
@@ -4,6 +4,7 @@
     AssignmentPhase, Attempt, AttemptId, AttemptOutcome, Job, Leader, Machine, StopReason,
 };
 use crate::{assignment_log, keys::TASKS_PER_PAGE};
+use gladekeel_sched::{DenseIndex, JobIdx};
 use gladekeel_wire::JobId;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -63,14 +64,14 @@
         self.log_writer.add_segment(slot, version, segment.sequence, attempts, chunks);
     }
 
-    fn job_named(&mut self, id: &JobId) -> Option<(u32, &mut Job)> {
+    fn job_named(&mut self, id: &JobId) -> Option<(JobIdx, &mut Job)> {
         let ix = self.job_names.get(id)?;
         Some((ix, self.jobs.get_mut(&ix)?))
     }
 
     /// Puts the attempts back on their machines. Returns the tasks that have one, by job.
-    fn restore_attempts(&mut self, now: f64, live: LiveAttempts) -> HashMap<u32, HashSet<u32>> {
-        let mut assigned: HashMap<u32, HashSet<u32>> = HashMap::new();
+    fn restore_attempts(&mut self, now: f64, live: LiveAttempts) -> HashMap<JobIdx, HashSet<u32>> {
+        let mut assigned: HashMap<JobIdx, HashSet<u32>> = HashMap::new();
         for (id, (row, segment)) in live {
             let Some((ix, _)) = self.job_named(&row.job) else {
                 // Jobs are cleared only after their last attempt was released.
@@ -88,7 +89,7 @@
     }
 
     /// Works out for each job what is left to do, and ends what must not go on.
-    fn settle_jobs(&mut self, assigned: &HashMap<u32, HashSet<u32>>) {
+    fn settle_jobs(&mut self, assigned: &HashMap<JobIdx, HashSet<u32>>) {
         let mut ended = Vec::new();
         let mut broken = Vec::new();
         for (ix, job) in &mut self.jobs {
@@ -128,7 +129,7 @@
     fn restore(
         &mut self,
         now: f64,
-        job_ix: u32,
+        job_ix: JobIdx,
         id: AttemptId,
         row: assignment_log::Assignment,
         seq: u64,
@@ -144,7 +145,7 @@
         machine.requested += job.task_request;
         machine.record_image_use(job.image, job.spec.image_gb, f64::INFINITY);
         job.count_zone(machine.zone, 1);
-        self.teams[job.team as usize].used += job.task_request;
+        self.teams[job.team.position()].used += job.task_request;
         self.attempts.insert(
             id,
             Attempt {
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer.rs
@@ -13,6 +13,7 @@
 
 use crate::leader::{AssignmentPhase, AttemptId, Job, Leader, StopReason};
 use crate::{assignment_log, keys, store_view::StoreView};
+use gladekeel_sched::JobIdx;
 use gladekeel_store::{StoreOutcome, TokenBucket};
 use gladekeel_wire::{
     cloud::MachineTypes, job::JobState, settings::Deployment, store::Transaction,
@@ -55,7 +56,7 @@
     /// Attempts that it assigns.
     attempts: Vec<AttemptId>,
     /// Chunks of progress that it tells of, by job.
-    chunks: Vec<(u32, u32)>,
+    chunks: Vec<(JobIdx, u32)>,
 }
 
 /// What is to be written, and what is under way.
@@ -66,9 +67,9 @@
     /// Attempts that are off their machines.
     pub released: BTreeSet<AttemptId>,
     /// Jobs whose tasks are all done.
-    pub finished: BTreeSet<u32>,
+    pub finished: BTreeSet<JobIdx>,
     /// Jobs that have a final state and nothing on any machine.
-    pub cleared: BTreeSet<u32>,
+    pub cleared: BTreeSet<JobIdx>,
     /// Drain orders of machines that are gone, to clear away.
     pub drains: BTreeSet<String>,
     /// Machine types to write.
@@ -99,9 +100,9 @@
     version: u64,
     seq: u64,
     attempts: Vec<AttemptId>,
-    chunks: Vec<(u32, u32)>,
+    chunks: Vec<(JobIdx, u32)>,
     /// Those of the chunks that it tells whole.
-    whole: Vec<(u32, u32)>,
+    whole: Vec<(JobIdx, u32)>,
 }
 
 /// What a transaction under way contains.
@@ -110,8 +111,8 @@
     segments: Vec<SentSegment>,
     proposed: BTreeSet<AttemptId>,
     released: BTreeSet<AttemptId>,
-    final_states: Vec<u32>,
-    cleared: Vec<u32>,
+    final_states: Vec<JobIdx>,
+    cleared: Vec<JobIdx>,
     drains: Vec<String>,
     /// How many parts of the machine types, if it has them.
     types: Option<u32>,
@@ -140,7 +141,7 @@
         version: u64,
         seq: u64,
         attempts: Vec<AttemptId>,
-        chunks: Vec<(u32, u32)>,
+        chunks: Vec<(JobIdx, u32)>,
     ) {
         self.segments.push_back(LogSegment { slot, version, seq, attempts, chunks });
         self.slots = self.slots.max(slot + 1);
@@ -364,7 +365,7 @@
         self.reclaim();
     }
 
-    fn final_state_committed(&mut self, now: f64, ix: u32) {
+    fn final_state_committed(&mut self, now: f64, ix: JobIdx) {
         self.log_writer.finished.remove(&ix);
         let Some(job) = self.jobs.get_mut(&ix) else { return };
         job.final_state = Some(JobState::Done);
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/write_batch.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/write_batch.rs
@@ -7,6 +7,7 @@
     leader::{AssignmentPhase, Leader},
     stored_types,
 };
+use gladekeel_sched::JobIdx;
 use gladekeel_wire::{
     job::JobState,
     store::{Precondition, Transaction, Write},
@@ -155,7 +156,7 @@
 
     /// Whether every release of a job that waits is in the draft: its final state is written
     /// with its last finish or later.
-    fn has_all_releases(&self, draft: &WriteBatch, job: u32) -> bool {
+    fn has_all_releases(&self, draft: &WriteBatch, job: JobIdx) -> bool {
         let waits = |id: &&AttemptId| self.log_writer.released.contains(*id);
         let ids = self.attempts.of_job(job).ids();
         ids.iter().filter(waits).all(|id| draft.sent.released.contains(id))
@@ -281,7 +282,7 @@
     }
 
     /// Whether what a segment tells of a chunk is told by no newer one.
-    pub(in crate::leader) fn tells(&self, seq: u64, job: u32, chunk: u32) -> bool {
+    pub(in crate::leader) fn tells(&self, seq: u64, job: JobIdx, chunk: u32) -> bool {
         self.jobs.get(&job).is_some_and(|job| {
             job.final_state.is_none()
                 && job.progress_segments.get(&chunk).is_none_or(|told| *told <= seq)
--- a/crates/gladekeel-controller/src/leader/attempt.rs
+++ b/crates/gladekeel-controller/src/leader/attempt.rs
@@ -2,6 +2,7 @@
 
 pub use crate::assignment_log::AttemptOutcome;
 use gladekeel_sched::Resources;
+use gladekeel_sched::{ImageIdx, JobIdx, MachineIdx, ZoneIdx};
 use gladekeel_wire::worker::TaskState;
 
 /// How far an attempt's assignment is.
@@ -37,13 +38,13 @@
 #[derive(Debug)]
 pub struct Attempt {
     /// The job.
-    pub job: u32,
+    pub job: JobIdx,
     /// The task's number.
     pub task_index: u32,
     /// The machine.
-    pub machine: u32,
+    pub machine: MachineIdx,
     /// The machine's zone, as far as known.
-    pub zone: Option<u32>,
+    pub zone: Option<ZoneIdx>,
     /// The machine's incarnation.
     pub incarnation: u64,
     /// How far the assignment is.
@@ -61,7 +62,7 @@
     /// What it takes.
     pub resources: Resources,
     /// Its image.
-    pub image: u32,
+    pub image: ImageIdx,
     /// Whether an earlier token placed it: how long it has run is not known then.
     pub recovered: bool,
     /// The newest segment of the log that assigns it.
--- a/crates/gladekeel-controller/src/leader/attempt_table.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_table.rs
@@ -8,6 +8,7 @@
     AttemptId,
     attempt::{AssignmentPhase, Attempt},
 };
+use gladekeel_sched::{ImageIdx, JobIdx, MachineIdx};
 use gladekeel_wire::worker::TaskState;
 use std::{
     cell::Cell,
@@ -27,7 +28,7 @@
     /// Committed, and not seen exited.
     unfinished: u32,
     /// How many there are on each machine.
-    machines: BTreeMap<u32, u32>,
+    machines: BTreeMap<MachineIdx, u32>,
 }
 
 /// The attempts of a job that has none.
@@ -78,7 +79,7 @@
     }
 
     /// The machines that they are on.
-    pub fn machines(&self) -> impl Iterator<Item = u32> {
+    pub fn machines(&self) -> impl Iterator<Item = MachineIdx> {
         self.machines.keys().copied()
     }
 }
@@ -87,9 +88,9 @@
 #[derive(Debug, Default)]
 pub(super) struct AttemptTable {
     all: BTreeMap<AttemptId, Attempt>,
-    by_job: BTreeMap<u32, JobAttempts>,
+    by_job: BTreeMap<JobIdx, JobAttempts>,
     /// By machine and image, how many wait for the image or have not been seen to run.
-    not_run: BTreeMap<u32, BTreeMap<u32, u32>>,
+    not_run: BTreeMap<MachineIdx, BTreeMap<ImageIdx, u32>>,
     /// How often a single attempt was looked at.
     lookups: Cell<u64>,
 }
@@ -113,17 +114,17 @@
     }
 
     /// Those of a job.
-    pub fn of_job(&self, job: u32) -> &JobAttempts {
+    pub fn of_job(&self, job: JobIdx) -> &JobAttempts {
         self.by_job.get(&job).unwrap_or(&NONE)
     }
 
     /// The ids of a job's attempts, to change them one by one.
-    pub fn ids_of_job(&self, job: u32) -> Vec<AttemptId> {
+    pub fn ids_of_job(&self, job: JobIdx) -> Vec<AttemptId> {
         self.of_job(job).ids.iter().copied().collect()
     }
 
     /// Images that attempts on a machine have not been seen to run with.
-    pub fn images_not_yet_running(&self, machine: u32) -> impl Iterator<Item = u32> {
+    pub fn images_not_yet_running(&self, machine: MachineIdx) -> impl Iterator<Item = ImageIdx> {
         self.not_run.get(&machine).into_iter().flat_map(|images| images.keys().copied())
     }
 
@@ -187,7 +188,7 @@
         }
     }
 
-    fn tally(&mut self, job: u32, tally: Tally, change: Change) {
+    fn tally(&mut self, job: JobIdx, tally: Tally, change: Change) {
         let of_job = self.by_job.entry(job).or_default();
         change.apply(&mut of_job.uncommitted, tally.uncommitted);
         change.apply(&mut of_job.stopping, tally.stopping);
@@ -195,7 +196,13 @@
         change.apply(&mut of_job.unfinished, tally.unfinished);
     }
 
-    fn count_not_run(&mut self, machine: u32, image: u32, counts: bool, change: Change) {
+    fn count_not_run(
+        &mut self,
+        machine: MachineIdx,
+        image: ImageIdx,
+        counts: bool,
+        change: Change,
+    ) {
         if !counts {
             return;
         }
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests.rs
@@ -4,6 +4,7 @@
 
 use crate::cloud_api::{CloudOutcome, CloudRequest};
 use crate::leader::{Leader, Machine, machine::DeletionReason};
+use gladekeel_sched::{MachineIdx, MachineTypeIdx, ZoneIdx};
 use gladekeel_wire::cloud::{
     ListedMachine, MAX_MACHINES_PER_DELETE_REQUEST, MAX_MACHINES_PER_PAGE,
     MAX_MACHINES_PER_RENT_REQUEST, MachinePage, MachineState, MachineTypes, RentRequest,
@@ -21,9 +22,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(in crate::leader) struct MachinePool {
     /// The type.
-    pub kind: u32,
+    pub kind: MachineTypeIdx,
     /// The zone.
-    pub zone: u32,
+    pub zone: ZoneIdx,
     /// Spot or not.
     pub spot: bool,
 }
@@ -153,12 +154,13 @@
     /// The next machines to delete, if any, those with work first; marks that the
     /// request goes out.
     fn next_deletion(&mut self) -> Option<Vec<String>> {
-        let wanted = |ix: &u32| {
+        let wanted = |ix: &MachineIdx| {
             let machine = self.cluster.machines.get(ix)?;
             (machine.deletion_reason.is_some() && !machine.deleted)
                 .then_some((machine.attempts.is_empty(), *ix))
         };
-        let mut wanted: Vec<(bool, u32)> = self.cluster.leaving.iter().filter_map(wanted).collect();
+        let mut wanted: Vec<(bool, MachineIdx)> =
+            self.cluster.leaving.iter().filter_map(wanted).collect();
         wanted.sort_unstable();
         let mut names = Vec::new();
         for (_, ix) in wanted.into_iter().take(MAX_MACHINES_PER_DELETE_REQUEST) {
--- a/crates/gladekeel-controller/src/leader/autoscaling/scaling.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/scaling.rs
@@ -4,6 +4,7 @@
     Job, Leader, autoscaling::cloud_requests::MachinePool, machine::DeletionReason,
 };
 use crate::runtime_settings::RuntimeSettings;
+use gladekeel_sched::{DenseIndex, JobIdx, MachineIdx, MachineTypeIdx, ZoneIdx};
 use gladekeel_sched::{
     Resources,
     autoscaling::{ArrivalRate, Autoscaler, JobDemand, ScalingPlan, Supply},
@@ -17,9 +18,9 @@
 #[derive(Debug, Default)]
 pub(in crate::leader) struct Demand {
     /// By type, for all its machines and for its ordinary ones alone.
-    sizers: HashMap<(u32, bool), Autoscaler>,
+    sizers: HashMap<(MachineTypeIdx, bool), Autoscaler>,
     /// Work that came lately, by type and class, and as of when.
-    arrived: BTreeMap<(u32, String), ArrivalRate>,
+    arrived: BTreeMap<(MachineTypeIdx, String), ArrivalRate>,
     arrived_at: f64,
 }
 
@@ -32,7 +33,7 @@
     }
 
     /// Work of each class that goes on coming, for a type.
-    fn flows(&self, kind: u32) -> Vec<ArrivalRate> {
+    fn flows(&self, kind: MachineTypeIdx) -> Vec<ArrivalRate> {
         let of_kind = self.arrived.iter().filter(|((of, _), _)| *of == kind);
         of_kind
             .map(|(_, flow)| ArrivalRate { machines: flow.machines / ARRIVALS_S, ..*flow })
@@ -84,7 +85,7 @@
         self.cluster.cloud.clear_wanted();
         self.cluster.demand.fade(now);
         let mut needs = self.needs(now);
-        for kind in 0..self.catalog.machine_types.len() as u32 {
+        for kind in self.catalog.machine_type_indices() {
             let needs = needs.remove(&kind).unwrap_or_default();
             self.size_kind(now, options, kind, &needs);
         }
@@ -92,7 +93,7 @@
     }
 
     /// A job has just come.
-    pub(in crate::leader) fn count_arrival(&mut self, ix: u32) {
+    pub(in crate::leader) fn count_arrival(&mut self, ix: JobIdx) {
         let Some(job) = self.jobs.get(&ix) else { return };
         let Some((kind, fits)) = self.kind_for(job) else { return };
         let run_s = self.expected_run(job);
@@ -109,16 +110,16 @@
 
     /// What unfinished jobs need, by machine type; with it whether they may use
     /// spot machines.
-    fn needs(&self, now: f64) -> BTreeMap<u32, Vec<(bool, JobDemand)>> {
-        let mut needs: BTreeMap<u32, Vec<(bool, JobDemand)>> = BTreeMap::new();
+    fn needs(&self, now: f64) -> BTreeMap<MachineTypeIdx, Vec<(bool, JobDemand)>> {
+        let mut needs: BTreeMap<MachineTypeIdx, Vec<(bool, JobDemand)>> = BTreeMap::new();
         let mut left: Vec<_> = self.teams.iter().map(|team| team.limit).collect();
         for (ix, job) in self.jobs.iter().filter(|(_, job)| !job.is_finished()) {
             let Some((kind, fits)) = self.kind_for(job) else { continue };
             let allowed = job.task_request.times_in(
-                Resources { memory: i64::MAX / 4, ..left[job.team as usize] },
+                Resources { memory: i64::MAX / 4, ..left[job.team.position()] },
                 job.remaining(),
             );
-            left[job.team as usize] -= job.task_request * i64::from(allowed);
+            left[job.team.position()] -= job.task_request * i64::from(allowed);
             let running = (self.attempts.of_job(*ix).len() as u32).min(allowed);
             let pending = if now < job.backoff_until { 0 } else { allowed - running };
             let run_s = self.expected_run(job);
@@ -151,8 +152,8 @@
     }
 
     /// The type on which a job's tasks cost least, and how many fit on one.
-    pub(in crate::leader) fn kind_for(&self, job: &Job) -> Option<(u32, u32)> {
-        let fitting = |kind: u32| -> Option<(f64, u32, u32)> {
+    pub(in crate::leader) fn kind_for(&self, job: &Job) -> Option<(MachineTypeIdx, u32)> {
+        let fitting = |kind: MachineTypeIdx| -> Option<(f64, MachineTypeIdx, u32)> {
             let machine_type = self.catalog.machine_type(kind)?;
             let fits = job.task_request.times_in(self.catalog.capacity(kind)?, 1000);
             let zone_fits = job
@@ -160,7 +161,7 @@
                 .is_none_or(|zone| machine_type.zones.contains(self.catalog.zones.name(zone)));
             (fits > 0 && zone_fits).then(|| (machine_type.price / f64::from(fits), kind, fits))
         };
-        let all: Vec<u32> = (0..self.catalog.machine_types.len() as u32).collect();
+        let all: Vec<MachineTypeIdx> = self.catalog.machine_type_indices().collect();
         job.machine_types
             .as_ref()
             .unwrap_or(&all)
@@ -171,7 +172,13 @@
     }
 
     /// What there is of a type, and of its ordinary machines alone.
-    fn supply(&self, now: f64, kind: u32, boot_s: f64, silent_s: f64) -> (Supply, Supply) {
+    fn supply(
+        &self,
+        now: f64,
+        kind: MachineTypeIdx,
+        boot_s: f64,
+        silent_s: f64,
+    ) -> (Supply, Supply) {
         let (mut any, mut ordinary) = (Supply::default(), Supply::default());
         for machine in self.cluster.machines.values() {
             if machine.machine_type != Some(kind) || machine.is_leaving() {
@@ -210,7 +217,7 @@
         &mut self,
         now: f64,
         options: &RuntimeSettings,
-        kind: u32,
+        kind: MachineTypeIdx,
         needs: &[(bool, JobDemand)],
     ) {
         let Some(machine_type) = self.catalog.machine_type(kind) else { return };
@@ -218,7 +225,7 @@
         let (any, ordinary) = self.supply(now, kind, boot_s, options.unreachable_after_s);
         let plans = self.plan_kind(now, options, kind, needs, [&any, &ordinary]);
         tracing::debug!(
-            kind,
+            %kind,
             up = any.up,
             booting = any.booting.len(),
             rent = plans.any.scale_out,
@@ -240,7 +247,7 @@
         &mut self,
         now: f64,
         options: &RuntimeSettings,
-        kind: u32,
+        kind: MachineTypeIdx,
         needs: &[(bool, JobDemand)],
         [any, ordinary]: [&Supply; 2],
     ) -> KindPlans {
@@ -266,7 +273,7 @@
 
     /// Asks for the machines of a type that are to be rented: spot ones first; what they
     /// cannot give, ordinary ones do in the next round.
-    fn want_rentals(&mut self, now: f64, kind: u32, plans: &KindPlans) {
+    fn want_rentals(&mut self, now: f64, kind: MachineTypeIdx, plans: &KindPlans) {
         let Some(machine_type) = self.catalog.machine_type(kind) else { return };
         let may_spot = machine_type.spot_price.is_some();
         let need = plans.any.scale_out.ceil() as usize;
@@ -280,9 +287,9 @@
     }
 
     /// Zones that may have such machines to rent, the one that has fewest so far first.
-    fn zones_with_capacity(&self, now: f64, kind: u32, spot: bool) -> Vec<u32> {
+    fn zones_with_capacity(&self, now: f64, kind: MachineTypeIdx, spot: bool) -> Vec<ZoneIdx> {
         let Some(machine_type) = self.catalog.machine_type(kind) else { return Vec::new() };
-        let mut zones: Vec<u32> = machine_type
+        let mut zones: Vec<ZoneIdx> = machine_type
             .zones
             .iter()
             .filter_map(|zone| self.catalog.zones.get(zone.as_str()))
@@ -290,7 +297,7 @@
                 self.cluster.cloud.may_have_capacity(MachinePool { kind, zone: *zone, spot }, now)
             })
             .collect();
-        let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
+        let mut counts: BTreeMap<ZoneIdx, usize> = BTreeMap::new();
         let machines = self.cluster.machines.values();
         for machine in machines.filter(|m| m.machine_type == Some(kind) && m.spot == spot) {
             if let Some(zone) = machine.zone {
@@ -302,8 +309,14 @@
     }
 
     /// Divides rentals evenly between zones, the first ones getting what is left over.
-    fn spread_rentals(&mut self, kind: u32, spot: bool, zones: &[u32], count: usize) {
-        let mut shares: Vec<(u32, usize)> = Vec::new();
+    fn spread_rentals(
+        &mut self,
+        kind: MachineTypeIdx,
+        spot: bool,
+        zones: &[ZoneIdx],
+        count: usize,
+    ) {
+        let mut shares: Vec<(ZoneIdx, usize)> = Vec::new();
         for (place, zone) in zones.iter().copied().enumerate() {
             let extra = usize::from(place < count % zones.len());
             shares.push((zone, count / zones.len() + extra));
@@ -318,11 +331,11 @@
         &mut self,
         now: f64,
         options: &RuntimeSettings,
-        kind: u32,
+        kind: MachineTypeIdx,
         spot: bool,
         spare: usize,
     ) {
-        let mut idle: Vec<(f64, u32)> = self
+        let mut idle: Vec<(f64, MachineIdx)> = self
             .cluster
             .machines
             .iter()
--- a/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -1,6 +1,7 @@
 //! Machines that are kept for gangs.
 
 use crate::leader::Leader;
+use gladekeel_sched::{ImageIdx, JobIdx, MachineIdx, MachineTypeIdx, ZoneIdx};
 use std::{
     cmp::Reverse,
     collections::{BTreeMap, BTreeSet},
@@ -17,7 +18,7 @@
     since: f64,
     at: f64,
     /// Their images.
-    images: BTreeSet<u32>,
+    images: BTreeSet<ImageIdx>,
 }
 
 impl Gangs {
@@ -34,14 +35,14 @@
 #[derive(Debug, Default)]
 pub(in crate::leader) struct WarmPool {
     /// Gangs that came lately, by type and class.
-    gangs: BTreeMap<(u32, String), Gangs>,
+    gangs: BTreeMap<(MachineTypeIdx, String), Gangs>,
     /// Ordinary machines to keep for them, by type.
-    machines: BTreeMap<u32, u32>,
+    machines: BTreeMap<MachineTypeIdx, u32>,
 }
 
 impl WarmPool {
     /// How many ordinary machines of a type are to be kept.
-    pub fn wanted(&self, kind: u32) -> u32 {
+    pub fn wanted(&self, kind: MachineTypeIdx) -> u32 {
         self.machines.get(&kind).copied().unwrap_or(0)
     }
 }
@@ -57,7 +58,13 @@
 
 impl Leader {
     /// A gang has come: so much work, so many of whose tasks fit on a machine.
-    pub(in crate::leader) fn count_gang(&mut self, ix: u32, kind: u32, work: f64, fits: u32) {
+    pub(in crate::leader) fn count_gang(
+        &mut self,
+        ix: JobIdx,
+        kind: MachineTypeIdx,
+        work: f64,
+        fits: u32,
+    ) {
         let Some(job) = self.jobs.get(&ix).filter(|job| job.is_gang()) else { return };
         if job.has_start_objective(&self.deployment) {
             let (at, class) = (job.submitted_at, job.spec.class.clone());
@@ -76,8 +83,8 @@
     pub(in crate::leader) fn maintain_warm_pool(&mut self, now: f64) {
         let standby = &mut self.cluster.warm_pool;
         standby.gangs.retain(|_, gangs| now - gangs.at < GANGS_S);
-        let mut wanted: BTreeMap<u32, (f64, f64)> = BTreeMap::new();
-        let mut images: BTreeSet<u32> = BTreeSet::new();
+        let mut wanted: BTreeMap<MachineTypeIdx, (f64, f64)> = BTreeMap::new();
+        let mut images: BTreeSet<ImageIdx> = BTreeSet::new();
         for ((kind, _), gangs) in &standby.gangs {
             let (busy, largest) = wanted.entry(*kind).or_default();
             *busy += gangs.busy(now);
@@ -85,7 +92,7 @@
             images.extend(&gangs.images);
         }
         standby.machines.clear();
-        let mut pools: BTreeMap<(u32, u32), Vec<u32>> = BTreeMap::new();
+        let mut pools: BTreeMap<(MachineTypeIdx, ZoneIdx), Vec<MachineIdx>> = BTreeMap::new();
         let machines = &mut self.cluster.machines;
         for (ix, machine) in &*machines {
             let (Some(kind), Some(zone)) = (machine.machine_type, machine.zone) else { continue };
--- a/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
@@ -5,13 +5,14 @@
 //! for ever.
 
 use crate::leader::{Job, Leader, autoscaling::cloud_requests::MachinePool};
+use gladekeel_sched::{DenseIndex, MachineTypeIdx, ZoneIdx};
 use std::collections::BTreeMap;
 
 /// Work that is bound to a zone and has waited for longer gets machines of its own.
 const BOUND_WAITS_S: f64 = 10.0;
 
 /// Machines, as parts of whole ones, by type and zone.
-type ByZone = BTreeMap<(u32, u32), f64>;
+type ByZone = BTreeMap<(MachineTypeIdx, ZoneIdx), f64>;
 
 impl Leader {
     /// Asks for machines in zones to which waiting work is bound and that lack room for it.
@@ -28,7 +29,7 @@
             return;
         }
         let (spot, ordinary) = (self.room_by_zone(true), self.room_by_zone(false));
-        let room = |of: &ByZone, at: &(u32, u32)| of.get(at).copied().unwrap_or(0.0);
+        let room = |of: &ByZone, at: &(MachineTypeIdx, ZoneIdx)| of.get(at).copied().unwrap_or(0.0);
         for (at, machines) in lacking_ordinary {
             let count = (machines - room(&ordinary, &at)).ceil().max(0.0) as u32;
             self.want_in_zone(now, at, count, &[false]);
@@ -57,7 +58,13 @@
     }
 
     /// Asks for machines of the first kind that the cloud may have there.
-    fn want_in_zone(&mut self, now: f64, (kind, zone): (u32, u32), count: u32, kinds: &[bool]) {
+    fn want_in_zone(
+        &mut self,
+        now: f64,
+        (kind, zone): (MachineTypeIdx, ZoneIdx),
+        count: u32,
+        kinds: &[bool],
+    ) {
         let pools = kinds.iter().map(|spot| MachinePool { kind, zone, spot: *spot });
         let pool = pools.into_iter().find(|pool| self.cluster.cloud.may_have_capacity(*pool, now));
         if let Some(pool) = pool.filter(|_| count > 0) {
@@ -76,7 +83,7 @@
 }
 
 /// The only zone in which further tasks of a job may be, if there is only one.
-fn bound_zone(job: &Job) -> Option<u32> {
-    let held = || job.tasks_by_zone.iter().position(|tasks| *tasks > 0).map(|zone| zone as u32);
+fn bound_zone(job: &Job) -> Option<ZoneIdx> {
+    let held = || job.tasks_by_zone.iter().position(|tasks| *tasks > 0).map(ZoneIdx::from_position);
     job.zone.or_else(|| held().filter(|_| job.spec.single_zone))
 }
--- a/crates/gladekeel-controller/src/leader/commands/queue.rs
+++ b/crates/gladekeel-controller/src/leader/commands/queue.rs
@@ -5,6 +5,7 @@
 //! released for being absent nor forgotten; a new token settles it for good.
 
 use crate::leader::{Attempt, AttemptId, Leader, Machine, StopReason, machine::DeletionReason};
+use gladekeel_sched::{JobIdx, MachineIdx};
 use gladekeel_wire::{
     TaskId,
     worker::{Command, DirectCommands, Heartbeat, TaskState},
@@ -24,18 +25,18 @@
 #[derive(Debug)]
 pub(in crate::leader) struct CommandQueue {
     /// Machines for which there may be direct commands.
-    pub wanted: BTreeSet<u32>,
+    pub wanted: BTreeSet<MachineIdx>,
     /// Gangs on all of whose machines there may be direct commands.
-    pub gangs: BTreeSet<u32>,
+    pub gangs: BTreeSet<JobIdx>,
     /// Machines that are to be asked whether they are there.
-    pub probes_wanted: BTreeSet<u32>,
+    pub probes_wanted: BTreeSet<MachineIdx>,
     /// How many are being asked, and may be.
     probing: usize,
     max_probes: usize,
     /// Machines to which a direct `run` had no answer: it may still arrive.
-    unsettled_starts: BTreeSet<u32>,
+    unsettled_starts: BTreeSet<MachineIdx>,
     /// Machines that did not get the stops that were sent to them directly.
-    undelivered_stops: BTreeSet<u32>,
+    undelivered_stops: BTreeSet<MachineIdx>,
 }
 
 impl CommandQueue {
@@ -67,7 +68,7 @@
     /// Commands, or none to ask for a report only.
     pub body: Option<DirectCommands>,
     token: u64,
-    machine: u32,
+    machine: MachineIdx,
     starts: Vec<AttemptId>,
 }
 
@@ -122,7 +123,7 @@
     }
 
     /// The commands that a machine should hear now, if there are any.
-    fn direct_for(&mut self, now: f64, ix: u32, may_start: bool) -> Option<WorkerRequest> {
+    fn direct_for(&mut self, now: f64, ix: MachineIdx, may_start: bool) -> Option<WorkerRequest> {
         let heard_s = self.deployment.workers.heartbeat_timeout_s();
         let machine = self.cluster.machines.get(&ix)?;
         if machine.command_in_flight || machine.deleted || now - machine.silent_since > heard_s {
--- a/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
@@ -2,6 +2,7 @@
 
 use crate::leader::{AssignmentPhase, Leader, Machine, machine::DeletionReason};
 use crate::runtime_settings::RuntimeSettings;
+use gladekeel_sched::{DenseIndex, ZoneIdx};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long others of its zone answer while a machine does not answer: it is asked
@@ -74,7 +75,7 @@
         own_zone: &str,
         heard_zones: &[&str],
     ) {
-        let joined: BTreeSet<u32> = std::iter::once(&own_zone)
+        let joined: BTreeSet<ZoneIdx> = std::iter::once(&own_zone)
             .chain(heard_zones)
             .filter_map(|zone| self.catalog.zones.get(*zone))
             .collect();
@@ -87,7 +88,7 @@
             }
             let kind = machine
                 .machine_type
-                .and_then(|kind| self.catalog.machine_types.get(kind as usize)?.as_ref());
+                .and_then(|kind| self.catalog.machine_types.get(kind.position())?.as_ref());
             let boot_s = kind.map_or(UNKNOWN_BOOT_S, |kind| kind.boot_s);
             let reached = self.cluster.zones_reachable_since.get(&machine.zone);
             let reached_s = reached.map_or(-1.0, |since| now - since);
@@ -108,7 +109,7 @@
         &self,
         now: f64,
         options: &RuntimeSettings,
-        joined: BTreeSet<u32>,
+        joined: BTreeSet<ZoneIdx>,
     ) -> ClusterObservation {
         // A zone's silence must show well before a machine counts as dead.
         let heard_s = HEARD_PART * options.unreachable_after_s;
@@ -186,9 +187,9 @@
 /// Who was heard, as of one look at all machines.
 #[derive(Default)]
 struct ClusterObservation {
-    zones: BTreeMap<Option<u32>, ZoneObservation>,
+    zones: BTreeMap<Option<ZoneIdx>, ZoneObservation>,
     /// Zones of the leader and of the controllers that it hears.
-    joined: BTreeSet<u32>,
+    joined: BTreeSet<ZoneIdx>,
     heard_any: bool,
 }
 
@@ -217,20 +218,20 @@
 
 impl ClusterObservation {
     /// Whether a controller is in the zone, or the zone is not known.
-    fn is_joined(&self, zone: Option<u32>) -> bool {
+    fn is_joined(&self, zone: Option<ZoneIdx>) -> bool {
         zone.is_none_or(|zone| self.joined.contains(&zone))
     }
 
     /// Whether a zone is within reach: a machine there is heard, or any machine is and a
     /// controller is there. Without a single machine, the leader may be the one that is
     /// cut off.
-    fn in_reach(&self, zone: Option<u32>) -> bool {
+    fn in_reach(&self, zone: Option<ZoneIdx>) -> bool {
         let heard = self.zones.get(&zone).is_some_and(|view| view.heard > 0);
         heard || (self.heard_any && self.is_joined(zone))
     }
 
     /// Whether others of a zone have answered after a time.
-    fn answered_after(&self, zone: Option<u32>, at: f64) -> bool {
+    fn answered_after(&self, zone: Option<ZoneIdx>, at: f64) -> bool {
         let here = self.zones.get(&zone).is_some_and(|view| view.answered_at.is_after(at));
         let mut anywhere = self.zones.values().map(|view| view.answered_at);
         here || (self.is_joined(zone) && anywhere.any(|answered| answered.is_after(at)))
--- a/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -3,6 +3,7 @@
 use crate::leader::{
     AssignmentPhase, Attempt, AttemptOutcome, Job, Leader, StopReason, machine::DeletionReason,
 };
+use gladekeel_sched::JobIdx;
 use std::collections::BTreeMap;
 
 impl Leader {
@@ -70,7 +71,7 @@
     /// Whether a task on a machine that is on its way out should be stopped: while it
     /// still can save, or since it will not complete before the machine is taken and
     /// is better begun anew at once.
-    fn must_leave(&self, now: f64, attempt: &Attempt, heard: &mut BTreeMap<u32, bool>) -> bool {
+    fn must_leave(&self, now: f64, attempt: &Attempt, heard: &mut BTreeMap<JobIdx, bool>) -> bool {
         let (Some(machine), Some(job)) =
             (self.cluster.machines.get(&attempt.machine), self.jobs.get(&attempt.job))
         else {
@@ -99,9 +100,9 @@
     /// `heard` keeps the answers that were worked out at the same time already.
     pub(in crate::leader) fn all_heard(
         &self,
-        job_ix: u32,
+        job_ix: JobIdx,
         now: f64,
-        heard: &mut BTreeMap<u32, bool>,
+        heard: &mut BTreeMap<JobIdx, bool>,
     ) -> bool {
         let late_s = self.deployment.workers.heartbeat_timeout_s();
         *heard.entry(job_ix).or_insert_with(|| {
--- a/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
@@ -1,5 +1,6 @@
 //! Which machines and zones the leader hears.
 
+use gladekeel_sched::ZoneIdx;
 use gladekeel_wire::settings::WorkerTimings;
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
     heard_at: f64,
     /// How many machines should report, as of the last look.
     reporting: usize,
-    zones: BTreeMap<u32, Zone>,
+    zones: BTreeMap<ZoneIdx, Zone>,
     report_s: f64,
     late_s: f64,
 }
@@ -40,7 +41,7 @@
     }
 
     /// Records that a machine of a zone was heard.
-    pub fn record_heartbeat(&mut self, zone: u32, now: f64) {
+    pub fn record_heartbeat(&mut self, zone: ZoneIdx, now: f64) {
         self.heard_at = now;
         self.zones.entry(zone).or_default().heard_at = now;
     }
@@ -51,14 +52,14 @@
     }
 
     /// Sets how many machines of a zone should report.
-    pub fn set_expected_in(&mut self, zone: u32, all: usize, now: f64) {
+    pub fn set_expected_in(&mut self, zone: ZoneIdx, all: usize, now: f64) {
         let new = Zone { reporting: 0, heard_at: now };
         self.zones.entry(zone).or_insert(new).reporting = all;
     }
 
     /// Whether none of a zone's machines is heard although by their number some should
     /// be: work that is placed there now would wait behind a cut.
-    pub fn is_unreachable(&self, zone: u32, now: f64) -> bool {
+    pub fn is_unreachable(&self, zone: ZoneIdx, now: f64) -> bool {
         self.zones.get(&zone).is_some_and(|zone| {
             let due_s = QUIET_REPORTS * self.report_s / zone.reporting.max(1) as f64;
             now - zone.heard_at > due_s.clamp(QUIET_LEAST_S, self.late_s)
@@ -66,7 +67,7 @@
     }
 
     /// The zones that are quiet.
-    pub fn unreachable_zones(&self, now: f64) -> impl Iterator<Item = u32> {
+    pub fn unreachable_zones(&self, now: f64) -> impl Iterator<Item = ZoneIdx> {
         self.zones.keys().copied().filter(move |zone| self.is_unreachable(*zone, now))
     }
 
--- a/crates/gladekeel-controller/src/leader/job.rs
+++ b/crates/gladekeel-controller/src/leader/job.rs
@@ -2,6 +2,7 @@
 
 use super::{attempt::StopReason, catalog::Catalog};
 use crate::{keys::TaskBitmap, store_view::StoredJob};
+use gladekeel_sched::{DenseIndex, ImageIdx, MachineIdx, MachineTypeIdx, TeamIdx, ZoneIdx};
 use gladekeel_sched::{Resources, straggler};
 use gladekeel_wire::{
     JobId,
@@ -26,15 +27,15 @@
     /// Version of its key.
     pub version: u64,
     /// Its team.
-    pub team: u32,
+    pub team: TeamIdx,
     /// What a task takes.
     pub task_request: Resources,
     /// Its image.
-    pub image: u32,
+    pub image: ImageIdx,
     /// Allowed kinds.
-    pub machine_types: Option<Vec<u32>>,
+    pub machine_types: Option<Vec<MachineTypeIdx>>,
     /// The only allowed zone.
-    pub zone: Option<u32>,
+    pub zone: Option<ZoneIdx>,
     /// Its final state, if the store has one.
     pub final_state: Option<JobState>,
     /// Another controller has committed its cancellation; the store has not told yet.
@@ -68,7 +69,7 @@
     /// Failures since the last finish.
     pub failures: u32,
     /// Machines on which it failed since its last finish.
-    pub failed_on: BTreeSet<u32>,
+    pub failed_on: BTreeSet<MachineIdx>,
     /// Not placed before this time.
     pub backoff_until: f64,
     /// No longer waits for machines that have its image: none could be freed.
@@ -80,7 +81,7 @@
         catalog: &mut Catalog,
         id: JobId,
         stored: &StoredJob,
-        team: u32,
+        team: TeamIdx,
         now: f64,
     ) -> Job {
         let spec = stored.spec.clone();
@@ -141,11 +142,11 @@
     }
 
     /// Counts attempts that came to a zone or left it.
-    pub(super) fn count_zone(&mut self, zone: Option<u32>, change: i32) {
+    pub(super) fn count_zone(&mut self, zone: Option<ZoneIdx>, change: i32) {
         let count = match zone {
             None => &mut self.tasks_in_unknown_zone,
             Some(zone) => {
-                let zone = zone as usize;
+                let zone = zone.position();
                 if self.tasks_by_zone.len() <= zone {
                     self.tasks_by_zone.resize(zone + 1, 0);
                 }
--- a/crates/gladekeel-controller/src/leader/machine.rs
+++ b/crates/gladekeel-controller/src/leader/machine.rs
@@ -2,6 +2,7 @@
 
 use super::AttemptId;
 use gladekeel_sched::Resources;
+use gladekeel_sched::{ImageIdx, MachineTypeIdx, ZoneIdx};
 use gladekeel_wire::{cloud::MachineState, worker::Command};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -66,9 +67,9 @@
     /// Its name.
     pub name: String,
     /// Its type, once known.
-    pub machine_type: Option<u32>,
+    pub machine_type: Option<MachineTypeIdx>,
     /// Its zone, once known.
-    pub zone: Option<u32>,
+    pub zone: Option<ZoneIdx>,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// The worker's address.
@@ -136,9 +137,9 @@
     /// Whether a direct command is under way.
     pub command_in_flight: bool,
     /// Images that it should have, oldest use first, with sizes.
-    pub images: Vec<(u32, f64)>,
+    pub images: Vec<(ImageIdx, f64)>,
     /// Images of them that a task has run with.
-    pub cached_images: BTreeSet<u32>,
+    pub cached_images: BTreeSet<ImageIdx>,
 }
 
 impl Machine {
@@ -226,7 +227,7 @@
     }
 
     /// Notes that an image was used, and drops the oldest ones over the cache's size.
-    pub(super) fn record_image_use(&mut self, image: u32, size: f64, cache_gb: f64) {
+    pub(super) fn record_image_use(&mut self, image: ImageIdx, size: f64, cache_gb: f64) {
         self.images.retain(|(other, _)| *other != image);
         self.images.push((image, size));
         let mut total: f64 = self.images.iter().map(|(_, size)| size).sum();
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -43,6 +43,7 @@
 use commands::queue::CommandQueue;
 use failure_detection::reachability::ZoneReachability;
 use gladekeel_sched::{Interner, Resources, cycle::TeamQuota};
+use gladekeel_sched::{JobIdx, MachineIdx, ZoneIdx};
 use gladekeel_wire::{
     JobId, cloud::MachineTypes, job::MAX_TASKS, settings::Deployment, store::Transaction,
 };
@@ -91,15 +92,15 @@
 pub struct ClusterState {
     /// The indices that all else here is told in. A leader holds them beside its knowledge.
     catalog: Catalog,
-    machine_names: Interner<String>,
-    machines: BTreeMap<u32, Machine>,
+    machine_names: Interner<String, MachineIdx>,
+    machines: BTreeMap<MachineIdx, Machine>,
     /// Machines that may be on their way out; [`Machine::leaving`] says which are.
-    leaving: BTreeSet<u32>,
+    leaving: BTreeSet<MachineIdx>,
     cloud: CloudRequestQueue,
     demand: Demand,
     warm_pool: WarmPool,
     /// Since when each zone has been within reach.
-    zones_reachable_since: BTreeMap<Option<u32>, f64>,
+    zones_reachable_since: BTreeMap<Option<ZoneIdx>, f64>,
     /// Run time over the owner's estimate, learned by class.
     run_time_ratios: HashMap<String, f64>,
     /// Counters.
@@ -148,8 +149,8 @@
     deployment: Rc<Deployment>,
     catalog: Catalog,
     cluster: ClusterState,
-    jobs: BTreeMap<u32, Job>,
-    job_names: Interner<JobId>,
+    jobs: BTreeMap<JobIdx, Job>,
+    job_names: Interner<JobId, JobIdx>,
     attempts: AttemptTable,
     teams: Vec<TeamQuota>,
     log_writer: AssignmentLogWriter,
@@ -161,16 +162,16 @@
     /// When the request was sent whose answer is the last one of the state service.
     store_contact_at: f64,
     /// Where the search for slow machines goes on.
-    straggler_cursor: u32,
+    straggler_cursor: MachineIdx,
     salt: u64,
     needs_new_token: bool,
     /// See [`Leader::stop_placing`].
     scheduling_suspended: bool,
     commands: CommandQueue,
     /// Jobs whose counts have changed since they were last published.
-    changed_progress: BTreeSet<u32>,
+    changed_progress: BTreeSet<JobIdx>,
     /// Cancelled jobs of which something may still be on a machine.
-    cancelled_on_machines: BTreeSet<u32>,
+    cancelled_on_machines: BTreeSet<JobIdx>,
 }
 
 impl Leader {
@@ -221,7 +222,7 @@
             cost_logged_at: now,
             reachability: ZoneReachability::new(now, &deployment.workers),
             store_contact_at: now,
-            straggler_cursor: 0,
+            straggler_cursor: MachineIdx::default(),
             salt,
             needs_new_token: false,
             scheduling_suspended: false,
@@ -266,7 +267,7 @@
     }
 
     /// A machine's zone is known from now; it may not have been after a takeover.
-    fn set_zone(&mut self, ix: u32, zone: u32) {
+    fn set_zone(&mut self, ix: MachineIdx, zone: ZoneIdx) {
         let Some(machine) = self.cluster.machines.get_mut(&ix) else { return };
         if machine.zone == Some(zone) {
             return;
--- a/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
@@ -4,6 +4,7 @@
     AssignmentPhase, AttemptId, AttemptOutcome, Job, Leader, Machine, StopReason,
     machine::ExpectedEffects,
 };
+use gladekeel_sched::{JobIdx, MachineIdx};
 use gladekeel_wire::TaskId;
 use gladekeel_wire::worker::{Command, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +23,7 @@
         &mut self,
         now: f64,
         report: &Heartbeat,
-    ) -> Option<u32> {
+    ) -> Option<MachineIdx> {
         if self.cluster.cloud.is_gone(&report.machine) {
             return None;
         }
@@ -146,7 +147,7 @@
     /// too, are not.
     fn check_acknowledged(
         &mut self,
-        ix: u32,
+        ix: MachineIdx,
         settled: bool,
         reported: &BTreeMap<AttemptId, &TaskStatus>,
     ) {
@@ -216,12 +217,12 @@
     }
 
     /// Whether a job is over. Of a gang that is, some tasks may not have reported their end.
-    fn is_over(&self, job: u32) -> bool {
+    fn is_over(&self, job: JobIdx) -> bool {
         self.jobs.get(&job).is_none_or(Job::is_finished)
     }
 
     /// Whether a machine is there and is not to go.
-    fn machine_stays(&self, machine: u32) -> bool {
+    fn machine_stays(&self, machine: MachineIdx) -> bool {
         self.cluster.machines.get(&machine).is_some_and(|machine| !machine.is_leaving())
     }
 
@@ -296,7 +297,7 @@
     /// whose release is committed.
     fn reconcile_unassigned_task(
         &mut self,
-        machine: u32,
+        machine: MachineIdx,
         attempt: AttemptId,
         task: &TaskStatus,
         settled: bool,
--- a/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -2,6 +2,7 @@
 
 use crate::leader::{Job, Leader, StopReason};
 use crate::store_view::StoreView;
+use gladekeel_sched::JobIdx;
 use gladekeel_wire::JobId;
 
 impl Leader {
@@ -77,7 +78,7 @@
         }
     }
 
-    fn stop_job(&mut self, ix: u32) {
+    fn stop_job(&mut self, ix: JobIdx) {
         if !self.jobs.contains_key(&ix) {
             return;
         }
--- a/crates/gladekeel-controller/src/leader/reconciliation/release.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/release.rs
@@ -1,6 +1,7 @@
 //! The end of an attempt: proven to be off its machine, then committed, then forgotten.
 
 use crate::leader::{AssignmentPhase, AttemptId, AttemptOutcome, Leader, StopReason};
+use gladekeel_sched::DenseIndex;
 
 impl Leader {
     /// Marks an attempt as off its machine. It keeps its room until that is committed.
@@ -50,7 +51,7 @@
             }
         }
         if let Some(job) = self.jobs.get_mut(&attempt.job) {
-            self.teams[job.team as usize].used -= attempt.resources;
+            self.teams[job.team.position()].used -= attempt.resources;
             job.count_zone(attempt.zone, -1);
             if outcome != AttemptOutcome::Done {
                 job.requeue(attempt.task_index, outcome == AttemptOutcome::Restarted, now);
--- a/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
@@ -1,6 +1,7 @@
 //! What the end of a task means for its job, its machine and its gang.
 
 use crate::leader::{AttemptId, AttemptOutcome, Leader, StopReason, machine::DeletionReason};
+use gladekeel_sched::{JobIdx, MachineIdx};
 use gladekeel_wire::job::JobKind;
 use gladekeel_wire::worker::{ExitCause, TaskStatus};
 
@@ -28,8 +29,8 @@
 /// The attempt whose task has ended.
 #[derive(Debug, Clone, Copy)]
 struct Ended {
-    job: u32,
-    machine: u32,
+    job: JobIdx,
+    machine: MachineIdx,
     stop: Option<StopReason>,
     /// How long it ran. Of a task that an earlier leader placed only the end was seen; its
     /// run would look short, and others of its job slow.
@@ -139,7 +140,7 @@
     }
 
     /// Lets a job wait that fails wherever it goes, and clears the machines that it failed on.
-    fn pause_faulty_job(&mut self, now: f64, job: u32) {
+    fn pause_faulty_job(&mut self, now: f64, job: JobIdx) {
         let Some(job) = self.jobs.get_mut(&job) else { return };
         let pause_s = f64::from(1 << job.failures.min(MAX_PAUSE_DOUBLINGS));
         job.backoff_until = now + pause_s.min(MAX_JOB_PAUSE_S);
@@ -152,7 +153,7 @@
     }
 
     /// Counts a failure against a machine, which goes back when it fails too often.
-    fn count_machine_failure(&mut self, now: f64, ix: u32) {
+    fn count_machine_failure(&mut self, now: f64, ix: MachineIdx) {
         let Some(machine) = self.cluster.machines.get_mut(&ix) else { return };
         machine.consecutive_failures += 1;
         machine.quarantined_until = now + AFTER_FAILURE_S;
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle.rs
@@ -3,6 +3,7 @@
 use crate::leader::{AssignmentPhase, Attempt, AttemptId, Job, Leader};
 use crate::runtime_settings::RuntimeSettings;
 use gladekeel_sched::cycle;
+use gladekeel_sched::{DenseIndex, JobIdx, MachineIdx, ZoneIdx};
 use gladekeel_wire::job::JobKind;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,8 +16,8 @@
 /// A round with the leader's indices beside its own.
 pub(in crate::leader) struct CycleInput {
     pub cycle: cycle::SchedulingCycle,
-    pub jobs: Vec<u32>,
-    pub machines: Vec<u32>,
+    pub jobs: Vec<JobIdx>,
+    pub machines: Vec<MachineIdx>,
 }
 
 impl Leader {
@@ -30,7 +31,7 @@
             job.is_gang() && !job.is_finished() && waited > PATIENCE_S
         });
         let mut input = self.round_input(now, overdue_gang);
-        let mut gangs: BTreeMap<u32, u64> = BTreeMap::new();
+        let mut gangs: BTreeMap<JobIdx, u64> = BTreeMap::new();
         let pending: u32 = input.cycle.jobs.iter().map(|job| job.pending).sum();
         let placements = input.cycle.run(&options.fair_share);
         self.cluster.counters.machines_examined += input.cycle.machines_examined;
@@ -86,7 +87,7 @@
 
     fn add_machines(&self, input: &mut CycleInput, now: f64, full: bool) {
         let late_s = self.deployment.workers.heartbeat_timeout_s();
-        let quiet: BTreeSet<u32> = self.reachability.unreachable_zones(now).collect();
+        let quiet: BTreeSet<ZoneIdx> = self.reachability.unreachable_zones(now).collect();
         // What is kept for gangs is given up before anybody has waited too long for it.
         let keeps_standby = !self.is_any_array_starved(now);
         for (ix, machine) in &self.cluster.machines {
@@ -136,7 +137,7 @@
         })
     }
 
-    fn round_job(&self, ix: u32, job: &Job, now: f64) -> cycle::SchedulableJob {
+    fn round_job(&self, ix: JobIdx, job: &Job, now: f64) -> cycle::SchedulableJob {
         // After a takeover the zone of a machine may not be known yet; jobs whose
         // tasks must be in certain zones relative to one another wait for it.
         let zones_matter = job.spec.single_zone || job.spec.spread;
@@ -172,7 +173,7 @@
 
     /// Decides that a job's next task goes to a machine; `gang` is the number that
     /// the tasks of a gang share.
-    fn bind(&mut self, job_ix: u32, machine_ix: u32, gang: Option<u64>, now: f64) {
+    fn bind(&mut self, job_ix: JobIdx, machine_ix: MachineIdx, gang: Option<u64>, now: f64) {
         let (Some(job), Some(machine)) =
             (self.jobs.get_mut(&job_ix), self.cluster.machines.get_mut(&machine_ix))
         else {
@@ -199,7 +200,7 @@
         machine.record_image_use(job.image, job.spec.image_gb, cache);
         machine.attempts.insert(id);
         machine.requested += job.task_request;
-        self.teams[job.team as usize].used += job.task_request;
+        self.teams[job.team.position()].used += job.task_request;
         self.attempts.insert(
             id,
             Attempt {
--- a/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
@@ -1,6 +1,7 @@
 //! Gangs: their tasks share an attempt number, and are stopped together.
 
 use crate::leader::{AttemptId, Job, Leader, StopReason};
+use gladekeel_sched::JobIdx;
 use gladekeel_wire::worker::TaskStatus;
 
 /// How long a place is looked for to replace a task of a gang that waits.
@@ -10,7 +11,7 @@
     /// Whether a gang has not started and is not being stopped: a task of it that is gone
     /// can be replaced under the same number while the others wait. Of what an earlier
     /// leader placed it is not known whether it has run.
-    pub(in crate::leader) fn still_waits(&self, job_ix: u32) -> bool {
+    pub(in crate::leader) fn still_waits(&self, job_ix: JobIdx) -> bool {
         self.jobs.contains_key(&job_ix) && self.attempts.of_job(job_ix).none_started()
     }
 
@@ -31,7 +32,7 @@
 
     /// Stops all tasks of a gang that are not being stopped yet: one decision for all,
     /// sent to all at once.
-    pub(in crate::leader) fn stop_gang(&mut self, job_ix: u32, why: StopReason) {
+    pub(in crate::leader) fn stop_gang(&mut self, job_ix: JobIdx, why: StopReason) {
         if !self.jobs.contains_key(&job_ix) {
             return;
         }
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -4,6 +4,7 @@
     AssignmentPhase, Attempt, AttemptId, Job, Leader, StopReason, scheduling::cycle::CycleInput,
 };
 use crate::runtime_settings::RuntimeSettings;
+use gladekeel_sched::{DenseIndex, JobIdx, MachineIdx};
 use gladekeel_sched::{
     preemption::{PreemptionCandidate, PreemptionCandidates},
     straggler,
@@ -26,11 +27,11 @@
     pub(in crate::leader) fn restart_stragglers(&mut self, now: f64, options: &RuntimeSettings) {
         let some = self.cluster.machines.len() / SLOW_ROUNDS + 1;
         let mut range = self.cluster.machines.range(self.straggler_cursor..);
-        let machines: Vec<u32> = range.by_ref().take(some).map(|(ix, _)| *ix).collect();
-        self.straggler_cursor = range.next().map_or(0, |(ix, _)| *ix);
+        let machines: Vec<MachineIdx> = range.by_ref().take(some).map(|(ix, _)| *ix).collect();
+        self.straggler_cursor = range.next().map(|(ix, _)| *ix).unwrap_or_default();
         let mut ids = Vec::new();
         let mut runs = Vec::new();
-        let mut medians: HashMap<u32, Option<f64>> = HashMap::new();
+        let mut medians: HashMap<JobIdx, Option<f64>> = HashMap::new();
         for id in machines.iter().flat_map(|ix| &self.cluster.machines[ix].attempts) {
             let Some(attempt) = self.attempts.get(*id) else { continue };
             let (Some(since), AssignmentPhase::Committed) = (attempt.running_since, attempt.phase)
@@ -88,13 +89,13 @@
     }
 
     /// How long a job has waited for room, if it may be placed now.
-    fn waited_for_room(&self, ix: u32, now: f64) -> Option<f64> {
+    fn waited_for_room(&self, ix: JobIdx, now: f64) -> Option<f64> {
         let job = self.jobs.get(&ix)?;
         (now >= job.backoff_until && !job.pending.is_empty()).then_some(now - job.waiting_since?)
     }
 
     /// Whether a job has waited for long enough that others may be stopped for it.
-    fn may_preempt(&self, ix: u32, now: f64, options: &RuntimeSettings) -> bool {
+    fn may_preempt(&self, ix: JobIdx, now: f64, options: &RuntimeSettings) -> bool {
         let least_s = options.preempt_after_s.min(options.preempt_checkpointed_after_s);
         let hurried = self
             .jobs
@@ -108,7 +109,7 @@
         let mut open = self.jobs.iter().filter(|(_, job)| !job.is_finished());
         let lowest = open.clone().map(|(_, job)| job.spec.priority as u8).min();
         open.any(|(ix, job)| {
-            let team = &self.teams[job.team as usize];
+            let team = &self.teams[job.team.position()];
             self.may_preempt(*ix, now, options)
                 && (Some(job.spec.priority as u8) > lowest
                     || team.within_guarantee(job.task_request))
@@ -122,7 +123,7 @@
         now: f64,
         input: &mut CycleInput,
     ) -> (Vec<PreemptionCandidate>, Vec<PreemptionCandidate>) {
-        let index: HashMap<u32, usize> =
+        let index: HashMap<MachineIdx, usize> =
             input.machines.iter().enumerate().map(|(at, ix)| (*ix, at)).collect();
         let (mut tasks, mut gangs) = (Vec::new(), BTreeMap::new());
         let mut heard = BTreeMap::new();
@@ -133,7 +134,7 @@
                 || matches!(attempt.phase, AssignmentPhase::Releasing(_))
             {
                 input.cycle.machines[machine].free += attempt.resources;
-                input.cycle.teams[job.team as usize].used -= attempt.resources;
+                input.cycle.teams[job.team.position()].used -= attempt.resources;
                 continue;
             }
             // What was stopped before would never get anywhere.
--- a/crates/gladekeel-controller/src/leader/status.rs
+++ b/crates/gladekeel-controller/src/leader/status.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use crate::store_view::JobProgress as Display;
-use gladekeel_sched::Interner;
+use gladekeel_sched::{DenseIndex, Interner};
 use gladekeel_wire::{JobId, admin::MachineStatus};
 
 impl Leader {
@@ -20,7 +20,6 @@
 
     /// Machines with their states.
     pub fn machine_status(&self, now: f64) -> Vec<MachineStatus> {
-        let name = |names: &Interner<String>, ix: Option<u32>| ix.map(|ix| names.name(ix).clone());
         self.cluster
             .machines
             .values()
@@ -28,8 +27,8 @@
             .map(|machine| MachineStatus {
                 machine: machine.name.clone(),
                 state: machine.state().into(),
-                machine_type: name(&self.catalog.machine_type_names, machine.machine_type),
-                zone: name(&self.catalog.zones, machine.zone),
+                machine_type: name_of(&self.catalog.machine_type_names, machine.machine_type),
+                zone: name_of(&self.catalog.zones, machine.zone),
                 spot: machine.spot,
                 tasks: machine.attempts.len(),
                 quiet_s: machine.last_seen.map(|at| now - at),
@@ -54,3 +53,7 @@
         open.fold((0, 0), |(jobs, tasks), job| (jobs + 1, tasks + job.pending.len() as u64))
     }
 }
+
+fn name_of<I: DenseIndex>(names: &Interner<String, I>, index: Option<I>) -> Option<String> {
+    index.map(|index| names.name(index).clone())
+}
--- a/crates/gladekeel-sched/src/cycle.rs
+++ b/crates/gladekeel-sched/src/cycle.rs
@@ -3,6 +3,7 @@
 mod binder;
 mod gang;
 
+use crate::{DenseIndex, ImageIdx, MachineTypeIdx, TeamIdx, ZoneIdx};
 use crate::{
     Resources,
     fair_share::{Demand, FairShare},
@@ -18,15 +19,15 @@
     /// What is free.
     pub free: Resources,
     /// Its type.
-    pub machine_type: u32,
+    pub machine_type: MachineTypeIdx,
     /// Its zone.
-    pub zone: u32,
+    pub zone: ZoneIdx,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Images that it has or fetches.
-    pub cached_or_fetching: Vec<u32>,
+    pub cached_or_fetching: Vec<ImageIdx>,
     /// Images that it has for certain.
-    pub cached_images: Vec<u32>,
+    pub cached_images: Vec<ImageIdx>,
     /// Whether it fetches an image now: another one would share its rate.
     pub fetching: bool,
     /// Whether it takes new work now.
@@ -72,7 +73,7 @@
 #[derive(Debug, Clone)]
 pub struct SchedulableJob {
     /// Its team.
-    pub team: u32,
+    pub team: TeamIdx,
     /// Greater goes first.
     pub priority: u8,
     /// What a task takes.
@@ -84,11 +85,11 @@
     /// How many of the pending ones are restarts.
     pub speculative_restarts: u32,
     /// The image.
-    pub image: u32,
+    pub image: ImageIdx,
     /// Allowed machine types; none for any.
-    pub machine_types: Option<Vec<u32>>,
+    pub machine_types: Option<Vec<MachineTypeIdx>>,
     /// The only allowed zone.
-    pub zone: Option<u32>,
+    pub zone: Option<ZoneIdx>,
     /// All tasks in one zone.
     pub single_zone: bool,
     /// At most this many tasks in a zone.
@@ -209,7 +210,7 @@
     pub(crate) fn reserve_free(&mut self, index: usize) {
         for at in 0..self.machines.len() {
             let (job, machine) = (&self.jobs[index], &self.machines[at]);
-            let team = &self.teams[job.team as usize];
+            let team = &self.teams[job.team.position()];
             if !machine.schedulable || !self.is_feasible(job, machine) {
                 continue;
             }
@@ -217,7 +218,7 @@
             while tasks > 0 && !team.within_limit(job.task_request * i64::from(tasks)) {
                 tasks -= 1;
             }
-            let (task, team) = (job.task_request * i64::from(tasks), job.team as usize);
+            let (task, team) = (job.task_request * i64::from(tasks), job.team.position());
             self.machines[at].free -= task;
             self.teams[team].used += task;
             self.jobs[index].pending -= tasks;
@@ -233,16 +234,17 @@
 
 impl SchedulableJob {
     /// Whether its rules allow a further task on such machines.
-    pub fn may_use(&self, kind: u32, zone: u32, spot: bool) -> bool {
+    pub fn may_use(&self, kind: MachineTypeIdx, zone: ZoneIdx, spot: bool) -> bool {
         (self.spot || !spot)
             && self.machine_types.as_ref().is_none_or(|kinds| kinds.contains(&kind))
             && self.zone.is_none_or(|only| only == zone)
-            && self.tasks_by_zone.get(zone as usize).copied().unwrap_or(0) < self.max_tasks_per_zone
+            && self.tasks_by_zone.get(zone.position()).copied().unwrap_or(0)
+                < self.max_tasks_per_zone
             && (!self.single_zone
                 || self
                     .tasks_by_zone
                     .iter()
                     .enumerate()
-                    .all(|(at, n)| *n == 0 || at == zone as usize))
+                    .all(|(at, n)| *n == 0 || at == zone.position()))
     }
 }
--- a/crates/gladekeel-sched/src/cycle/binder.rs
+++ b/crates/gladekeel-sched/src/cycle/binder.rs
@@ -1,6 +1,7 @@
 //! A round under way: jobs take room in turn.
 
 use super::{Binding, SchedulableMachine, SchedulingCycle};
+use crate::DenseIndex;
 use crate::{fair_share::FairShare, machine_index::MachineIndex};
 
 /// Why a task may be placed.
@@ -55,7 +56,7 @@
     /// comes in pieces too small for it gathers there.
     fn gather_for(&mut self, index: usize) {
         let job = &self.cycle.jobs[index];
-        let team = &self.cycle.teams[job.team as usize];
+        let team = &self.cycle.teams[job.team.position()];
         let fits = |m: &SchedulableMachine| {
             m.schedulable
                 && job.task_request.fits_in(m.capacity)
@@ -122,7 +123,7 @@
         let mut skipped = Vec::new();
         while left > 0 && self.bindings.len() < self.cycle.max_bindings {
             let job = &self.cycle.jobs[index];
-            let team = &self.cycle.teams[job.team as usize];
+            let team = &self.cycle.teams[job.team.position()];
             if !team.within_limit(job.task_request)
                 || (claimed == Entitlement::Guarantee && !team.within_guarantee(job.task_request))
             {
@@ -151,8 +152,8 @@
             self.index.begins_fetch(at, before, job.image);
         }
         self.index.free_changed(at, machine, before);
-        self.cycle.teams[job.team as usize].used += job.task_request;
-        let zone = machine.zone as usize;
+        self.cycle.teams[job.team.position()].used += job.task_request;
+        let zone = machine.zone.position();
         if job.tasks_by_zone.len() <= zone {
             job.tasks_by_zone.resize(zone + 1, 0);
         }
--- a/crates/gladekeel-sched/src/cycle/gang.rs
+++ b/crates/gladekeel-sched/src/cycle/gang.rs
@@ -2,6 +2,7 @@
 
 use super::binder::{Binder, Entitlement};
 use crate::cycle::{Binding, SchedulableMachine};
+use crate::{DenseIndex, ImageIdx, ZoneIdx};
 use std::{cmp::Reverse, collections::BTreeSet};
 
 /// How soon a machine has an image, the soonest first.
@@ -31,11 +32,11 @@
     free_cpus: i64,
     /// Its index in the round.
     machine: usize,
-    zone: u32,
+    zone: ZoneIdx,
 }
 
 impl Candidate {
-    fn new(at: usize, machine: &SchedulableMachine, image: u32, tasks: u32) -> Candidate {
+    fn new(at: usize, machine: &SchedulableMachine, image: ImageIdx, tasks: u32) -> Candidate {
         let image = if machine.cached_images.contains(&image) {
             ImageState::Ready
         } else if machine.cached_or_fetching.contains(&image) {
@@ -71,7 +72,7 @@
         // A round that is full takes no more, but one gang may be more than a round.
         let late = !self.bindings.is_empty()
             && self.bindings.len() + job.pending as usize > self.cycle.max_bindings;
-        let team = &self.cycle.teams[job.team as usize];
+        let team = &self.cycle.teams[job.team.position()];
         let all = job.task_request * i64::from(job.pending);
         if job.pending == 0
             || (job.pending < job.remaining && !job.replaces_gang_members)
@@ -98,7 +99,7 @@
         if !self.cycle.jobs[index].single_zone {
             return self.choose(index, &candidates, None).map(|choice| choice.machines);
         }
-        let zones: BTreeSet<u32> = candidates.iter().map(|candidate| candidate.zone).collect();
+        let zones: BTreeSet<ZoneIdx> = candidates.iter().map(|candidate| candidate.zone).collect();
         let whole =
             zones.into_iter().filter_map(|zone| self.choose(index, &candidates, Some(zone)));
         whole.min_by_key(|choice| (choice.slowest, choice.machines.len())).map(|best| best.machines)
@@ -127,7 +128,12 @@
 
     /// Spreads a gang over the best of these machines, within one zone if there is `only`
     /// one; none if they do not hold all of it.
-    fn choose(&self, index: usize, candidates: &[Candidate], only: Option<u32>) -> Option<Choice> {
+    fn choose(
+        &self,
+        index: usize,
+        candidates: &[Candidate],
+        only: Option<ZoneIdx>,
+    ) -> Option<Choice> {
         let job = &self.cycle.jobs[index];
         let mut left = job.pending;
         let mut choice = Choice { slowest: ImageState::Ready, machines: Vec::new() };
@@ -136,7 +142,7 @@
             if left == 0 || only.is_some_and(|only| only != candidate.zone) {
                 continue;
             }
-            let zone = candidate.zone as usize;
+            let zone = candidate.zone.position();
             if by_zone.len() <= zone {
                 by_zone.resize(zone + 1, 0);
             }
--- a/crates/gladekeel-sched/src/intern.rs
+++ b/crates/gladekeel-sched/src/intern.rs
@@ -1,35 +1,36 @@
 //! Names as dense indices.
 
+use crate::DenseIndex;
 use std::{collections::HashMap, hash::Hash};
 
 /// Maps names to dense indices, so that the rest of the code compares and
 /// indexes by small numbers.
 #[derive(Debug, Clone)]
-pub struct Interner<T> {
+pub struct Interner<T, I = u32> {
     names: Vec<T>,
-    indices: HashMap<T, u32>,
+    indices: HashMap<T, I>,
 }
 
-impl<T> Default for Interner<T> {
+impl<T, I> Default for Interner<T, I> {
     fn default() -> Self {
         Interner { names: Vec::new(), indices: HashMap::new() }
     }
 }
 
-impl<T: Clone + Eq + Hash> Interner<T> {
+impl<T: Clone + Eq + Hash, I: DenseIndex> Interner<T, I> {
     /// The index of a name, new if it has none yet.
-    pub fn intern(&mut self, name: &T) -> u32 {
+    pub fn intern(&mut self, name: &T) -> I {
         if let Some(index) = self.indices.get(name) {
             return *index;
         }
-        let index = self.names.len() as u32;
+        let index = I::from_position(self.names.len());
         self.names.push(name.clone());
         self.indices.insert(name.clone(), index);
         index
     }
 
     /// The index of a name that is known.
-    pub fn get<Q>(&self, name: &Q) -> Option<u32>
+    pub fn get<Q>(&self, name: &Q) -> Option<I>
     where
         T: std::borrow::Borrow<Q>,
         Q: Eq + Hash + ?Sized,
@@ -38,8 +39,8 @@
     }
 
     /// The name of an index.
-    pub fn name(&self, index: u32) -> &T {
-        &self.names[index as usize]
+    pub fn name(&self, index: I) -> &T {
+        &self.names[index.position()]
     }
 
     /// All names, in the order of their indices.
--- a/crates/gladekeel-sched/src/lib.rs
+++ b/crates/gladekeel-sched/src/lib.rs
@@ -15,9 +15,11 @@
 pub mod preemption;
 pub mod straggler;
 
+mod indices;
 mod intern;
 mod machine_index;
 mod resources;
 
+pub use indices::{DenseIndex, ImageIdx, JobIdx, MachineIdx, MachineTypeIdx, TeamIdx, ZoneIdx};
 pub use intern::Interner;
 pub use resources::Resources;
--- a/crates/gladekeel-sched/src/machine_index.rs
+++ b/crates/gladekeel-sched/src/machine_index.rs
@@ -1,5 +1,6 @@
 //! Finding the machine for a task without looking at all of them.
 
+use crate::{ImageIdx, MachineTypeIdx, ZoneIdx};
 use crate::{
     Resources,
     cycle::{SchedulableJob, SchedulableMachine},
@@ -9,8 +10,8 @@
 /// Machines of one type and zone, spot or not: a job's rules allow all of them or none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Group {
-    kind: u32,
-    zone: u32,
+    kind: MachineTypeIdx,
+    zone: ZoneIdx,
     spot: bool,
 }
 
@@ -24,7 +25,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Skipped {
     state: ImageState,
-    image: u32,
+    image: ImageIdx,
     group: usize,
     key: (i64, u32),
 }
@@ -52,8 +53,8 @@
     busy: Rows,
     /// Machines that were looked at.
     pub machines_examined: u64,
-    ready: HashMap<u32, Rows>,
-    begun: HashMap<u32, Rows>,
+    ready: HashMap<ImageIdx, Rows>,
+    begun: HashMap<ImageIdx, Rows>,
 }
 
 impl MachineIndex {
@@ -112,7 +113,7 @@
         index
     }
 
-    fn rows(&mut self, state: ImageState, image: u32) -> Option<&mut Rows> {
+    fn rows(&mut self, state: ImageState, image: ImageIdx) -> Option<&mut Rows> {
         match state {
             ImageState::Ready => self.ready.get_mut(&image),
             ImageState::Fetching => self.begun.get_mut(&image),
@@ -199,7 +200,7 @@
     }
 
     /// A machine begins to fetch an image.
-    pub fn begins_fetch(&mut self, at: usize, free: Resources, image: u32) {
+    pub fn begins_fetch(&mut self, at: usize, free: Resources, image: ImageIdx) {
         let Some(group) = self.group_of.get(at).copied().flatten() else { return };
         let key = (free.cpus, at as u32);
         if let Some(rows) = self.begun.get_mut(&image) {
--- a/crates/gladekeel-sched/src/preemption.rs
+++ b/crates/gladekeel-sched/src/preemption.rs
@@ -1,5 +1,6 @@
 //! What is stopped to make room for those with a better claim.
 
+use crate::{DenseIndex, TeamIdx, ZoneIdx};
 use crate::{
     Resources,
     cycle::{SchedulableJob, SchedulingCycle, TeamQuota},
@@ -17,7 +18,7 @@
     /// The machine, as an index into the round's machines.
     pub machine: usize,
     /// Its team.
-    pub team: u32,
+    pub team: TeamIdx,
     /// Its priority.
     pub priority: u8,
     /// What it takes.
@@ -90,11 +91,11 @@
             let group = &mut self.0[machine];
             for victim in group.iter().filter(|victim| ids.contains(&victim.id)) {
                 round.machines[machine].free += victim.resources;
-                round.teams[victim.team as usize].used -= victim.resources;
+                round.teams[victim.team.position()].used -= victim.resources;
             }
             group.retain(|victim| !ids.contains(&victim.id));
             round.machines[machine].free -= job.task_request;
-            round.teams[job.team as usize].used += job.task_request;
+            round.teams[job.team.position()].used += job.task_request;
             round.jobs[index].pending -= 1;
             stopped.extend(ids);
             if let Some((loss, _)) = self.cost_on(round, &job, machine, saving) {
@@ -113,9 +114,9 @@
         most: usize,
         saving: bool,
     ) -> Vec<u64> {
-        let zones: BTreeSet<u32> = round.machines.iter().map(|machine| machine.zone).collect();
-        let only = |zone: u32| Some(zone);
-        let tries: Vec<Option<u32>> = match round.jobs[index].single_zone {
+        let zones: BTreeSet<ZoneIdx> = round.machines.iter().map(|machine| machine.zone).collect();
+        let only = |zone: ZoneIdx| Some(zone);
+        let tries: Vec<Option<ZoneIdx>> = match round.jobs[index].single_zone {
             true => zones.into_iter().map(only).collect(),
             false => vec![round.jobs[index].zone],
         };
@@ -149,7 +150,7 @@
         saving: bool,
     ) -> Option<PreemptionCost> {
         let machine = &round.machines[at];
-        let team: &TeamQuota = &round.teams[job.team as usize];
+        let team: &TeamQuota = &round.teams[job.team.position()];
         if !machine.schedulable
             || (machine.warm_pool && !job.gang)
             || self.0[at].is_empty()
@@ -168,7 +169,7 @@
             }
             let borrowed = claims_guarantee
                 && victim.team != job.team
-                && round.teams[victim.team as usize].exceeds_guarantee();
+                && round.teams[victim.team.position()].exceeds_guarantee();
             if (victim.checkpoints || !saving) && (victim.priority < job.priority || borrowed) {
                 free += victim.resources;
                 loss += victim.lost_work;
--- a/crates/gladekeel-sched/src/straggler.rs
+++ b/crates/gladekeel-sched/src/straggler.rs
@@ -1,10 +1,11 @@
 //! Which running tasks are find_stragglers enough to be started anew.
 
+use crate::MachineIdx;
 /// A running task as the rule sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct RunningTask {
     /// Where it runs.
-    pub machine: u32,
+    pub machine: MachineIdx,
     /// How long it has run, in seconds.
     pub ran_s: f64,
     /// Median of its job's finished runs, if there are enough to tell.
--- a/crates/gladekeel-sched/tests/common/mod.rs
+++ b/crates/gladekeel-sched/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use gladekeel_sched::{
-    Resources,
+    ImageIdx, MachineTypeIdx, Resources, TeamIdx, ZoneIdx,
     cycle::{SchedulableJob, SchedulableMachine, SchedulingCycle, TeamQuota},
 };
 
@@ -17,8 +17,8 @@
     SchedulableMachine {
         capacity: room(32.0),
         free: room(32.0),
-        machine_type: 0,
-        zone,
+        machine_type: MachineTypeIdx::new(0),
+        zone: ZoneIdx::new(zone),
         spot,
         cached_or_fetching: Vec::new(),
         cached_images: Vec::new(),
@@ -31,13 +31,13 @@
 /// A job whose tasks all wait.
 pub fn job(team: u32, cpus: f64, tasks: u32) -> SchedulableJob {
     SchedulableJob {
-        team,
+        team: TeamIdx::new(team),
         priority: 1,
         task_request: room(cpus),
         remaining: tasks,
         pending: tasks,
         speculative_restarts: 0,
-        image: 0,
+        image: ImageIdx::new(0),
         machine_types: None,
         zone: None,
         single_zone: false,
--- a/crates/gladekeel-sched/tests/gangs.rs
+++ b/crates/gladekeel-sched/tests/gangs.rs
@@ -4,6 +4,7 @@
 
 use common::{job, machine, room, round, team};
 use gladekeel_sched::{
+    ImageIdx, TeamIdx,
     autoscaling::{Autoscaler, AutoscalerConfig, JobDemand, ScalingPlan, Supply},
     cycle::{Binding, SchedulableJob},
     fair_share::FairShare,
@@ -24,7 +25,7 @@
 #[test]
 fn gangs_of_one_zone_take_the_zone_that_holds_them_whole() {
     let mut machines = vec![machine(0, false), machine(1, false), machine(1, false)];
-    machines[0].cached_images = vec![0];
+    machines[0].cached_images = vec![ImageIdx::new(0)];
     let mut gang = job(0, 16.0, 4);
     (gang.gang, gang.single_zone) = (true, true);
     let place = |gang: &SchedulableJob| {
@@ -86,11 +87,11 @@
 fn room_is_made_for_a_whole_gang_or_not_at_all() {
     let mut machines = vec![machine(0, false), machine(1, false), machine(1, false)];
     machines.iter_mut().for_each(|m| m.free = room(16.0));
-    machines[0].cached_images = vec![0];
+    machines[0].cached_images = vec![ImageIdx::new(0)];
     let victim = |id, machine, loss| PreemptionCandidate {
         id,
         machine,
-        team: 0,
+        team: TeamIdx::new(0),
         priority: 1,
         resources: room(16.0),
         lost_work: loss,
--- a/crates/gladekeel-sched/tests/place.rs
+++ b/crates/gladekeel-sched/tests/place.rs
@@ -4,7 +4,7 @@
 
 use common::{job, machine, room, round, team};
 use gladekeel_sched::{
-    Resources,
+    DenseIndex, ImageIdx, MachineTypeIdx, Resources, ZoneIdx,
     cycle::{Binding, SchedulableJob, SchedulableMachine, SchedulingCycle},
     fair_share::FairShare,
 };
@@ -72,7 +72,7 @@
 fn a_hurried_job_waits_for_a_machine_with_its_image() {
     let mut machines = vec![machine(0, false); 2];
     machines[1].free = room(8.0);
-    machines[1].cached_images = vec![0];
+    machines[1].cached_images = vec![ImageIdx::new(0)];
     let mut hurried = job(0, 8.0, 3);
     let teams = vec![team(0.0, 1000.0)];
     let place = |job: &SchedulableJob| {
@@ -146,8 +146,8 @@
         machine.cached_or_fetching.push(job.image);
         machine.fetching = true;
     }
-    round.teams[job.team as usize].used += job.task_request;
-    let zone = machine.zone as usize;
+    round.teams[job.team.position()].used += job.task_request;
+    let zone = machine.zone.position();
     if job.tasks_by_zone.len() <= zone {
         job.tasks_by_zone.resize(zone + 1, 0);
     }
@@ -165,13 +165,14 @@
     let one = (0i64..9, 0i64..9, 0u32..2, 0u32..2, images(), flags);
     let one = one.prop_map(|(cpus, memory, kind, zone, images, flags)| {
         let (spot, fetching, open) = flags;
-        let images: Vec<u32> = images.into_iter().collect();
-        let ready = images.iter().copied().filter(|image| image % 2 == 0).collect();
+        let ready =
+            images.iter().copied().filter(|image| image % 2 == 0).map(ImageIdx::new).collect();
+        let images = images.into_iter().map(ImageIdx::new).collect();
         let free = Resources { cpus: cpus * 4000, gpus: 0, memory: memory * 4000 };
         let machine = machine(zone, spot);
         SchedulableMachine {
             free,
-            machine_type: kind,
+            machine_type: MachineTypeIdx::new(kind),
             cached_or_fetching: images,
             cached_images: ready,
             fetching,
@@ -190,9 +191,9 @@
         let task = Resources { cpus: cpus * 4000, gpus: 0, memory: memory * 4000 };
         SchedulableJob {
             task_request: task,
-            image,
+            image: ImageIdx::new(image),
             spot,
-            zone,
+            zone: zone.map(ZoneIdx::new),
             single_zone: one_zone,
             requires_cached_image: hurried,
             max_tasks_per_zone: zone_cap,
--- a/crates/gladekeel-sched/tests/preempt.rs
+++ b/crates/gladekeel-sched/tests/preempt.rs
@@ -4,7 +4,7 @@
 
 use common::{job, machine, room, round, team};
 use gladekeel_sched::{
-    Resources,
+    Resources, TeamIdx,
     cycle::SchedulableJob,
     preemption::{PreemptionCandidate, PreemptionCandidates},
 };
@@ -19,7 +19,7 @@
         let victim = |id, machine, team, loss, saves| PreemptionCandidate {
             id,
             machine,
-            team,
+            team: TeamIdx::new(team),
             priority: 1,
             resources: room(16.0),
             lost_work: loss,
