--- a/crates/gladekeel-controller/src/leader/assignment_log/writer.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer.rs
@@ -403,11 +403,11 @@
             (attempt.job, attempt.machine)
         });
         let Some((job_ix, machine)) = live else { return };
-        self.commands.wanted.insert(machine);
+        self.commands.request_commands(machine);
         self.cluster.counters.starts += 1;
         let is_gang = self.jobs.get(&job_ix).is_some_and(Job::is_gang);
         if is_gang && self.attempts.of_job(job_ix).uncommitted() == 0 {
-            self.commands.wanted.extend(self.attempts.of_job(job_ix).machines());
+            self.commands.request_commands_on(self.attempts.of_job(job_ix).machines());
         }
     }
 
--- a/crates/gladekeel-controller/src/leader/commands/queue.rs
+++ b/crates/gladekeel-controller/src/leader/commands/queue.rs
@@ -25,11 +25,11 @@
 #[derive(Debug)]
 pub(in crate::leader) struct CommandQueue {
     /// Machines for which there may be direct commands.
-    pub wanted: BTreeSet<MachineIdx>,
+    wanted: BTreeSet<MachineIdx>,
     /// Gangs on all of whose machines there may be direct commands.
-    pub gangs: BTreeSet<JobIdx>,
+    gangs: BTreeSet<JobIdx>,
     /// Machines that are to be asked whether they are there.
-    pub probes_wanted: BTreeSet<MachineIdx>,
+    probes_wanted: BTreeSet<MachineIdx>,
     /// How many are being asked, and may be.
     probing: usize,
     max_probes: usize,
@@ -54,8 +54,29 @@
         }
     }
 
+    /// Has the commands sent that a machine is due, if there are any.
+    pub fn request_commands(&mut self, machine: MachineIdx) {
+        self.wanted.insert(machine);
+    }
+
+    /// Has the commands sent that each of these machines is due, if there are any.
+    pub fn request_commands_on(&mut self, machines: impl IntoIterator<Item = MachineIdx>) {
+        self.wanted.extend(machines);
+    }
+
+    /// Has the commands sent that the machines of a gang are due. Its machines are looked up
+    /// when the next request is built, however often this was asked for.
+    pub fn request_gang_commands(&mut self, gang: JobIdx) {
+        self.gangs.insert(gang);
+    }
+
+    /// Has a machine probed: it is asked for a heartbeat.
+    pub fn request_probe(&mut self, machine: MachineIdx) {
+        self.probes_wanted.insert(machine);
+    }
+
     /// Sends stops again that were not delivered.
-    pub fn retry_stops(&mut self) {
+    pub fn retry_undelivered_stops(&mut self) {
         self.wanted.append(&mut self.undelivered_stops);
     }
 }
@@ -96,7 +117,7 @@
     /// The next direct command, if one is due.
     pub fn next_worker_request(&mut self, now: f64, may_start: bool) -> Option<WorkerRequest> {
         for job in std::mem::take(&mut self.commands.gangs) {
-            self.commands.wanted.extend(self.attempts.of_job(job).machines());
+            self.commands.request_commands_on(self.attempts.of_job(job).machines());
         }
         while let Some(ix) = self.commands.wanted.pop_first() {
             if let Some(call) = self.direct_for(now, ix, may_start) {
@@ -147,7 +168,7 @@
         if commands.is_empty() {
             if machine.missed_acks > 0 && machine.deletion_reason.is_none() {
                 // It is asked whether it hears at all.
-                self.commands.probes_wanted.insert(ix);
+                self.commands.request_probe(ix);
             }
             return None;
         }
@@ -238,7 +259,7 @@
             WorkerOutcome::NotSent | WorkerOutcome::Unknown => {
                 machine.unanswered_commands += 1;
                 if machine.unanswered_commands < MAX_UNANSWERED {
-                    self.commands.probes_wanted.insert(call.machine);
+                    self.commands.request_probe(call.machine);
                 } else {
                     machine.unresponsive_since.get_or_insert(now);
                 }
@@ -290,7 +311,7 @@
                 self.apply_task_status(now, id, reported);
             }
         }
-        self.commands.wanted.insert(call.machine);
+        self.commands.request_commands(call.machine);
     }
 
     /// Whether an unanswered `run` needs a new token: its job is cancelled, so that
--- a/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
@@ -93,7 +93,7 @@
             let reached = self.cluster.zones_reachable_since.get(&machine.zone);
             let reached_s = reached.map_or(-1.0, |since| now - since);
             if machine.is_late(now, &limits) {
-                self.commands.probes_wanted.insert(*ix);
+                self.commands.request_probe(*ix);
             }
             let reason = machine.reason_to_delete(now, &limits, &survey, reached_s, boot_s);
             if reason.is_some() {
--- a/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -59,7 +59,7 @@
                     attempt.stop_reason = Some(StopReason::Drained);
                     attempt.machine
                 });
-                self.commands.wanted.extend(machine);
+                self.commands.request_commands_on(machine);
             }
         }
         self.withdraw(&withdraw, now);
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -325,7 +325,7 @@
         // found also while a new token is awaited: that may take as long as an outage.
         let upkeep = self.timers.upkeep_due(now, options);
         if upkeep {
-            self.commands.retry_stops();
+            self.commands.retry_undelivered_stops();
             self.detect_failures(now, options, zone, heard_zones);
             self.end_cancelled(now);
         }
--- a/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
@@ -137,7 +137,7 @@
             machine.expected_effects = ExpectedEffects::of_response(&answer.commands, settled);
         }
         // Direct commands that were held back may go now, or it is asked whether it hears.
-        self.commands.wanted.insert(ix);
+        self.commands.request_commands(ix);
         answer
     }
 
--- a/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -83,7 +83,7 @@
             return;
         }
         self.cancelled_on_machines.insert(ix);
-        self.commands.wanted.extend(self.attempts.of_job(ix).machines());
+        self.commands.request_commands_on(self.attempts.of_job(ix).machines());
         for id in self.attempts.ids_of_job(ix) {
             self.attempts.update(id, |attempt| {
                 attempt.stop_reason = Some(StopReason::Cancelled);
--- a/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
@@ -38,7 +38,7 @@
         }
         // Each task that ends asks for this: only the first time there is something to
         // stop, and the machines are gathered when the next command is sent.
-        self.commands.gangs.insert(job_ix);
+        self.commands.request_gang_commands(job_ix);
         if self.attempts.of_job(job_ix).all_stopping() {
             return;
         }
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -55,7 +55,7 @@
             let id = ids[slow];
             self.attempts.update(id, |attempt| attempt.stop_reason = Some(StopReason::Straggler));
             if let Some(attempt) = self.attempts.get(id) {
-                self.commands.wanted.insert(attempt.machine);
+                self.commands.request_commands(attempt.machine);
                 let (job, machine) = (
                     self.job_names.name(attempt.job),
                     self.cluster.machine_names.name(attempt.machine),
@@ -230,7 +230,7 @@
     fn preempt(&mut self, id: AttemptId) {
         self.attempts.update(id, |attempt| attempt.stop_reason = Some(StopReason::Preempted));
         let Some(attempt) = self.attempts.get(id) else { return };
-        self.commands.wanted.insert(attempt.machine);
+        self.commands.request_commands(attempt.machine);
         self.cluster.counters.preemptions += 1;
         if let Some(job) = self.jobs.get_mut(&attempt.job) {
             job.preempted.insert(attempt.task_index);
