--- a/crates/gladekeel-controller/src/lib.rs
+++ b/crates/gladekeel-controller/src/lib.rs
@@ -4,10 +4,9 @@
 //! actions come out, and the same events give the same actions. [`shell`] gives
 //! it sockets and a clock; the testkit gives it a simulated world instead.
 
-pub mod admin;
 pub mod assignment_log;
 pub mod cloud_api;
-pub mod heartbeat_balancing;
+pub mod http_api;
 pub mod keys;
 pub mod leader;
 pub mod node;
@@ -17,7 +16,4 @@
 pub mod store_view;
 pub mod stored_types;
 
-mod api;
-mod election;
-mod heartbeat_routing;
-mod metrics;
+mod prometheus;
--- a/crates/gladekeel-controller/src/admin.rs
+++ b/crates/gladekeel-controller/src/node/admin_requests.rs
@@ -2,11 +2,11 @@
 //!
 //! It has no authentication of its own and must be kept inside the operators' network.
 
+use super::{Continuation, Node, RequestId};
 use crate::{
-    api::Reply,
+    http_api::{AdminRoute, Reply},
     keys,
     leader::Leader,
-    node::{Continuation, Node, RequestId},
     store_view::JobProgress,
 };
 use gladekeel_store::StoreOutcome;
@@ -18,23 +18,9 @@
 };
 use std::collections::BTreeMap;
 
-/// Longest accepted name of a machine.
-const MAX_MACHINE_NAME: usize = 100;
-
 /// Answer to a change of something that is no longer as the operator has read it.
 const CHANGED_MEANWHILE: &str = "changed by somebody else meanwhile: read it again";
 
-/// Why a path under `/admin` leads nowhere.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum RouteError {
-    /// There is nothing there.
-    #[error("no such path")]
-    Path,
-    /// It is there, for another method.
-    #[error("method not allowed")]
-    Method,
-}
-
 /// A change that waits for the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum AdminChange {
@@ -44,58 +30,10 @@
     Drain { machine: String, draining: bool },
 }
 
-/// What a path under `/admin` asks for.
-#[derive(Debug, Clone, PartialEq)]
-pub enum AdminRoute {
-    /// Read the settings.
-    Settings,
-    /// Change settings.
-    SetSettings,
-    /// Who leads, how nodes and teams are.
-    Status,
-    /// All machines.
-    Machines,
-    /// Drain a machine, or stop that.
-    Drain {
-        /// Its name.
-        machine: String,
-        /// Whether to drain it.
-        draining: bool,
-    },
-}
-
-impl AdminRoute {
-    /// Reads a path below `/admin/` and the method.
-    pub fn of(method: &str, rest: &str) -> Result<AdminRoute, RouteError> {
-        let (route, wanted) = match (rest, method) {
-            ("settings", "PUT") => (AdminRoute::SetSettings, "PUT"),
-            ("settings", _) => (AdminRoute::Settings, "GET"),
-            ("status", _) => (AdminRoute::Status, "GET"),
-            ("machines", _) => (AdminRoute::Machines, "GET"),
-            _ => (AdminRoute::drain(rest).ok_or(RouteError::Path)?, "POST"),
-        };
-        if method == wanted { Ok(route) } else { Err(RouteError::Method) }
-    }
-
-    /// Reads `machines/NAME/drain` and `machines/NAME/undrain`.
-    fn drain(rest: &str) -> Option<AdminRoute> {
-        let (machine, verb) = rest.strip_prefix("machines/")?.split_once('/')?;
-        let draining = match verb {
-            "drain" => true,
-            "undrain" => false,
-            _ => return None,
-        };
-        let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-        let valid =
-            (1..=MAX_MACHINE_NAME).contains(&machine.len()) && machine.bytes().all(is_allowed);
-        valid.then(|| AdminRoute::Drain { machine: machine.to_owned(), draining })
-    }
-}
-
 impl Node {
     pub(crate) fn on_admin(&mut self, now: f64, id: RequestId, route: AdminRoute, body: &[u8]) {
         match route {
-            AdminRoute::Settings => {
+            AdminRoute::GetSettings => {
                 // What another node has just stored must show here as well.
                 if !self.overloaded(now, id) {
                     self.wait(now, id, None, Continuation::Settings);
@@ -186,9 +124,9 @@
             StoreOutcome::Committed(revision) => change_made(*revision, change),
             StoreOutcome::Conflict(_) => Reply::error(409, CHANGED_MEANWHILE),
             StoreOutcome::Unknown => {
-                Reply::later(503, 1, "no answer: it may or may not be made; read it again")
+                Reply::retry_later(1, "no answer: it may or may not be made; read it again")
             }
-            _ => Reply::later(503, 1, "the state service refuses"),
+            _ => Reply::retry_later(1, "the state service refuses"),
         };
         self.store_reads.wanted = true;
         self.reply(now, id, reply);
--- a/crates/gladekeel-controller/src/node/event.rs
+++ b/crates/gladekeel-controller/src/node/event.rs
@@ -1,8 +1,8 @@
 //! What goes into a node and what comes out of it.
 
 use crate::{
-    api::Reply,
     cloud_api::{CloudOutcome, CloudRequest},
+    http_api::Reply,
     leader::{WorkerOutcome, WorkerRequest},
 };
 use gladekeel_store::{StoreOutcome, StoreRequest};
--- a/crates/gladekeel-controller/src/node/heartbeats.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/mod.rs
@@ -1,16 +1,17 @@
 //! Workers' reports: answered here, passed on to the leader, or sent elsewhere.
 
+pub mod balancing;
+mod routing;
+
 use super::{CallId, HELLO_S, Node, RELAY_S, RequestId};
-use crate::{
-    api::Reply,
-    heartbeat_balancing::{HeartbeatBalancer, HeartbeatReceiver},
-    heartbeat_routing::{HeartbeatContext, HeartbeatRoute, HeartbeatRouter},
-};
+use crate::http_api::Reply;
+use balancing::{HeartbeatBalancer, HeartbeatReceiver};
 use gladekeel_wire::{
     mesh::{FrameHeader, FrameKind, HEARTBEAT_RELAY_LEVEL},
     settings::Deployment,
     worker::{Heartbeat, HeartbeatResponse, Redirect},
 };
+use routing::{HeartbeatContext, HeartbeatRoute, HeartbeatRouter};
 use std::collections::BTreeMap;
 
 /// HeartbeatRelays that come within this time are passed on together: each message that arrives on
@@ -198,11 +199,11 @@
             return;
         };
         let status = header.status.get();
-        let reply = Reply { status, retry_after: None, body: payload.to_vec(), plain: false };
+        let reply = Reply::from_json_bytes(status, payload.to_vec());
         self.reply(now, relay.request, reply);
     }
 }
 
 fn not_entitled() -> Reply {
-    Reply::later(503, 1, "not entitled to act")
+    Reply::retry_later(1, "not entitled to act")
 }
--- /dev/null
+++ b/crates/gladekeel-controller/src/node/leadership/mod.rs
@@ -0,0 +1,3 @@
+//! Who leads.
+
+pub(super) mod election;
--- a/crates/gladekeel-controller/src/metrics.rs
+++ b/crates/gladekeel-controller/src/node/metrics.rs
@@ -1,48 +1,16 @@
 //! Metrics in the Prometheus text format.
 
-use crate::{leader::Leader, node::Node, socket_budget::SocketUse};
-use hdrhistogram::Histogram;
-use std::{collections::BTreeMap, fmt::Write as _};
-
-/// Largest duration that a histogram tells apart, in microseconds.
-const MAX_MICROSECONDS: u64 = 60_000_000;
-/// Quantiles that are shown.
-const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
-
-/// How long something took, over all times that it happened.
-#[derive(Debug)]
-struct Durations {
-    histogram: Histogram<u64>,
-    sum_s: f64,
-    max_s: f64,
-}
-
-impl Default for Durations {
-    fn default() -> Durations {
-        let histogram = Histogram::new_with_bounds(1, MAX_MICROSECONDS, 2);
-        Durations { histogram: histogram.expect("the bounds are valid"), sum_s: 0.0, max_s: 0.0 }
-    }
-}
-
-impl Durations {
-    fn record(&mut self, seconds: f64) {
-        self.histogram.saturating_record((seconds * 1e6) as u64);
-        self.sum_s += seconds;
-        self.max_s = self.max_s.max(seconds);
-    }
-
-    fn count(&self) -> f64 {
-        self.histogram.len() as f64
-    }
-
-    fn quantiles(&self) -> impl Iterator<Item = (f64, f64)> {
-        QUANTILES.into_iter().map(|q| (q, self.histogram.value_at_quantile(q) as f64 / 1e6))
-    }
-}
+use super::Node;
+use crate::{
+    leader::Leader,
+    prometheus::{DurationHistogram, Exposition, MetricType},
+    socket_budget::SocketUse,
+};
+use std::collections::BTreeMap;
 
 /// How long requests took, by what they asked for.
 #[derive(Debug, Default)]
-pub(crate) struct Latencies(BTreeMap<&'static str, Durations>);
+pub(crate) struct Latencies(BTreeMap<&'static str, DurationHistogram>);
 
 impl Latencies {
     /// Notes a request that took so long.
@@ -54,54 +22,10 @@
 /// What only the process around a node can measure: the node has no clock and no sockets.
 #[derive(Debug, Default)]
 pub(crate) struct ProcessMetrics {
-    rounds: Durations,
+    rounds: DurationHistogram,
     sockets: SocketUse,
 }
 
-/// Metrics as text.
-#[derive(Default)]
-struct Exposition(String);
-
-impl Exposition {
-    fn header(&mut self, kind: &str, name: &str, help: &str) {
-        // Writing to a String cannot fail.
-        let _ = writeln!(self.0, "# HELP gladekeel_{name} {help}\n# TYPE gladekeel_{name} {kind}");
-    }
-
-    fn sample(&mut self, name: &str, labels: &[(&str, &str)], value: f64) {
-        let labels: Vec<String> =
-            labels.iter().map(|(label, text)| format!("{label}=\"{text}\"")).collect();
-        let labels =
-            if labels.is_empty() { String::new() } else { format!("{{{}}}", labels.join(",")) };
-        let _ = writeln!(self.0, "gladekeel_{name}{labels} {value}");
-    }
-
-    fn gauge(&mut self, name: &str, help: &str, value: f64) {
-        self.header("gauge", name, help);
-        self.sample(name, &[], value);
-    }
-
-    fn counter(&mut self, name: &str, help: &str, value: f64) {
-        self.header("counter", name, help);
-        self.sample(name, &[], value);
-    }
-
-    /// One sample for each value of a label.
-    fn family(
-        &mut self,
-        kind: &str,
-        name: &str,
-        help: &str,
-        label: &str,
-        samples: impl IntoIterator<Item = (impl AsRef<str>, f64)>,
-    ) {
-        self.header(kind, name, help);
-        for (text, value) in samples {
-            self.sample(name, &[(label, text.as_ref())], value);
-        }
-    }
-}
-
 impl Node {
     /// Notes how long a round of decisions took.
     pub fn record_round(&mut self, seconds: f64) {
@@ -122,11 +46,11 @@
         if let Some(leader) = &self.leader {
             leader_metrics(leader, now, &mut out);
         }
-        out.0
+        out.into_text()
     }
 
     fn request_metrics(&self, out: &mut Exposition) {
-        out.header("gauge", "request_seconds", "Time to answer, by quantile.");
+        out.header(MetricType::Gauge, "request_seconds", "Time to answer, by quantile.");
         for (what, durations) in &self.latencies.0 {
             for (quantile, seconds) in durations.quantiles() {
                 let quantile = quantile.to_string();
@@ -135,7 +59,7 @@
             }
         }
         let counts = self.latencies.0.iter().map(|(what, durations)| (what, durations.count()));
-        out.family("counter", "requests_total", "Requests answered.", "request", counts);
+        out.family(MetricType::Counter, "requests_total", "Requests answered.", "request", counts);
     }
 
     fn node_metrics(&self, now: f64, out: &mut Exposition) {
@@ -158,13 +82,13 @@
 
     fn process_metrics(&self, out: &mut Exposition) {
         let ProcessMetrics { rounds, sockets } = &self.process;
-        out.header("summary", "round_seconds", "Time that a round of decisions takes.");
+        out.header(MetricType::Summary, "round_seconds", "Time that a round of decisions takes.");
         for (quantile, seconds) in rounds.quantiles() {
             out.sample("round_seconds", &[("quantile", &quantile.to_string())], seconds);
         }
-        out.sample("round_seconds_sum", &[], rounds.sum_s);
+        out.sample("round_seconds_sum", &[], rounds.sum_s());
         out.sample("round_seconds_count", &[], rounds.count());
-        out.gauge("round_seconds_max", "Longest round since the process began.", rounds.max_s);
+        out.gauge("round_seconds_max", "Longest round since the process began.", rounds.max_s());
         let uses = [
             ("users", sockets.users),
             ("workers", sockets.workers),
@@ -173,7 +97,7 @@
             ("mesh", sockets.mesh),
         ];
         let uses = uses.map(|(name, count)| (name, count as f64));
-        out.family("gauge", "sockets", "Connections held, by use.", "use", uses);
+        out.family(MetricType::Gauge, "sockets", "Connections held, by use.", "use", uses);
         let limit = self.deployment.limits.max_connections as f64;
         out.gauge("sockets_limit", "Connections that the process may hold.", limit);
     }
@@ -208,12 +132,12 @@
         ("running", counts.cost.running),
     ];
     let help = "Estimate of the money spent since this node leads.";
-    out.family("counter", "spend_estimate", help, "on", spend);
+    out.family(MetricType::Counter, "spend_estimate", help, "on", spend);
     let mut states: BTreeMap<String, f64> = BTreeMap::new();
     for machine in leader.machine_status(now) {
         *states.entry(machine.state).or_default() += 1.0;
     }
-    out.family("gauge", "machines", "Machines by state.", "state", states);
+    out.family(MetricType::Gauge, "machines", "Machines by state.", "state", states);
     let oldest_s = leader.oldest_job_s(now).unwrap_or(0.0);
     out.gauge("oldest_job_seconds", "Age of the oldest unfinished job.", oldest_s);
     let segments = leader.log_segments() as f64;
--- a/crates/gladekeel-controller/src/node/mod.rs
+++ b/crates/gladekeel-controller/src/node/mod.rs
@@ -1,28 +1,28 @@
 //! A controller node without I/O.
 
+mod admin_requests;
 mod event;
-mod heartbeats;
+pub mod heartbeats;
+mod leadership;
+mod metrics;
 mod peers;
 mod rate_limits;
 mod store_calls;
 mod store_reads;
-mod user_queue;
 mod user_requests;
 
 pub use event::{Action, CallId, Event, RequestId};
 
 use crate::{
-    admin::AdminChange,
-    api::Route,
     cloud_api::{CloudOutcome, CloudRequest},
-    election::Election,
+    http_api::{Reply, Route},
     keys::{self, LeaderRecord},
     leader::{ClusterState, Leader, WorkerRequest},
-    metrics::{Latencies, ProcessMetrics},
     runtime_settings::RuntimeSettings,
     socket_budget::SocketBudget,
     store_view::StoreView,
 };
+use admin_requests::AdminChange;
 use gladekeel_store::{Replica, StoreRequest};
 use gladekeel_wire::{
     mesh::{FrameKind, PROTOCOL_LEVEL, PeerHeartbeat},
@@ -30,19 +30,18 @@
     store::KeyValue,
 };
 use heartbeats::HeartbeatRelays;
+use leadership::election::Election;
+use metrics::{Latencies, ProcessMetrics};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use rate_limits::RateLimits;
 use std::{
     collections::{BTreeMap, HashMap},
     rc::Rc,
 };
-use store_reads::ReadScheduler;
-pub(crate) use user_queue::Continuation;
-use user_queue::{PendingRequest, UserQueue, UserWrite};
+use store_reads::scheduler::ReadScheduler;
+use user_requests::queue::{Continuation, PendingRequest, UserQueue, UserWrite};
 use zerocopy::IntoBytes;
 
-pub use crate::api::Reply;
-
 /// How long a user's request waits for the store at most; users give up on a poll after 2 s.
 const WAIT_S: f64 = 1.5;
 /// How long a reading of the store and the like may take.
@@ -290,14 +289,14 @@
     }
 
     fn on_http(&mut self, now: f64, id: RequestId, method: &str, path: &str, body: &[u8]) {
-        let route = Route::of(method, path);
-        if let Some(what) = route.name() {
+        let route = Route::parse(method, path);
+        if let Some(what) = route.metric_label() {
             self.timed_requests.insert(id, (what, now));
         }
         match route {
             Route::Metrics => {
-                let body = self.metrics(now).into_bytes();
-                let reply = Reply { status: 200, retry_after: None, body, plain: true };
+                let body = self.metrics(now);
+                let reply = Reply::text(body);
                 self.reply(now, id, reply);
             }
             Route::Admin(route) => self.on_admin(now, id, route, body),
@@ -312,7 +311,7 @@
                 let reply = if self.ready(now) {
                     Reply::json(200, &serde_json::json!({"up": true}))
                 } else {
-                    Reply::later(503, 1, "no contact with the state service")
+                    Reply::retry_later(1, "no contact with the state service")
                 };
                 self.reply(now, id, reply);
             }
--- a/crates/gladekeel-controller/src/node/store_calls.rs
+++ b/crates/gladekeel-controller/src/node/store_calls.rs
@@ -1,11 +1,11 @@
 //! Readings of the state service, and who leads by them.
 
+use super::leadership::election::ObservedLeader;
 use super::{
     Action, CHANGE_S, CONFIRM_S, CallId, Node, OVERTAKE_S, PendingRequest, STATE_S,
     StoreCallPurpose, Takeover,
 };
 use crate::{
-    election::ObservedLeader,
     keys,
     leader::{Leader, LeaderTerm, LogRow},
     runtime_settings::RuntimeSettings,
--- /dev/null
+++ b/crates/gladekeel-controller/src/node/store_reads/mod.rs
@@ -0,0 +1,3 @@
+//! Reads of the store.
+
+pub(super) mod scheduler;
--- a/crates/gladekeel-controller/src/node/user_requests.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/mod.rs
@@ -1,13 +1,16 @@
 //! What users ask for: accepted, cancelled, told.
 
+pub(super) mod queue;
+
+use super::admin_requests::AdminChange;
 use super::{
     Continuation, MAX_USER_COMMITS, Node, OVERTAKE_S, PendingRequest, RequestId, StoreCallPurpose,
     UserWrite, WAIT_S,
 };
 use crate::{
-    admin::AdminChange,
-    api::{self, Admission, Reply},
+    http_api::{Admission, Reply, check_admission},
     keys,
+    store_view::{JobProgress, StoreView},
 };
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_wire::{
@@ -58,14 +61,14 @@
 
     pub(super) fn later(&mut self, now: f64, id: RequestId, what: &str) {
         tracing::debug!(id, what, "told to come back");
-        self.reply(now, id, Reply::later(503, 1, what));
+        self.reply(now, id, Reply::retry_later(1, what));
     }
 
     pub(crate) fn overloaded(&mut self, now: f64, id: RequestId) -> bool {
         let over = self.user_queue.is_full();
         if over {
             tracing::debug!(id, "told to come back: too many requests are waiting");
-            self.reply(now, id, Reply::later(503, 2, "too many requests are waiting"));
+            self.reply(now, id, Reply::retry_later(2, "too many requests are waiting"));
         } else if self.store_unreachable || self.replica.revision().is_none() {
             // Known to be out of reach: said at once, rather than after a wait.
             self.later(now, id, "the state service cannot be reached");
@@ -96,7 +99,7 @@
     /// A final state never changes, so it can be told without asking the store.
     pub(super) fn final_status(&self, id: &JobId) -> Option<JobStatus> {
         self.store.final_states.get(id)?;
-        api::status(&self.store, id)
+        job_status(&self.store, id)
     }
 
     pub(super) fn on_submit(&mut self, now: f64, request: RequestId, body: &[u8]) {
@@ -122,7 +125,7 @@
             let then = Continuation::Refuse(400, "the description is too long".into());
             return self.wait(now, request, Some(id), then);
         }
-        match api::check_admission(&self.deployment, &self.store, &spec) {
+        match check_admission(&self.deployment, self.store.machine_types.all(), &spec) {
             Admission::Rejected(why) => {
                 self.wait(now, request, Some(id), Continuation::Refuse(422, why));
             }
@@ -171,7 +174,7 @@
                 self.later(now, request, "what is stored of the job cannot be read");
                 continue;
             }
-            let status = api::status(&self.store, &id);
+            let status = job_status(&self.store, &id);
             let open = status.as_ref().is_some_and(|status| !status.state.is_final());
             match (then, status) {
                 (Continuation::Cancel { tries }, _) if open && tries < MAX_TRIES => {
@@ -335,7 +338,7 @@
             );
         }
         for (call, write) in shown {
-            if let Some(status) = api::status(&self.store, &write.id) {
+            if let Some(status) = job_status(&self.store, &write.id) {
                 self.reply(now, write.request, Reply::json(200, &status));
             }
             if self
@@ -430,3 +433,14 @@
         self.txn.writes.push(Write::Put { key, value, lease: None });
     }
 }
+
+/// The state of a job as the store has it; none if there is no such job.
+fn job_status(store: &StoreView, id: &JobId) -> Option<JobStatus> {
+    if let Some(state) = store.final_states.get(id) {
+        return Some(JobStatus { id: id.clone(), state: *state, done: None, running: None });
+    }
+    store.jobs.get(id)?;
+    let JobProgress { done, running } = store.job_progress.get(id).copied().unwrap_or_default();
+    let state = if running > 0 { JobState::Running } else { JobState::Queued };
+    Some(JobStatus { id: id.clone(), state, done: Some(done), running: Some(running) })
+}
--- a/crates/gladekeel-controller/src/node/user_queue.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/queue.rs
@@ -1,6 +1,6 @@
 //! Users' requests that wait: for a reading of the store, or to be written to it.
 
-use super::RequestId;
+use crate::node::RequestId;
 use gladekeel_wire::{JobId, job::JobSpec};
 use std::{collections::VecDeque, rc::Rc};
 
--- a/crates/gladekeel-controller/src/shell.rs
+++ b/crates/gladekeel-controller/src/shell.rs
@@ -1,9 +1,9 @@
 //! Sockets and a clock for a [`Node`].
 
 use crate::{
-    api::Route,
+    http_api::{Reply, Route},
     leader::{WorkerOutcome, WorkerRequest},
-    node::{Action, Event, Node, Reply, RequestId},
+    node::{Action, Event, Node, RequestId},
     socket_budget::{SocketBudget, SocketUse},
 };
 use gladekeel_http::{
@@ -144,7 +144,7 @@
     };
     let classes = ConnectionClasses {
         reserved: vec![sockets.reserved_for_users, sockets.reserved_for_workers],
-        classify: |request| match Route::of(&request.method, &request.path) {
+        classify: |request| match Route::parse(&request.method, &request.path) {
             Route::Heartbeat => WORKERS,
             _ => USERS,
         },
--- a/crates/gladekeel-testkit/src/sim.rs
+++ b/crates/gladekeel-testkit/src/sim.rs
@@ -20,7 +20,10 @@
 
 use crate::{cloud::Cloud, gang::Gangs, rules::Rules, state::State, worker::Worker};
 use decision_trace::DecisionTrace;
-use gladekeel_controller::node::{Node, Reply, RequestId};
+use gladekeel_controller::{
+    http_api::Reply,
+    node::{Node, RequestId},
+};
 use gladekeel_wire::{JobId, settings::Settings};
 use network::ActiveCut;
 use rand::{SeedableRng, rngs::StdRng};
--- a/crates/gladekeel-testkit/src/sim/decision_trace.rs
+++ b/crates/gladekeel-testkit/src/sim/decision_trace.rs
@@ -4,10 +4,7 @@
 //! What is hashed is what leaves a node: the time, the node, the receiver and the bytes.
 //! Names of types and fields have no part in it, so renaming code leaves the digest alone.
 
-use gladekeel_controller::{
-    leader::WorkerRequest,
-    node::{Action, Reply},
-};
+use gladekeel_controller::{http_api::Reply, leader::WorkerRequest, node::Action};
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
 
--- a/crates/gladekeel-testkit/src/sim/requests.rs
+++ b/crates/gladekeel-testkit/src/sim/requests.rs
@@ -1,7 +1,7 @@
 //! Requests over HTTP to a controller, and the patience of those who ask.
 
 use super::{End, Sim, Then};
-use gladekeel_controller::node::{Event, Reply};
+use gladekeel_controller::{http_api::Reply, node::Event};
 use std::{cell::RefCell, rc::Rc};
 
 impl Sim {
--- a/crates/gladekeel-testkit/tests/sharing.rs
+++ b/crates/gladekeel-testkit/tests/sharing.rs
@@ -1,6 +1,6 @@
 //! Which controller each worker reports to.
 
-use gladekeel_controller::heartbeat_balancing::{HeartbeatBalancer, HeartbeatReceiver};
+use gladekeel_controller::node::heartbeats::balancing::{HeartbeatBalancer, HeartbeatReceiver};
 use gladekeel_testkit::scenario::example_settings;
 
 const USABLE: [bool; 2] = [true, true];
