--- a/crates/gladekeel-testkit/examples/playground.rs
+++ b/crates/gladekeel-testkit/examples/playground.rs
@@ -13,11 +13,11 @@
 use gladekeel_http::{Client, Limits, Request, Response, Server};
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_testkit::{
-    cloud::Cloud,
-    gang::Gangs,
     scenario::example_settings,
-    state::{self, State},
-    worker::Worker,
+    stand_ins::cloud::FakeCloud,
+    stand_ins::gang::GangRuntime,
+    stand_ins::store::{FakeStore, StoreLimits},
+    stand_ins::worker::FakeWorker,
 };
 use gladekeel_wire::{
     JobId, TaskId,
@@ -92,10 +92,10 @@
 struct Playground {
     size: Size,
     start: Instant,
-    state: RefCell<State>,
-    cloud: RefCell<Cloud>,
-    workers: RefCell<BTreeMap<String, Worker>>,
-    gangs: RefCell<Gangs>,
+    state: RefCell<FakeStore>,
+    cloud: RefCell<FakeCloud>,
+    workers: RefCell<BTreeMap<String, FakeWorker>>,
+    gangs: RefCell<GangRuntime>,
     /// Jobs that were submitted: workers fetch descriptions without asking the state service.
     jobs: RefCell<BTreeMap<JobId, JobSpec>>,
 }
@@ -199,15 +199,15 @@
     let play = Rc::new(Playground {
         size,
         start: Instant::now(),
-        state: RefCell::new(State::new(state::Limits {
+        state: RefCell::new(FakeStore::new(StoreLimits {
             rps: params.store.rps,
             write_rps: params.store.write_rps,
             txn_ops: params.store.txn_ops,
             value: (params.store.value_kb * 1024.0) as usize,
         })),
-        cloud: RefCell::new(Cloud::new(types, capacity, 4.0)),
+        cloud: RefCell::new(FakeCloud::new(types, capacity, 4.0)),
         workers: RefCell::default(),
-        gangs: RefCell::new(Gangs::new(GANG_PEER_S)),
+        gangs: RefCell::new(GangRuntime::new(GANG_PEER_S)),
         jobs: RefCell::default(),
     });
     let limits = Limits::for_connections(1000);
@@ -396,8 +396,16 @@
         }
         let spot = self.cloud.borrow().machines[&name].spot;
         let room = (32.0, 0.0, 64.0);
-        let worker =
-            Worker::new(name.clone(), "m32".into(), "a".into(), spot, room, LEASE_S, self.now(), 0);
+        let worker = FakeWorker::new(
+            name.clone(),
+            "m32".into(),
+            "a".into(),
+            spot,
+            room,
+            LEASE_S,
+            self.now(),
+            0,
+        );
         self.workers.borrow_mut().insert(name.clone(), worker);
         println!("{name} is up at {addr}");
         let direct = spawn_local({
@@ -423,7 +431,7 @@
                 }
                 worker.changed = false;
                 next = now + self.size.report_s();
-                let mut report = worker.report(now);
+                let mut report = worker.heartbeat(now);
                 report.addr = addr.to_string();
                 (worker.node, report)
             };
@@ -433,13 +441,13 @@
                 reports_to = Some((node, Client::new(addr, 1)));
             }
             if let Some((_, client)) = &reports_to {
-                self.send_report(&name, client, node, &report, now).await;
+                self.send_heartbeat(&name, client, node, &report, now).await;
             }
         }
         direct.abort();
     }
 
-    async fn send_report(
+    async fn send_heartbeat(
         &self,
         name: &str,
         client: &Client,
@@ -455,7 +463,13 @@
             Ok(reply) if reply.status == 200 => {
                 if let Ok(answer) = serde_json::from_slice::<HeartbeatResponse>(&reply.body) {
                     let find = |task: &TaskId| self.spec(task);
-                    worker.answered(self.now(), report.incarnation, sent_at, &answer, &find);
+                    worker.handle_heartbeat_response(
+                        self.now(),
+                        report.incarnation,
+                        sent_at,
+                        &answer,
+                        &find,
+                    );
                 }
             }
             Ok(reply) if reply.status == 421 => {
@@ -477,10 +491,10 @@
                 return Response::text(400, "malformed\n");
             };
             let find = |task: &TaskId| self.spec(task);
-            let (executed, _) = worker.direct(self.now(), &direct, &find);
+            let (executed, _) = worker.handle_direct_commands(self.now(), &direct, &find);
             status = if executed { 200 } else { 409 };
         }
-        let mut report = worker.report(self.now());
+        let mut report = worker.heartbeat(self.now());
         report.addr = addr.to_string();
         json(status, &report)
     }
--- a/crates/gladekeel-testkit/src/rules.rs
+++ b/crates/gladekeel-testkit/src/invariants/mod.rs
@@ -31,7 +31,7 @@
 
 /// A machine in good order and what is free on it.
 #[derive(Debug, Clone)]
-pub struct RoomOn {
+pub struct FreeCapacity {
     /// Its type.
     pub machine_type: String,
     /// Its zone.
@@ -44,7 +44,7 @@
 
 /// What a user was told of a job.
 #[derive(Debug, Default)]
-struct Told {
+struct ObservedJob {
     submitted: bool,
     accepted: bool,
     /// Since when polls have had no answer.
@@ -59,14 +59,14 @@
 
 /// Watches a world and notes every broken rule.
 #[derive(Debug)]
-pub struct Rules {
+pub struct InvariantChecker {
     params: Deployment,
     /// Machine types of the cloud; while there are none, nothing is said to fit none.
     pub types: Vec<MachineType>,
     /// Starts sent directly that no answer to a report has repeated, and when.
     direct_starts: BTreeMap<TaskId, f64>,
     /// Since when each job has waited beside room.
-    waiting_since: BTreeMap<JobId, f64>,
+    pending_since: BTreeMap<JobId, f64>,
     specs: BTreeMap<JobId, JobSpec>,
     /// How much longer than the one before it each task of a job runs.
     pub apart_s: BTreeMap<JobId, f64>,
@@ -80,13 +80,13 @@
     /// When each job's first task began.
     began: BTreeMap<JobId, f64>,
     /// When the last trouble is over.
-    pub calm_from: f64,
+    pub faults_cleared_at: f64,
     completed: BTreeSet<TaskId>,
     /// How many tasks of each job have completed.
     completed_of: BTreeMap<JobId, usize>,
     /// Tasks of gangs that began to run at this instant, by job and attempt.
     together: BTreeMap<(JobId, u64), BTreeSet<TaskId>>,
-    told: BTreeMap<JobId, Told>,
+    told: BTreeMap<JobId, ObservedJob>,
     /// Starts so far.
     pub starts: u64,
     /// Starts that a machine refused for want of room.
@@ -95,14 +95,14 @@
     pub broken: Vec<(&'static str, String)>,
 }
 
-impl Rules {
+impl InvariantChecker {
     /// A checker for a deployment.
-    pub fn new(params: Deployment) -> Rules {
-        Rules {
+    pub fn new(params: Deployment) -> InvariantChecker {
+        InvariantChecker {
             params,
             types: Vec::new(),
             direct_starts: BTreeMap::new(),
-            waiting_since: BTreeMap::new(),
+            pending_since: BTreeMap::new(),
             specs: BTreeMap::new(),
             apart_s: BTreeMap::new(),
             on: BTreeMap::new(),
@@ -110,7 +110,7 @@
             uses: BTreeMap::new(),
             cancelled: BTreeSet::new(),
             began: BTreeMap::new(),
-            calm_from: 0.0,
+            faults_cleared_at: 0.0,
             completed: BTreeSet::new(),
             completed_of: BTreeMap::new(),
             together: BTreeMap::new(),
@@ -182,7 +182,7 @@
             told.unanswered_since = None;
         } else if told.accepted {
             let since = *told.unanswered_since.get_or_insert(now);
-            if now - since.max(self.calm_from) > UNANSWERED_S {
+            if now - since.max(self.faults_cleared_at) > UNANSWERED_S {
                 told.unanswered_since = None;
                 broken.push("unanswered");
             }
@@ -245,7 +245,7 @@
 
     /// A user's odd request, whose only right status is `wanted`, is answered with `got`. It
     /// may be put off or get no answer (0).
-    pub fn odd_answer(&mut self, now: f64, wanted: u16, got: u16, request: &str) {
+    pub fn check_status(&mut self, now: f64, wanted: u16, got: u16, request: &str) {
         let put_off = matches!(got, 0 | 429 | 503 | 504);
         if got != wanted && !put_off {
             self.broke("odd", format!("{now:.2}: {got} instead of {wanted}: {request}"));
@@ -437,9 +437,9 @@
 
     /// Looks for jobs that wait although there is room: in calm none does so for long.
     /// `held` are the jobs with tasks on machines, those whose image is being fetched too.
-    pub fn check_waiting(&mut self, now: f64, rooms: &[RoomOn], held: &BTreeSet<JobId>) {
-        if now < self.calm_from {
-            return self.waiting_since.clear();
+    pub fn check_pending(&mut self, now: f64, rooms: &[FreeCapacity], held: &BTreeSet<JobId>) {
+        if now < self.faults_cleared_at {
+            return self.pending_since.clear();
         }
         let mut waiting = BTreeSet::new();
         for (id, told) in &self.told {
@@ -454,18 +454,18 @@
             }
             waiting.insert(id.clone());
         }
-        self.waiting_since.retain(|id, _| waiting.contains(id));
+        self.pending_since.retain(|id, _| waiting.contains(id));
         for id in waiting {
-            let since = *self.waiting_since.entry(id.clone()).or_insert(now);
+            let since = *self.pending_since.entry(id.clone()).or_insert(now);
             if now - since > WAITING_S {
-                self.waiting_since.insert(id.clone(), f64::MAX);
+                self.pending_since.insert(id.clone(), f64::MAX);
                 self.broke("left_waiting", format!("{now:.2}: {id} since {since:.2}"));
             }
         }
     }
 
     /// Whether a job that has nothing on machines could begin now.
-    fn has_room(&self, spec: &JobSpec, rooms: &[RoomOn]) -> bool {
+    fn has_room(&self, spec: &JobSpec, rooms: &[FreeCapacity]) -> bool {
         // An array begins with one task, the others with all of them.
         let at_once = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
         let (cpus, gpus) = self.uses.get(&spec.team).copied().unwrap_or_default();
--- a/crates/gladekeel-testkit/src/scenario/files.rs
+++ b/crates/gladekeel-testkit/src/scenario/files.rs
@@ -1,7 +1,7 @@
 //! Running scenario files side by side.
 
 use super::{Failure, run};
-use crate::sim::TraceDigest;
+use crate::simulation::TraceDigest;
 use std::{fs, path::PathBuf, thread};
 
 /// What came of one scenario file.
--- a/crates/gladekeel-testkit/src/scenario.rs
+++ b/crates/gladekeel-testkit/src/scenario/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! ```text
 //! # Comment.
-//! world zones=a,b ordinary=4 spot=2 boot=20 lag=4 late_copies=0.01
+//! world zones=a,b ordinary=4 spot=2 boot=20 lag=4 duplicated_request_share=0.01
 //! at 5 submit job-1 tasks=8 cpus=8 run=20
 //! at 30 crash leader for 5
 //! until 200
@@ -21,16 +21,16 @@
 mod files;
 mod steps;
 mod targets;
-mod words;
+mod tokens;
 mod world;
 
 pub use examples::{example_job, example_settings, example_type, settings_with};
 pub use files::{FileResult, run_files};
 
-use crate::sim::{Sim, TraceDigest};
+use crate::simulation::{Simulation, TraceDigest};
 use expectations::expect;
 use steps::step;
-use words::{number, split};
+use tokens::{number, split};
 use world::world;
 
 /// Why a scenario did not pass.
@@ -71,7 +71,7 @@
 }
 
 fn run_once(text: &str) -> Result<TraceDigest, Failure> {
-    let mut sim: Option<Sim> = None;
+    let mut sim: Option<Simulation> = None;
     let mut unmet = Vec::new();
     let mut may_break = Vec::new();
     for (index, line) in text.lines().enumerate() {
@@ -109,12 +109,12 @@
         }
     }
     let sim = sim.ok_or_else(|| Failure::Line(1, "no world".to_owned()))?;
-    for (rule, what) in &sim.rules.broken {
+    for (rule, what) in &sim.invariants.broken {
         if !may_break.iter().any(|allowed| allowed == rule) {
             unmet.push(format!("rule {rule} broken: {what}"));
         }
     }
-    for abuse in sim.state.abuses.iter().chain(&sim.cloud.abuses) {
+    for abuse in sim.store.abuses.iter().chain(&sim.cloud.abuses) {
         unmet.push(format!("protocol: {abuse}"));
     }
     if unmet.is_empty() { Ok(sim.trace_digest()) } else { Err(Failure::Unmet(unmet)) }
--- a/crates/gladekeel-testkit/src/scenario/steps/line.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/line.rs
@@ -1,16 +1,16 @@
 //! A line of a scenario that says what happens, taken apart.
 
-use crate::scenario::words::{Words, id, names, number, split};
+use crate::scenario::tokens::{KeyValues, id, names, number, split};
 use gladekeel_wire::JobId;
 
 /// A line's words.
 pub(super) struct Line<'a> {
     /// The whole line.
     pub text: &'a str,
-    /// Words without `=`, in their order.
+    /// KeyValues without `=`, in their order.
     pub plain: Vec<&'a str>,
-    /// Words of the form `key=value`.
-    pub words: Words<'a>,
+    /// KeyValues of the form `key=value`.
+    pub words: KeyValues<'a>,
     /// The number after `for`: how long it lasts.
     pub for_s: f64,
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/messages.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/messages.rs
@@ -3,17 +3,17 @@
 use super::{Step, line::Line};
 
 /// The last late transaction is carried out this long after it was sent.
-const LATEST_WRITE_S: f64 = 12.0;
+const MAX_COMMIT_DELAY_S: f64 = 12.0;
 /// The last late command is carried out this long after it was sent.
-const LATEST_COMMAND_S: f64 = 16.0;
+const MAX_COMMAND_DELAY_S: f64 = 16.0;
 
 /// `late_writes SHARE for S`: transactions that get no answer and are carried out late.
 pub(super) fn late_writes(line: &Line) -> Result<Step, String> {
     let (share, for_s) = (line.number_at(1)?, line.for_s);
     Ok(Box::new(move |sim| {
-        sim.late_writes = share;
-        sim.trouble(for_s + LATEST_WRITE_S);
-        sim.after(for_s, |sim| sim.late_writes = 0.0);
+        sim.delayed_commit_share = share;
+        sim.fault_lasts(for_s + MAX_COMMIT_DELAY_S);
+        sim.after(for_s, |sim| sim.delayed_commit_share = 0.0);
     }))
 }
 
@@ -21,9 +21,9 @@
 pub(super) fn lost_answers(line: &Line) -> Result<Step, String> {
     let (share, for_s) = (line.number_at(1)?, line.for_s);
     Ok(Box::new(move |sim| {
-        sim.message_faults.lost_answers = share;
-        sim.trouble(for_s);
-        sim.after(for_s, |sim| sim.message_faults.lost_answers = 0.0);
+        sim.message_faults.lost_response_share = share;
+        sim.fault_lasts(for_s);
+        sim.after(for_s, |sim| sim.message_faults.lost_response_share = 0.0);
     }))
 }
 
@@ -31,9 +31,9 @@
 pub(super) fn late_commands(line: &Line) -> Result<Step, String> {
     let (share, for_s) = (line.number_at(1)?, line.for_s);
     Ok(Box::new(move |sim| {
-        sim.message_faults.late_commands = share;
-        sim.trouble(for_s + LATEST_COMMAND_S);
-        sim.after(for_s, |sim| sim.message_faults.late_commands = 0.0);
+        sim.message_faults.delayed_command_share = share;
+        sim.fault_lasts(for_s + MAX_COMMAND_DELAY_S);
+        sim.after(for_s, |sim| sim.message_faults.delayed_command_share = 0.0);
     }))
 }
 
@@ -42,7 +42,7 @@
 pub(super) fn reports_for_next_leader(line: &Line) -> Result<Step, String> {
     let (share, for_s) = (line.number_at(1)?, line.for_s);
     Ok(Box::new(move |sim| {
-        sim.message_faults.reports_for_next_leader = share;
-        sim.after(for_s, |sim| sim.message_faults.reports_for_next_leader = 0.0);
+        sim.message_faults.retained_heartbeat_share = share;
+        sim.after(for_s, |sim| sim.message_faults.retained_heartbeat_share = 0.0);
     }))
 }
--- a/crates/gladekeel-testkit/src/scenario/steps.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/mod.rs
@@ -7,11 +7,11 @@
 mod services;
 mod users;
 
-use crate::sim::Sim;
+use crate::simulation::Simulation;
 use line::Line;
 
 /// What happens at a time.
-pub(super) type Step = Box<dyn FnOnce(&mut Sim)>;
+pub(super) type Step = Box<dyn FnOnce(&mut Simulation)>;
 
 /// Reads what happens at a time.
 pub(super) fn step(text: &str) -> Result<Step, String> {
@@ -23,8 +23,8 @@
         "cancel" => users::cancel(line),
         "cancel_now" => users::cancel_now(line),
         "cancel_at_end" => users::cancel_at_end(line),
-        "close_looks" => Ok(users::close_looks(line)),
-        "odd" => Ok(users::odd_requests(line)),
+        "close_looks" => Ok(users::read_your_writes(line)),
+        "odd" => Ok(users::malformed_requests(line)),
         "http" => users::http(line),
         "ask" => users::ask(line),
         "junk" => Ok(users::junk()),
@@ -45,7 +45,7 @@
         }
         "take" => machines::take(line),
         "reboot" => machines::reboot(line),
-        "hang" | "sick" | "slow" | "deaf" | "mute" => machines::impair(line),
+        "hang" | "sick" | "slow" | "deaf" | "mute" => machines::degrade(line),
         other => Err(format!("nothing is called {other}")),
     }
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/nodes.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/nodes.rs
@@ -2,8 +2,8 @@
 
 use super::{Step, line::Line};
 use crate::{
-    scenario::targets::which,
-    sim::{Cut, From},
+    scenario::targets::node_indices,
+    simulation::{Cut, CutScope},
 };
 
 /// `crash WHO for S`, or `crash leader commits=N for S` between two transactions.
@@ -14,7 +14,7 @@
     }
     let who = line.at(1)?.to_owned();
     Ok(Box::new(move |sim| {
-        for node in which(sim, &who) {
+        for node in node_indices(sim, &who) {
             sim.restart(node, for_s);
         }
     }))
@@ -24,8 +24,8 @@
 pub(super) fn freeze(line: &Line) -> Result<Step, String> {
     let (who, for_s) = (line.at(1)?.to_owned(), line.for_s);
     Ok(Box::new(move |sim| {
-        for node in which(sim, &who) {
-            sim.freeze(node, for_s);
+        for node in node_indices(sim, &who) {
+            sim.pause(node, for_s);
         }
     }))
 }
@@ -40,16 +40,16 @@
     }
     let who = line.at(1)?.to_owned();
     let from = match line.at(3)? {
-        "all" => From::All,
-        "workers" => From::Workers,
-        "state" => From::State,
-        "cloud" => From::Cloud,
-        "mesh" => From::Mesh,
-        "users" => From::Users,
+        "all" => CutScope::All,
+        "workers" => CutScope::Workers,
+        "state" => CutScope::Store,
+        "cloud" => CutScope::Cloud,
+        "mesh" => CutScope::Mesh,
+        "users" => CutScope::Users,
         other => return Err(format!("cannot cut from {other}")),
     };
     Ok(Box::new(move |sim| {
-        for node in which(sim, &who) {
+        for node in node_indices(sim, &who) {
             sim.cut(Cut::Node(node, from), for_s, hold);
         }
     }))
@@ -59,8 +59,8 @@
 pub(super) fn links(line: &Line) -> Result<Step, String> {
     let (factor, for_s) = (line.number_at(2)?, line.for_s);
     Ok(Box::new(move |sim| {
-        sim.links_slow = factor;
-        sim.trouble(for_s);
-        sim.after(for_s, |sim| sim.links_slow = 1.0);
+        sim.network_slowdown = factor;
+        sim.fault_lasts(for_s);
+        sim.after(for_s, |sim| sim.network_slowdown = 1.0);
     }))
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/services.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/services.rs
@@ -1,7 +1,7 @@
 //! What happens to the state service and to the cloud.
 
 use super::{Step, line::Line};
-use crate::{scenario::targets::which, state::Limits};
+use crate::{scenario::targets::node_indices, stand_ins::store::StoreLimits};
 
 /// `state down|slow FACTOR|mute|refuses WHO|spoils|forgets|limits KEY=N for S`.
 pub(super) fn state(line: &Line) -> Result<Step, String> {
@@ -9,40 +9,40 @@
     Ok(match line.at(1)? {
         "down" => Box::new(move |sim| {
             let now = sim.now;
-            sim.state.set_down(now, true);
-            sim.trouble(for_s);
+            sim.store.set_outage(now, true);
+            sim.fault_lasts(for_s);
             sim.after(for_s, |sim| {
                 let now = sim.now;
-                sim.state.set_down(now, false);
+                sim.store.set_outage(now, false);
             });
         }),
         "slow" => {
             let factor = line.number_at(2)?;
             Box::new(move |sim| {
-                sim.state_slow = factor;
-                sim.trouble(for_s);
-                sim.after(for_s, |sim| sim.state_slow = 1.0);
+                sim.store_slowdown = factor;
+                sim.fault_lasts(for_s);
+                sim.after(for_s, |sim| sim.store_slowdown = 1.0);
             })
         }
         "mute" => Box::new(move |sim| {
-            sim.state_mute = true;
-            sim.trouble(for_s);
-            sim.after(for_s, |sim| sim.state_mute = false);
+            sim.store_responses_lost = true;
+            sim.fault_lasts(for_s);
+            sim.after(for_s, |sim| sim.store_responses_lost = false);
         }),
         "refuses" => {
             let who = line.at(2)?.to_owned();
             Box::new(move |sim| {
-                sim.state.refused = which(sim, &who);
-                sim.trouble(for_s);
-                sim.after(for_s, |sim| sim.state.refused.clear());
+                sim.store.refused = node_indices(sim, &who);
+                sim.fault_lasts(for_s);
+                sim.after(for_s, |sim| sim.store.refused.clear());
             })
         }
         "spoils" => Box::new(move |sim| {
-            sim.state.spoil_log(true);
-            sim.trouble(for_s);
-            sim.after(for_s, |sim| sim.state.spoil_log(false));
+            sim.store.corrupt_assignment_log(true);
+            sim.fault_lasts(for_s);
+            sim.after(for_s, |sim| sim.store.corrupt_assignment_log(false));
         }),
-        "forgets" => Box::new(|sim| sim.state.forget_history()),
+        "forgets" => Box::new(|sim| sim.store.compact_history()),
         "limits" => return limits(line),
         other => return Err(format!("the state service cannot {other}")),
     })
@@ -53,8 +53,8 @@
     let (value, ops) = (line.given("value_kb")?, line.given("txn_ops")?);
     let (writes, rps) = (line.given("write_rps")?, line.given("rps")?);
     Ok(Box::new(move |sim| {
-        let now = sim.state.limits();
-        sim.state.lower(Limits {
+        let now = sim.store.limits();
+        sim.store.lower_limits(StoreLimits {
             rps: rps.unwrap_or(now.rps),
             write_rps: writes.unwrap_or(now.write_rps),
             txn_ops: ops.map_or(now.txn_ops, |n| n as usize),
@@ -63,7 +63,7 @@
     }))
 }
 
-/// `cloud down|duds COUNT|empty for S`.
+/// `cloud down|machines_not_booting COUNT|empty for S`.
 pub(super) fn cloud(line: &Line) -> Result<Step, String> {
     let for_s = line.for_s;
     Ok(match line.at(1)? {
@@ -73,7 +73,7 @@
         }),
         "duds" => {
             let count = line.number_at(2)? as u32;
-            Box::new(move |sim| sim.cloud.duds = count)
+            Box::new(move |sim| sim.cloud.machines_not_booting = count)
         }
         "empty" => Box::new(|sim| sim.cloud.capacity.values_mut().for_each(|n| *n = 0)),
         other => return Err(format!("the cloud cannot {other}")),
--- a/crates/gladekeel-testkit/src/scenario/steps/users.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/users.rs
@@ -3,11 +3,11 @@
 use super::{Step, line::Line};
 use crate::{
     scenario::{
-        targets::which,
-        words::{names, number},
+        targets::node_indices,
+        tokens::{names, number},
         world::job,
     },
-    sim::Sim,
+    simulation::Simulation,
 };
 use gladekeel_wire::job::JobSpec;
 
@@ -20,7 +20,7 @@
     let cancelled = line.given_or_zero("cancelled")?;
     Ok(Box::new(move |sim| {
         for (place, spec) in specs.into_iter().enumerate() {
-            sim.rules.apart_s.insert(spec.id.clone(), apart_s);
+            sim.invariants.apart_s.insert(spec.id.clone(), apart_s);
             if every_s > 0.0 {
                 sim.submit_in_stream(spec, place as f64 * every_s, cancelled);
             } else {
@@ -48,9 +48,9 @@
 }
 
 /// The nodes that `through=WHO` names; none if it is not said.
-fn through(line: &Line) -> impl FnOnce(&Sim) -> Vec<usize> + 'static {
+fn through(line: &Line) -> impl FnOnce(&Simulation) -> Vec<usize> + 'static {
     let who = line.words.get("through").map(|who| (*who).to_owned());
-    move |sim| who.map_or_else(Vec::new, |who| which(sim, &who))
+    move |sim| who.map_or_else(Vec::new, |who| node_indices(sim, &who))
 }
 
 /// `cancel JOBS through=WHO`.
@@ -78,24 +78,24 @@
 pub(super) fn cancel_at_end(line: &Line) -> Result<Step, String> {
     let (share, for_s) = (line.number_at(1)?, line.for_s);
     Ok(Box::new(move |sim| {
-        sim.cancel_at_end = share;
-        sim.after(for_s, |sim| sim.cancel_at_end = 0.0);
+        sim.cancel_at_completion_share = share;
+        sim.after(for_s, |sim| sim.cancel_at_completion_share = 0.0);
     }))
 }
 
 /// `close_looks for S`: users ask at all nodes at once when a job is accepted, over or
 /// cancelled.
-pub(super) fn close_looks(line: &Line) -> Step {
+pub(super) fn read_your_writes(line: &Line) -> Step {
     let for_s = line.for_s;
-    Box::new(move |sim| sim.close_looks.until = sim.now + for_s)
+    Box::new(move |sim| sim.read_your_writes.until = sim.now + for_s)
 }
 
 /// `odd for S`: repeats, cancellations of jobs that are done, jobs that cannot run.
-pub(super) fn odd_requests(line: &Line) -> Step {
+pub(super) fn malformed_requests(line: &Line) -> Step {
     let for_s = line.for_s;
     Box::new(move |sim| {
         let until = sim.now + for_s;
-        sim.send_odd_requests(until);
+        sim.send_malformed_requests(until);
     })
 }
 
@@ -114,7 +114,7 @@
     let status = number(status)? as u16;
     Ok(Box::new(move |sim| {
         let node = sim.leading().unwrap_or(0);
-        sim.expect_http(node, method, path, body.into_bytes(), status);
+        sim.expect_status(node, method, path, body.into_bytes(), status);
     }))
 }
 
@@ -125,8 +125,8 @@
     let last = line.plain.len().saturating_sub(1);
     let status = line.number_at(last)? as u16;
     Ok(Box::new(move |sim| {
-        for node in which(sim, &node) {
-            sim.expect_http(node, method, path.clone(), Vec::new(), status);
+        for node in node_indices(sim, &node) {
+            sim.expect_status(node, method, path.clone(), Vec::new(), status);
         }
     }))
 }
--- a/crates/gladekeel-testkit/src/scenario/targets.rs
+++ b/crates/gladekeel-testkit/src/scenario/targets.rs
@@ -1,14 +1,14 @@
 //! Which nodes and machines a line means.
 
-use super::words::id;
+use super::tokens::id;
 use crate::{
-    sim::Sim,
-    worker::{Task, Worker},
+    simulation::Simulation,
+    stand_ins::worker::{FakeTask, FakeWorker},
 };
 use gladekeel_wire::worker::TaskState;
 
 /// Workers that hold tasks first, in the order of their names.
-pub(super) fn some_workers(sim: &Sim, count: usize) -> Vec<String> {
+pub(super) fn busiest_workers(sim: &Simulation, count: usize) -> Vec<String> {
     let mut names: Vec<(bool, String)> =
         sim.workers.iter().map(|(name, w)| (w.tasks.is_empty(), name.clone())).collect();
     names.sort();
@@ -16,34 +16,34 @@
 }
 
 /// Takes all machines of a gang but one as soon as it has completed.
-pub(super) fn take_once_done(sim: &mut Sim, job: String) {
+pub(super) fn terminate_holders_once_done(sim: &mut Simulation, job: String) {
     let done = id(&job).is_ok_and(|id| sim.gangs.record(&id).done);
     if !done {
-        return sim.after(0.01, move |sim| take_once_done(sim, job));
+        return sim.after(0.01, move |sim| terminate_holders_once_done(sim, job));
     }
-    let holds = |w: &&Worker| w.tasks.iter().any(|t| t.task.job.as_str() == job);
+    let holds = |w: &&FakeWorker| w.tasks.iter().any(|t| t.task.job.as_str() == job);
     let names: Vec<String> =
         sim.workers.values().filter(holds).map(|worker| worker.name.clone()).collect();
     for name in names.into_iter().skip(1) {
-        sim.take_machine(name, 0.0);
+        sim.terminate_machine(name, 0.0);
     }
 }
 
 /// A machine with a task of a job that has not ended, one that waits if there is any.
-pub(super) fn holder(sim: &Sim, job: &str) -> Option<String> {
-    let holds = |worker: &&Worker| {
-        let there = |t: &Task| t.task.job.as_str() == job && t.state != TaskState::Exited;
+pub(super) fn holder(sim: &Simulation, job: &str) -> Option<String> {
+    let holds = |worker: &&FakeWorker| {
+        let there = |t: &FakeTask| t.task.job.as_str() == job && t.state != TaskState::Exited;
         worker.tasks.iter().any(there)
     };
-    let waits = |worker: &&Worker| {
-        let waits = |t: &Task| t.task.job.as_str() == job && t.state == TaskState::Waiting;
+    let waits = |worker: &&FakeWorker| {
+        let waits = |t: &FakeTask| t.task.job.as_str() == job && t.state == TaskState::Waiting;
         worker.tasks.iter().any(waits)
     };
     let found = sim.workers.values().rfind(waits).or_else(|| sim.workers.values().rfind(holds));
     found.map(|worker| worker.name.clone())
 }
 
-pub(super) fn which(sim: &Sim, who: &str) -> Vec<usize> {
+pub(super) fn node_indices(sim: &Simulation, who: &str) -> Vec<usize> {
     match who {
         "leader" => sim.leading().into_iter().collect(),
         "all" => (0..sim.nodes()).collect(),
--- a/crates/gladekeel-testkit/src/scenario/words.rs
+++ b/crates/gladekeel-testkit/src/scenario/tokens.rs
@@ -1,13 +1,13 @@
-//! Words of a line, and the numbers and names among them.
+//! KeyValues of a line, and the numbers and names among them.
 
 use gladekeel_wire::JobId;
 use std::collections::BTreeMap;
 
 /// The `key=value` words of a line.
-pub(super) type Words<'a> = BTreeMap<&'a str, &'a str>;
+pub(super) type KeyValues<'a> = BTreeMap<&'a str, &'a str>;
 
 /// Splits `key=value` words from plain ones.
-pub(super) fn split(text: &str) -> (Vec<&str>, Words<'_>) {
+pub(super) fn split(text: &str) -> (Vec<&str>, KeyValues<'_>) {
     let mut plain = Vec::new();
     let mut pairs = BTreeMap::new();
     for word in text.split_whitespace() {
--- a/crates/gladekeel-testkit/src/scenario/world.rs
+++ b/crates/gladekeel-testkit/src/scenario/world.rs
@@ -2,12 +2,12 @@
 
 use super::{
     examples::{example_job, example_type, settings_with},
-    words::{Words, id, number},
+    tokens::{KeyValues, id, number},
 };
 use crate::{
-    cloud::Cloud,
-    sim::Sim,
-    state::{Limits, State},
+    simulation::Simulation,
+    stand_ins::cloud::FakeCloud,
+    stand_ins::store::{FakeStore, StoreLimits},
 };
 use gladekeel_wire::{
     cloud::MachineType,
@@ -17,7 +17,7 @@
 use std::collections::BTreeMap;
 
 /// Builds a world from its line.
-pub(super) fn world(words: &Words<'_>) -> Result<Sim, String> {
+pub(super) fn world(words: &KeyValues<'_>) -> Result<Simulation, String> {
     let get = |key: &str, default: f64| words.get(key).map_or(Ok(default), |text| number(text));
     let nodes = get("nodes", 3.0)? as usize;
     let gang = (get("gang_wait", 30.0)?, get("gang_peer", 4.0)?);
@@ -54,24 +54,24 @@
         .map(|number| MachineType { name: format!("m32-{number}"), ..example_type(zones.clone()) });
     let mut types: Vec<MachineType> = further.collect();
     types.push(MachineType { boot_s: get("boot", 20.0)?, ..example_type(zones) });
-    let state = State::new(Limits {
+    let state = FakeStore::new(StoreLimits {
         rps: params.store.rps,
         write_rps: params.store.write_rps,
         txn_ops: params.store.txn_ops,
         value: (params.store.value_kb * 1024.0) as usize,
     });
-    let cloud = Cloud::new(types, capacity, get("lag", 4.0)?);
-    let mut sim = Sim::new(settings, state, cloud, get("seed", 1.0)? as u64);
-    sim.late_copies = get("late_copies", 0.0)?;
-    sim.late_reports = get("late_reports", 0.0)?;
+    let cloud = FakeCloud::new(types, capacity, get("lag", 4.0)?);
+    let mut sim = Simulation::new(settings, state, cloud, get("seed", 1.0)? as u64);
+    sim.duplicated_request_share = get("late_copies", 0.0)?;
+    sim.duplicated_heartbeat_share = get("late_reports", 0.0)?;
     sim.step_s = get("step", sim.step_s)?;
-    sim.start_twice = words.contains_key("start_twice");
+    sim.start_tasks_twice = words.contains_key("start_twice");
     (sim.gang_wait_s, sim.gangs.peer_s) = gang;
     sim.gangs.alone = words.contains_key("gang_alone");
     Ok(sim)
 }
 
-pub(super) fn job(name: &str, words: &Words<'_>) -> Result<JobSpec, String> {
+pub(super) fn job(name: &str, words: &KeyValues<'_>) -> Result<JobSpec, String> {
     id(name)?;
     let mut spec = example_job(name);
     for (key, value) in words {
--- a/crates/gladekeel-testkit/src/sim/decision_trace.rs
+++ b/crates/gladekeel-testkit/src/simulation/decision_trace.rs
@@ -33,17 +33,17 @@
                 self.number(*id);
                 self.reply(reply);
             }
-            Action::CallStore { call, request, timeout_s: limit_s } => {
+            Action::CallStore { call, request, timeout_s } => {
                 self.tag(b"store");
-                self.call(*call, *limit_s, request.encode());
+                self.call(*call, *timeout_s, request.encode());
             }
-            Action::CallCloud { call, request, timeout_s: limit_s } => {
+            Action::CallCloud { call, request, timeout_s } => {
                 self.tag(b"cloud");
-                self.call(*call, *limit_s, request.encode());
+                self.call(*call, *timeout_s, request.encode());
             }
-            Action::CallWorker { call, request, timeout_s: limit_s } => {
+            Action::CallWorker { call, request, timeout_s } => {
                 self.tag(b"worker");
-                self.call(*call, *limit_s, encode_direct(request));
+                self.call(*call, *timeout_s, encode_direct(request));
             }
             Action::SendToPeer { peer, frame } => {
                 self.tag(b"mesh");
@@ -65,10 +65,10 @@
         self.bytes(&reply.body);
     }
 
-    fn call(&mut self, id: u64, limit_s: f64, request: (&'static str, String, Vec<u8>)) {
+    fn call(&mut self, id: u64, timeout_s: f64, request: (&'static str, String, Vec<u8>)) {
         let (method, target, body) = request;
         self.number(id);
-        self.number(limit_s.to_bits());
+        self.number(timeout_s.to_bits());
         self.tag(method.as_bytes());
         self.bytes(target.as_bytes());
         self.bytes(&body);
--- a/crates/gladekeel-testkit/src/sim/machines.rs
+++ b/crates/gladekeel-testkit/src/simulation/machines.rs
@@ -1,7 +1,7 @@
 //! Machines: how they come and go, their reports and the commands to them.
 
-use super::{ANSWER_S, End, Sim};
-use crate::worker::{Happened, Worker};
+use super::{ANSWER_S, Endpoint, Simulation};
+use crate::stand_ins::worker::{FakeWorker, WorkerEvent};
 use gladekeel_controller::{
     leader::{WorkerOutcome, WorkerRequest},
     node::{CallId, Event},
@@ -12,42 +12,42 @@
 };
 use rand::Rng;
 
-impl Sim {
+impl Simulation {
     pub(super) fn call_worker(
         &mut self,
         node: usize,
         incarnation: u64,
         call: CallId,
         request: WorkerRequest,
-        limit_s: f64,
+        timeout_s: f64,
     ) {
-        self.after(limit_s, move |sim| {
+        self.after(timeout_s, move |sim| {
             sim.event(node, incarnation, Event::Worker { call, outcome: WorkerOutcome::Unknown });
         });
         for command in request.body.iter().flat_map(|body| &body.commands) {
             if let Command::Start { task, .. } = command {
-                self.rules.sent_directly(self.now, task);
+                self.invariants.sent_directly(self.now, task);
             }
         }
-        if request.body.is_some() && self.happens(self.message_faults.late_commands) {
+        if request.body.is_some() && self.occurs(self.message_faults.delayed_command_share) {
             return self.delay_command(request);
         }
         // Addresses of workers are their machines' names here.
         let Some(worker) = self.workers.get(&request.addr) else { return };
         let zone = worker.zone.clone();
-        self.deliver(&End::Node(node), &End::Worker(zone.clone()), move |sim| {
+        self.deliver(&Endpoint::Node(node), &Endpoint::Worker(zone.clone()), move |sim| {
             let Some(worker) = sim.workers.get_mut(&request.addr) else { return };
             if worker.hung {
-                return worker.held.extend(request.body);
+                return worker.queued_commands.extend(request.body);
             }
-            if worker.deaf {
+            if worker.inbound_partitioned {
                 return;
             }
             let outcome = match &request.body {
                 Some(body) => sim.direct(&request.addr, body),
-                None => WorkerOutcome::Done(worker.report(sim.now)),
+                None => WorkerOutcome::Done(worker.heartbeat(sim.now)),
             };
-            sim.deliver(&End::Worker(zone), &End::Node(node), move |sim| {
+            sim.deliver(&Endpoint::Worker(zone), &Endpoint::Node(node), move |sim| {
                 sim.event(node, incarnation, Event::Worker { call, outcome });
             });
         });
@@ -55,15 +55,15 @@
 
     pub(super) fn direct(&mut self, name: &str, body: &DirectCommands) -> WorkerOutcome {
         let Some(worker) = self.workers.get_mut(name) else { return WorkerOutcome::NotExecuted };
-        let rules = &self.rules;
-        let find = |task: &TaskId| rules.task_spec(task);
-        let (executed, happened) = worker.direct(self.now, body, &find);
-        let report = worker.report(self.now);
+        let invariants = &self.invariants;
+        let find = |task: &TaskId| invariants.task_spec(task);
+        let (executed, events) = worker.handle_direct_commands(self.now, body, &find);
+        let report = worker.heartbeat(self.now);
         let (kind, zone, spot) = (worker.machine_type.clone(), worker.zone.clone(), worker.spot);
-        self.note(name, &kind, &zone, spot, happened);
-        if self.start_twice {
+        self.note(name, &kind, &zone, spot, events);
+        if self.start_tasks_twice {
             let answer = HeartbeatResponse { token: body.token, commands: body.commands.clone() };
-            self.sabotage(name, &answer);
+            self.start_on_second_worker(name, &answer);
         }
         if executed { WorkerOutcome::Done(report) } else { WorkerOutcome::NotExecuted }
     }
@@ -81,7 +81,7 @@
             }
             let room = (kind.cpus, kind.gpus, kind.memory_gb);
             let node = sim.rng.random_range(0..sim.nodes.len());
-            let mut worker = Worker::new(
+            let mut worker = FakeWorker::new(
                 name.clone(),
                 machine.machine_type,
                 machine.zone,
@@ -98,7 +98,7 @@
     }
 
     /// How many workers report to the leader itself.
-    pub fn heard_by_leader(&self) -> usize {
+    pub fn workers_at_leader(&self) -> usize {
         let leading = self.leading();
         self.workers.values().filter(|worker| Some(worker.node) == leading).count()
     }
@@ -106,25 +106,25 @@
     /// A machine is gone with everything on it.
     pub fn remove_worker(&mut self, name: &str) {
         let Some(mut worker) = self.workers.remove(name) else { return };
-        let happened = worker.kill_all();
-        self.note(name, &worker.machine_type, &worker.zone, worker.spot, happened);
+        let events = worker.kill_all();
+        self.note(name, &worker.machine_type, &worker.zone, worker.spot, events);
     }
 
     /// A machine is back from a restart at once.
     pub fn reboot(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let happened = worker.reboot(now);
+        let events = worker.reboot(now);
         let (kind, zone, spot) = (worker.machine_type.clone(), worker.zone.clone(), worker.spot);
-        self.note(name, &kind, &zone, spot, happened);
+        self.note(name, &kind, &zone, spot, events);
     }
 
     /// The cloud takes a machine, with a notice or without.
-    pub fn take_machine(&mut self, name: String, notice_s: f64) {
+    pub fn terminate_machine(&mut self, name: String, notice_s: f64) {
         if let Some(worker) = self.workers.get_mut(&name)
             && notice_s > 0.0
         {
-            worker.leaves_at = Some(self.now + notice_s);
+            worker.terminates_at = Some(self.now + notice_s);
             worker.changed = true;
         }
         self.after(notice_s, move |sim| {
@@ -139,19 +139,21 @@
         machine_type: &str,
         zone: &str,
         spot: bool,
-        happened: Vec<Happened>,
+        events: Vec<WorkerEvent>,
     ) {
-        for what in happened {
+        for what in events {
             match what {
-                Happened::Started(task) => {
-                    self.rules.started(self.now, &task, name, machine_type, zone, spot);
+                WorkerEvent::TaskStarted(task) => {
+                    self.invariants.started(self.now, &task, name, machine_type, zone, spot);
                 }
-                Happened::NoRoom(_) => self.rules.starts_without_room += 1,
-                Happened::Runs(task, attempt) => self.rules.runs(self.now, &task, attempt),
-                Happened::Ended(task, completed) => {
-                    self.rules.ended(&task, name, completed);
-                    if completed && self.rules.has_finished(&task.job) {
-                        self.at_the_end(task.job);
+                WorkerEvent::StartRefused(_) => self.invariants.starts_without_room += 1,
+                WorkerEvent::GangTaskRunning { task, attempt } => {
+                    self.invariants.runs(self.now, &task, attempt);
+                }
+                WorkerEvent::TaskEnded { task, completed } => {
+                    self.invariants.ended(&task, name, completed);
+                    if completed && self.invariants.has_finished(&task.job) {
+                        self.at_completion(task.job);
                     }
                 }
             }
@@ -166,21 +168,21 @@
                 (worker.machine_type.clone(), worker.zone.clone(), worker.spot);
             self.note(&name, &kind, &zone, spot, vec![what]);
         }
-        self.after(self.step_s, Sim::step_gangs);
+        self.after(self.step_s, Simulation::step_gangs);
     }
 
     fn step_worker(&mut self, name: String, report_at: f64) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&name) else { return };
-        let happened = worker.step(now);
-        if !worker.hung && !worker.held.is_empty() {
+        let events = worker.step(now);
+        if !worker.hung && !worker.queued_commands.is_empty() {
             // A machine that goes on carries out what reached it meanwhile.
-            let held = std::mem::take(&mut worker.held);
+            let held = std::mem::take(&mut worker.queued_commands);
             for body in held {
                 self.direct(&name, &body);
             }
         }
-        self.send_held_report(&name);
+        self.send_delayed_heartbeat(&name);
         let Some(worker) = self.workers.get_mut(&name) else { return };
         let (machine_type, zone, spot) =
             (worker.machine_type.clone(), worker.zone.clone(), worker.spot);
@@ -189,26 +191,28 @@
         let mut next = report_at;
         if sends {
             worker.changed = false;
-            let report = worker.report(now);
+            let report = worker.heartbeat(now);
             worker.in_flight = Some(report.sequence);
             next = now + self.report_s * self.rng.random_range(0.75..1.25);
-            self.send_report(name.clone(), report);
+            self.send_heartbeat(name.clone(), report);
         }
-        self.note(&name, &machine_type, &zone, spot, happened);
+        self.note(&name, &machine_type, &zone, spot, events);
         self.after(self.step_s, move |sim| sim.step_worker(name, next));
     }
 
     /// The report that a machine was about to send when it hung goes out when it goes on,
     /// before newer ones or after them. Its answer is too late to count.
-    fn send_held_report(&mut self, name: &str) {
-        let Some(worker) = self.workers.get_mut(name).filter(|w| !w.hung && !w.mute) else {
+    fn send_delayed_heartbeat(&mut self, name: &str) {
+        let Some(worker) =
+            self.workers.get_mut(name).filter(|w| !w.hung && !w.outbound_partitioned)
+        else {
             return;
         };
-        let Some((made_at, report)) = worker.held_report.take() else { return };
+        let Some((made_at, report)) = worker.delayed_heartbeat.take() else { return };
         if self.now - made_at < ANSWER_S {
             return;
         }
-        let (node, from) = (worker.node, End::Worker(worker.zone.clone()));
+        let (node, from) = (worker.node, Endpoint::Worker(worker.zone.clone()));
         let body = serde_json::to_vec(&report).unwrap_or_default();
         let after_s = self.rng.random_range(0.0..3.0);
         self.after(after_s, move |sim| {
@@ -216,10 +220,10 @@
         });
     }
 
-    fn send_report(&mut self, name: String, report: gladekeel_wire::worker::Heartbeat) {
+    fn send_heartbeat(&mut self, name: String, report: gladekeel_wire::worker::Heartbeat) {
         let Some(worker) = self.workers.get(&name) else { return };
         let (node, zone, sent_at) = (worker.node, worker.zone.clone(), self.now);
-        if worker.mute {
+        if worker.outbound_partitioned {
             // It cannot open a connection and tries the next node.
             let nodes = self.nodes.len();
             return self.after(1.0, move |sim| {
@@ -230,25 +234,26 @@
                 }
             });
         }
-        if self.rng.random::<f64>() < self.late_reports {
+        if self.rng.random::<f64>() < self.duplicated_heartbeat_share {
             let after_s = self.rng.random_range(1.0..3.0 * self.lease_s);
             let (node, from) =
-                (self.rng.random_range(0..self.nodes.len()), End::Worker(zone.clone()));
+                (self.rng.random_range(0..self.nodes.len()), Endpoint::Worker(zone.clone()));
             let body = serde_json::to_vec(&report).unwrap_or_default();
             self.after(after_s, move |sim| {
                 let request = ("POST", "/checkin".to_owned(), body);
                 sim.request(from, node, request, ANSWER_S, |_, _| {});
             });
         }
-        self.maybe_keep_report(End::Worker(zone.clone()), &report);
+        self.maybe_retain_heartbeat(Endpoint::Worker(zone.clone()), &report);
         let (session, seq) = (report.incarnation, report.sequence);
         let body = serde_json::to_vec(&report).unwrap_or_default();
         let request = ("POST", "/checkin".to_owned(), body);
-        self.request(End::Worker(zone), node, request, ANSWER_S, move |sim, reply| {
+        self.request(Endpoint::Worker(zone), node, request, ANSWER_S, move |sim, reply| {
             let nodes = sim.nodes.len();
             let Some(worker) = sim.workers.get_mut(&name) else { return };
-            let reply = reply.filter(|_| !worker.deaf && !worker.mute);
-            if worker.hung || worker.session != session || worker.in_flight != Some(seq) {
+            let reply =
+                reply.filter(|_| !worker.inbound_partitioned && !worker.outbound_partitioned);
+            if worker.hung || worker.incarnation != session || worker.in_flight != Some(seq) {
                 worker.in_flight = None;
                 return;
             }
@@ -260,17 +265,18 @@
                 worker.in_flight = None;
                 for command in &answer.commands {
                     if let Command::Start { task, .. } = command {
-                        sim.rules.sent_in_answer(task);
+                        sim.invariants.sent_in_answer(task);
                     }
                 }
-                let rules = &sim.rules;
-                let find = |task: &TaskId| rules.task_spec(task);
-                let happened = worker.answered(sim.now, session, sent_at, &answer, &find);
+                let invariants = &sim.invariants;
+                let find = |task: &TaskId| invariants.task_spec(task);
+                let events =
+                    worker.handle_heartbeat_response(sim.now, session, sent_at, &answer, &find);
                 let (kind, zone, spot) =
                     (worker.machine_type.clone(), worker.zone.clone(), worker.spot);
-                sim.note(&name, &kind, &zone, spot, happened);
-                if sim.start_twice {
-                    sim.sabotage(&name, &answer);
+                sim.note(&name, &kind, &zone, spot, events);
+                if sim.start_tasks_twice {
+                    sim.start_on_second_worker(&name, &answer);
                 }
                 return;
             }
@@ -278,7 +284,7 @@
                 .filter(|reply| reply.status == 421)
                 .and_then(|reply| serde_json::from_slice::<Redirect>(&reply.body).ok()?.report_to);
             let named = elsewhere
-                .and_then(|name| sim.nodes.iter().position(|slot| slot.settings.node == name));
+                .and_then(|name| sim.nodes.iter().position(|host| host.settings.node == name));
             worker.node = named.filter(|named| *named != node).unwrap_or((node + 1) % nodes);
             let pause = if named.is_some_and(|named| named != node) { 0.2 } else { 1.0 };
             worker.changed = true;
@@ -291,7 +297,7 @@
     }
 
     /// Starts what a worker was told to start on another machine as well.
-    fn sabotage(&mut self, name: &str, answer: &HeartbeatResponse) {
+    fn start_on_second_worker(&mut self, name: &str, answer: &HeartbeatResponse) {
         if answer.commands.is_empty() {
             return;
         }
@@ -305,17 +311,17 @@
         let Some((_, other)) = self.workers.iter_mut().find(|(other, _)| *other != name) else {
             return;
         };
-        let rules = &self.rules;
-        let find = |task: &TaskId| rules.spec(&task.job);
+        let invariants = &self.invariants;
+        let find = |task: &TaskId| invariants.spec(&task.job);
         let answer = HeartbeatResponse { token: answer.token, commands: starts };
-        let session = other.session;
-        other.answered(now, session, now, &answer, &find);
+        let session = other.incarnation;
+        other.handle_heartbeat_response(now, session, now, &answer, &find);
     }
 
     /// Machines hang for a while.
     pub fn hang(&mut self, names: Vec<String>, for_s: f64) {
-        self.trouble(for_s);
-        let set = move |sim: &mut Sim, on: bool| {
+        self.fault_lasts(for_s);
+        let set = move |sim: &mut Simulation, on: bool| {
             let now = sim.now;
             for name in &names {
                 if let Some(worker) = sim.workers.get_mut(name) {
--- a/crates/gladekeel-testkit/src/sim/odd_requests.rs
+++ b/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
@@ -1,21 +1,21 @@
 //! Requests that have to be refused, and repeats.
 
-use super::{End, Sim};
+use super::{Endpoint, Simulation};
 use gladekeel_wire::{JobId, job::JobState};
 
-impl Sim {
+impl Simulation {
     /// Users' odd requests, one of each kind a second: a repeat of an unfinished job, a
     /// cancellation of a done one, jobs that lack a field or fit no machine.
-    pub fn send_odd_requests(&mut self, until: f64) {
+    pub fn send_malformed_requests(&mut self, until: f64) {
         if self.now >= until {
             return;
         }
-        self.odd_requests += 1;
-        let turn = self.odd_requests as usize;
+        self.malformed_requests += 1;
+        let turn = self.malformed_requests as usize;
         let pick = |ids: Vec<JobId>| ids.get(turn % ids.len().max(1)).cloned();
         let told = |wanted: fn(JobState) -> bool| {
-            let ids = self.followed.iter();
-            pick(ids.filter(|id| self.rules.last(id).is_some_and(wanted)).cloned().collect())
+            let ids = self.submitted_jobs.iter();
+            pick(ids.filter(|id| self.invariants.last(id).is_some_and(wanted)).cloned().collect())
         };
         let (open, done) = (told(|s| !s.is_final()), told(|s| s == JobState::Done));
         if let Some(id) = open {
@@ -58,7 +58,7 @@
         }
         self.poll_once(lacking.id.clone());
         self.expect_refusal(serde_json::to_vec(&lacking).unwrap_or_default(), 422);
-        self.after(1.0, move |sim| sim.send_odd_requests(until));
+        self.after(1.0, move |sim| sim.send_malformed_requests(until));
     }
 
     /// Sends a submission that has to be refused with this status, or be put off.
@@ -66,9 +66,9 @@
         let Some(node) = self.any_node() else { return };
         let text = String::from_utf8_lossy(&body).into_owned();
         let request = ("POST", "/api/jobs".to_owned(), body);
-        self.request(End::Users, node, request, 5.0, move |sim, reply| {
+        self.request(Endpoint::Users, node, request, 5.0, move |sim, reply| {
             let got = reply.map_or(0, |reply| reply.status);
-            sim.rules.odd_answer(sim.now, wanted, got, &text);
+            sim.invariants.check_status(sim.now, wanted, got, &text);
         });
     }
 
@@ -78,10 +78,10 @@
         for path in ["/api/jobs", "/checkin", "/api/jobs/job-%/cancel", "/api/jobs//", "/"] {
             for body in bodies {
                 let request = ("POST", path.to_owned(), body.to_vec());
-                self.request(End::Users, node, request, 5.0, |sim, reply| {
+                self.request(Endpoint::Users, node, request, 5.0, |sim, reply| {
                     let status = reply.map_or(0, |reply| reply.status);
                     if !(400..500).contains(&status) && status != 503 {
-                        sim.rules.broken.push(("junk", format!("junk was answered {status}")));
+                        sim.invariants.broken.push(("junk", format!("junk was answered {status}")));
                     }
                 });
             }
@@ -89,7 +89,7 @@
     }
 
     /// Sends a request to a node, whose answer must have this status.
-    pub fn expect_http(
+    pub fn expect_status(
         &mut self,
         node: usize,
         method: &'static str,
@@ -98,11 +98,13 @@
         status: u16,
     ) {
         let what = format!("{method} {path}");
-        self.request(End::Users, node, (method, path, body), 5.0, move |sim, reply| {
+        self.request(Endpoint::Users, node, (method, path, body), 5.0, move |sim, reply| {
             let got = reply.as_ref().map_or(0, |reply| reply.status);
             if got != status {
                 let body = reply.map(|reply| String::from_utf8_lossy(&reply.body).into_owned());
-                sim.rules.broken.push(("http", format!("{what}: {got} {body:?}, not {status}")));
+                sim.invariants
+                    .broken
+                    .push(("http", format!("{what}: {got} {body:?}, not {status}")));
             }
         });
     }
--- a/crates/gladekeel-testkit/src/sim/network.rs
+++ b/crates/gladekeel-testkit/src/simulation/network.rs
@@ -1,15 +1,15 @@
 //! The network: delays, cuts, and packets that are held back.
 
-use super::Sim;
+use super::Simulation;
 use rand::Rng;
 
 /// One end of a connection.
 #[derive(Debug, Clone, PartialEq)]
-pub enum End {
+pub enum Endpoint {
     /// A controller.
     Node(usize),
     /// The state service.
-    State,
+    Store,
     /// The cloud.
     Cloud,
     /// A worker in this zone.
@@ -22,20 +22,20 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Cut {
     /// A node from one kind of other end, or from all.
-    Node(usize, From),
+    Node(usize, CutScope),
     /// Two zones from one another.
     Zones(String, String),
 }
 
 /// The other side of a node's cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum From {
+pub enum CutScope {
     /// Everything.
     All,
     /// Workers.
     Workers,
     /// The state service.
-    State,
+    Store,
     /// The cloud.
     Cloud,
     /// Other controllers.
@@ -59,30 +59,32 @@
     Held(f64),
 }
 
-impl Sim {
-    fn zone_of(&self, end: &End) -> Option<String> {
+impl Simulation {
+    fn zone_of(&self, end: &Endpoint) -> Option<String> {
         match end {
-            End::Node(node) => Some(self.nodes[*node].settings.zone.clone()),
-            End::Worker(zone) => Some(zone.clone()),
+            Endpoint::Node(node) => Some(self.nodes[*node].settings.zone.clone()),
+            Endpoint::Worker(zone) => Some(zone.clone()),
             _ => None,
         }
     }
 
-    fn path(&self, a: &End, b: &End) -> Path {
+    fn path(&self, a: &Endpoint, b: &Endpoint) -> Path {
         for active in self.cuts.iter().filter(|active| self.now < active.until) {
             let hit = match &active.cut {
                 Cut::Node(node, from) => {
                     let other = match (a, b) {
-                        (End::Node(n), other) | (other, End::Node(n)) if n == node => other,
+                        (Endpoint::Node(n), other) | (other, Endpoint::Node(n)) if n == node => {
+                            other
+                        }
                         _ => continue,
                     };
                     match from {
-                        From::All => true,
-                        From::Workers => matches!(other, End::Worker(_)),
-                        From::State => *other == End::State,
-                        From::Cloud => *other == End::Cloud,
-                        From::Mesh => matches!(other, End::Node(_)),
-                        From::Users => *other == End::Users,
+                        CutScope::All => true,
+                        CutScope::Workers => matches!(other, Endpoint::Worker(_)),
+                        CutScope::Store => *other == Endpoint::Store,
+                        CutScope::Cloud => *other == Endpoint::Cloud,
+                        CutScope::Mesh => matches!(other, Endpoint::Node(_)),
+                        CutScope::Users => *other == Endpoint::Users,
                     }
                 }
                 Cut::Zones(x, y) => {
@@ -100,21 +102,26 @@
 
     /// Cuts something off for a while; with `hold` packets arrive afterwards.
     pub fn cut(&mut self, cut: Cut, for_s: f64, hold: bool) {
-        self.trouble(for_s);
+        self.fault_lasts(for_s);
         self.cuts.push(ActiveCut { cut, until: self.now + for_s, hold });
     }
 
     /// A trouble lasts for so long.
-    pub fn trouble(&mut self, for_s: f64) {
-        self.rules.calm_from = self.rules.calm_from.max(self.now + for_s);
+    pub fn fault_lasts(&mut self, for_s: f64) {
+        self.invariants.faults_cleared_at = self.invariants.faults_cleared_at.max(self.now + for_s);
     }
 
     pub(super) fn delay(&mut self) -> f64 {
         let slow = self.rng.random::<f64>() < 0.01;
-        self.links_slow * (self.rng.random_range(0.001..0.01) + if slow { 0.3 } else { 0.0 })
+        self.network_slowdown * (self.rng.random_range(0.001..0.01) + if slow { 0.3 } else { 0.0 })
     }
 
-    pub(super) fn deliver(&mut self, from: &End, to: &End, job: impl FnOnce(&mut Sim) + 'static) {
+    pub(super) fn deliver(
+        &mut self,
+        from: &Endpoint,
+        to: &Endpoint,
+        job: impl FnOnce(&mut Simulation) + 'static,
+    ) {
         let delay = self.delay();
         match self.path(from, to) {
             Path::Open => self.after(delay, job),
--- a/crates/gladekeel-testkit/src/sim/nodes.rs
+++ b/crates/gladekeel-testkit/src/simulation/nodes.rs
@@ -1,35 +1,35 @@
 //! Controllers: their starts and ends, their clocks, the events and actions between them.
 
-use super::{End, STEP_S, Sim, Slot, Then};
+use super::{Endpoint, ResponseHandler, STEP_S, SimulatedNode, Simulation};
 use gladekeel_controller::node::{Action, Event, Node};
 use gladekeel_wire::mesh::FrameHeader;
 use rand::Rng;
 
-impl Sim {
+impl Simulation {
     /// Starts a node.
     pub fn start(&mut self, node: usize) {
         let seed = self.rng.random();
-        let slot = &mut self.nodes[node];
-        slot.incarnation += 1;
-        slot.started = self.now;
-        slot.frozen_until = self.now;
-        slot.replies.clear();
-        slot.node = Some(Node::new(slot.settings.clone(), seed, slot.started));
-        let incarnation = slot.incarnation;
+        let host = &mut self.nodes[node];
+        host.incarnation += 1;
+        host.started = self.now;
+        host.paused_until = self.now;
+        host.replies.clear();
+        host.node = Some(Node::new(host.settings.clone(), seed, host.started));
+        let incarnation = host.incarnation;
         self.tick(node, incarnation);
     }
 
     /// Lets a node stand still; what reaches it meanwhile waits.
-    pub fn freeze(&mut self, node: usize, for_s: f64) {
-        self.trouble(for_s);
-        self.nodes[node].frozen_until = self.now + for_s;
+    pub fn pause(&mut self, node: usize, for_s: f64) {
+        self.fault_lasts(for_s);
+        self.nodes[node].paused_until = self.now + for_s;
     }
 
     /// Ends a node without notice.
     pub fn crash(&mut self, node: usize) {
-        let slot = &mut self.nodes[node];
-        slot.node = None;
-        let lost: Vec<Then> = std::mem::take(&mut slot.replies).into_values().collect();
+        let host = &mut self.nodes[node];
+        host.node = None;
+        let lost: Vec<ResponseHandler> = std::mem::take(&mut host.replies).into_values().collect();
         for then in lost {
             then(self, None);
         }
@@ -38,7 +38,7 @@
     /// Ends a node and starts it again after a while.
     pub fn restart(&mut self, node: usize, after_s: f64) {
         self.crash(node);
-        self.trouble(after_s);
+        self.fault_lasts(after_s);
         self.after(after_s, move |sim| {
             if sim.nodes[node].node.is_none() {
                 sim.start(node);
@@ -48,7 +48,8 @@
 
     /// The node that leads, as far as any of them thinks so.
     pub fn leading(&self) -> Option<usize> {
-        let leads = |slot: &Slot| slot.node.as_ref().and_then(|n| n.leader()).map(|l| l.token);
+        let leads =
+            |host: &SimulatedNode| host.node.as_ref().and_then(|n| n.leader()).map(|l| l.token);
         (0..self.nodes.len())
             .filter_map(|node| Some((leads(&self.nodes[node])?, node)))
             .max()
@@ -69,29 +70,29 @@
 
     /// Age of the oldest open job, by the leader's count.
     pub fn oldest_job_s(&self) -> Option<f64> {
-        let slot = &self.nodes[self.leading()?];
-        slot.node.as_ref()?.leader()?.oldest_job_s(self.now - slot.started)
+        let host = &self.nodes[self.leading()?];
+        host.node.as_ref()?.leader()?.oldest_job_s(self.now - host.started)
     }
 
     fn tick(&mut self, node: usize, incarnation: u64) {
         if self.nodes[node].incarnation != incarnation || self.nodes[node].node.is_none() {
             return;
         }
-        let frozen_s = self.nodes[node].frozen_until - self.now;
-        if frozen_s > 0.0 {
-            return self.after(frozen_s, move |sim| sim.tick(node, incarnation));
+        let paused_s = self.nodes[node].paused_until - self.now;
+        if paused_s > 0.0 {
+            return self.after(paused_s, move |sim| sim.tick(node, incarnation));
         }
         self.event(node, incarnation, Event::Tick);
         if let Some(leader) = self.nodes[node].node.as_ref().and_then(|n| n.leader()) {
             let seen = (leader.token, node);
             // Attempts are numbered by token: nobody may lead twice under one.
             let since = leader.since();
-            if *self.reigns.entry(seen.0).or_insert(since) != since {
-                self.rules.broke("token_reused", format!("{:.2}: {}", self.now, seen.0));
+            if *self.leadership_terms.entry(seen.0).or_insert(since) != since {
+                self.invariants.broke("token_reused", format!("{:.2}: {}", self.now, seen.0));
             }
             if !self.leaders.contains(&seen) {
                 self.leaders.push(seen);
-                self.release_kept_reports();
+                self.release_retained_heartbeats();
             }
         }
         self.after(STEP_S, move |sim| sim.tick(node, incarnation));
@@ -99,16 +100,16 @@
 
     pub(super) fn event(&mut self, node: usize, incarnation: u64, event: Event) {
         let now = self.now;
-        let slot = &mut self.nodes[node];
-        if slot.incarnation != incarnation {
+        let host = &mut self.nodes[node];
+        if host.incarnation != incarnation {
             return;
         }
-        let frozen_s = slot.frozen_until - now;
-        if frozen_s > 0.0 {
-            return self.after(frozen_s, move |sim| sim.event(node, incarnation, event));
+        let paused_s = host.paused_until - now;
+        if paused_s > 0.0 {
+            return self.after(paused_s, move |sim| sim.event(node, incarnation, event));
         }
-        let started = slot.started;
-        let Some(running) = &mut slot.node else { return };
+        let started = host.started;
+        let Some(running) = &mut host.node else { return };
         for action in running.handle(now - started, event) {
             self.act(node, incarnation, action);
         }
@@ -122,20 +123,20 @@
                     then(self, Some(reply));
                 }
             }
-            Action::CallStore { call, request, timeout_s: limit_s } => {
-                self.call_state(node, incarnation, call, request, limit_s);
+            Action::CallStore { call, request, timeout_s } => {
+                self.call_store(node, incarnation, call, request, timeout_s);
             }
-            Action::CallCloud { call, request, timeout_s: limit_s } => {
-                self.call_cloud(node, incarnation, call, request, limit_s);
+            Action::CallCloud { call, request, timeout_s } => {
+                self.call_cloud(node, incarnation, call, request, timeout_s);
             }
-            Action::CallWorker { call, request, timeout_s: limit_s } => {
-                self.call_worker(node, incarnation, call, request, limit_s);
+            Action::CallWorker { call, request, timeout_s } => {
+                self.call_worker(node, incarnation, call, request, timeout_s);
             }
             Action::SendToPeer { peer, frame } => {
                 let name = self.nodes[node].settings.peers[peer].node.clone();
-                let to = self.nodes.iter().position(|slot| slot.settings.node == name);
+                let to = self.nodes.iter().position(|host| host.settings.node == name);
                 let Some(to) = to else { return };
-                self.deliver(&End::Node(node), &End::Node(to), move |sim| {
+                self.deliver(&Endpoint::Node(node), &Endpoint::Node(to), move |sim| {
                     let (head, payload) = frame.split_at(FrameHeader::SIZE);
                     let read = head.try_into().ok().and_then(|head| FrameHeader::read(&head));
                     let Some((header, kind)) = read else { return };
--- a/crates/gladekeel-testkit/src/sim/services.rs
+++ b/crates/gladekeel-testkit/src/simulation/services.rs
@@ -1,6 +1,6 @@
 //! What controllers ask the state service and the cloud.
 
-use super::{End, Sim};
+use super::{Endpoint, Simulation};
 use gladekeel_controller::{
     cloud_api::{CloudOutcome, CloudRequest},
     node::{CallId, Event},
@@ -8,49 +8,49 @@
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use rand::Rng;
 
-impl Sim {
-    pub(super) fn call_state(
+impl Simulation {
+    pub(super) fn call_store(
         &mut self,
         node: usize,
         incarnation: u64,
         call: CallId,
         request: StoreRequest,
-        limit_s: f64,
+        timeout_s: f64,
     ) {
-        self.after(limit_s, move |sim| {
+        self.after(timeout_s, move |sim| {
             sim.event(node, incarnation, Event::Store { call, outcome: StoreOutcome::Unknown });
         });
-        let late = self.late_writes > 0.0
+        let late = self.delayed_commit_share > 0.0
             && matches!(request, StoreRequest::Commit(_))
-            && self.rng.random::<f64>() < self.late_writes
-            && !self.state.down
-            && !self.state.refused.contains(&node);
+            && self.rng.random::<f64>() < self.delayed_commit_share
+            && !self.store.down
+            && !self.store.refused.contains(&node);
         if late {
             let after_s = self.rng.random_range(2.0..12.0);
-            return self.deliver(&End::Node(node), &End::State, move |sim| {
+            return self.deliver(&Endpoint::Node(node), &Endpoint::Store, move |sim| {
                 sim.after(after_s, move |sim| sim.carry_out_late(request));
             });
         }
         let answer_lost = matches!(request, StoreRequest::Commit(_))
-            && self.happens(self.message_faults.lost_answers);
-        let copies = 1 + usize::from(self.rng.random::<f64>() < self.late_copies);
+            && self.occurs(self.message_faults.lost_response_share);
+        let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplicated_request_share);
         for copy in 0..copies {
             let request = request.clone();
             let extra = if copy == 0 { 0.0 } else { self.rng.random_range(0.5..20.0) };
-            let extra = extra + self.state_delay();
+            let extra = extra + self.store_delay();
             self.after(extra, move |sim| {
-                sim.deliver(&End::Node(node), &End::State, move |sim| {
-                    let outcome = sim.state.call(sim.now, node, &request);
+                sim.deliver(&Endpoint::Node(node), &Endpoint::Store, move |sim| {
+                    let outcome = sim.store.call(sim.now, node, &request);
                     if copy == 0 && matches!(outcome, StoreOutcome::Committed(_)) {
-                        sim.message_faults.answers_lost += u64::from(answer_lost);
+                        sim.message_faults.responses_lost += u64::from(answer_lost);
                         sim.committed(node);
                     }
-                    if sim.state_mute || answer_lost || copy > 0 {
+                    if sim.store_responses_lost || answer_lost || copy > 0 {
                         return;
                     }
-                    let slow_s = sim.state_delay();
+                    let slow_s = sim.store_delay();
                     sim.after(slow_s, move |sim| {
-                        sim.deliver(&End::State, &End::Node(node), move |sim| {
+                        sim.deliver(&Endpoint::Store, &Endpoint::Node(node), move |sim| {
                             sim.event(node, incarnation, Event::Store { call, outcome });
                         });
                     });
@@ -72,18 +72,18 @@
     }
 
     /// What a slow state service adds to the delay of a message.
-    fn state_delay(&mut self) -> f64 {
-        if self.state_slow > 1.0 { (self.state_slow - 1.0) * self.delay() } else { 0.0 }
+    fn store_delay(&mut self) -> f64 {
+        if self.store_slowdown > 1.0 { (self.store_slowdown - 1.0) * self.delay() } else { 0.0 }
     }
 
     /// Carries out a transaction that the state service has taken long ago: its node may
     /// be refused by now, and an outage only puts it off.
     fn carry_out_late(&mut self, request: StoreRequest) {
-        if self.state.down {
+        if self.store.down {
             return self.after(1.0, move |sim| sim.carry_out_late(request));
         }
         // Nobody waits for the answer.
-        self.state.call(self.now, usize::MAX, &request);
+        self.store.call(self.now, usize::MAX, &request);
     }
 
     pub(super) fn call_cloud(
@@ -92,17 +92,17 @@
         incarnation: u64,
         call: CallId,
         request: CloudRequest,
-        limit_s: f64,
+        timeout_s: f64,
     ) {
-        self.after(limit_s, move |sim| {
+        self.after(timeout_s, move |sim| {
             sim.event(node, incarnation, Event::Cloud { call, outcome: CloudOutcome::Unknown });
         });
-        let copies = 1 + usize::from(self.rng.random::<f64>() < self.late_copies);
+        let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplicated_request_share);
         for copy in 0..copies {
             let request = request.clone();
             let extra = if copy == 0 { 0.1 } else { self.rng.random_range(0.5..20.0) };
             self.after(extra, move |sim| {
-                sim.deliver(&End::Node(node), &End::Cloud, move |sim| {
+                sim.deliver(&Endpoint::Node(node), &Endpoint::Cloud, move |sim| {
                     let (outcome, came, went) = sim.cloud.call(sim.now, &request);
                     for name in came {
                         sim.boot(name);
@@ -111,7 +111,7 @@
                         sim.remove_worker(&name);
                     }
                     if copy == 0 {
-                        sim.deliver(&End::Cloud, &End::Node(node), move |sim| {
+                        sim.deliver(&Endpoint::Cloud, &Endpoint::Node(node), move |sim| {
                             sim.event(node, incarnation, Event::Cloud { call, outcome });
                         });
                     }
--- a/crates/gladekeel-testkit/src/sim/users.rs
+++ b/crates/gladekeel-testkit/src/simulation/users.rs
@@ -1,7 +1,7 @@
 //! Users: submissions, questions and cancellations.
 
-use super::{End, Sim};
-use crate::worker::Worker;
+use super::{Endpoint, Simulation};
+use crate::stand_ins::worker::FakeWorker;
 use gladekeel_wire::{
     JobId,
     job::{JobKind, JobSpec, JobState, JobStatus},
@@ -13,7 +13,7 @@
 /// How long after its submission a job of a stream is cancelled.
 const CANCELLED_WITHIN_S: Range<f64> = 0.0..12.0;
 
-impl Sim {
+impl Simulation {
     pub(super) fn any_node(&mut self) -> Option<usize> {
         let up: Vec<usize> =
             (0..self.nodes.len()).filter(|node| self.nodes[*node].node.is_some()).collect();
@@ -24,13 +24,13 @@
         &mut self,
         id: JobId,
         request: (&'static str, String, Vec<u8>),
-        limit_s: f64,
-        then: impl FnOnce(&mut Sim, u16, Option<JobState>) + 'static,
+        timeout_s: f64,
+        then: impl FnOnce(&mut Simulation, u16, Option<JobState>) + 'static,
     ) {
         let Some(node) = self.any_node() else {
             return self.after(1.0, move |sim| then(sim, 0, None));
         };
-        self.ask_node(node, id, request, limit_s, then);
+        self.ask_node(node, id, request, timeout_s, then);
     }
 
     fn ask_node(
@@ -38,12 +38,12 @@
         node: usize,
         id: JobId,
         request: (&'static str, String, Vec<u8>),
-        limit_s: f64,
-        then: impl FnOnce(&mut Sim, u16, Option<JobState>) + 'static,
+        timeout_s: f64,
+        then: impl FnOnce(&mut Simulation, u16, Option<JobState>) + 'static,
     ) {
         let submission = request.1 == "/api/jobs";
         let asked = self.now;
-        self.request(End::Users, node, request, limit_s, move |sim, reply| {
+        self.request(Endpoint::Users, node, request, timeout_s, move |sim, reply| {
             let (status, state) = match &reply {
                 None => (0, None),
                 Some(reply) => {
@@ -51,18 +51,18 @@
                     (reply.status, status.filter(|s| s.id == id).map(|s| s.state))
                 }
             };
-            sim.rules.answer_to(asked, sim.now, &id, status, state, submission);
-            sim.look_closely(&id, status, state);
+            sim.invariants.answer_to(asked, sim.now, &id, status, state, submission);
+            sim.probe_after_news(&id, status, state);
             then(sim, status, state);
         });
     }
 
     /// A user submits a job, repeats until it is taken and then follows it.
     pub fn submit(&mut self, spec: JobSpec) {
-        self.rules.submits(&spec);
-        self.followed.push(spec.id.clone());
-        if spec.kind == JobKind::Gang && !self.gangs_go_on {
-            self.gangs_go_on = true;
+        self.invariants.submits(&spec);
+        self.submitted_jobs.push(spec.id.clone());
+        if spec.kind == JobKind::Gang && !self.gangs_stepping {
+            self.gangs_stepping = true;
             self.step_gangs();
         }
         self.try_submit(spec, self.now);
@@ -72,7 +72,7 @@
     pub fn submit_in_stream(&mut self, spec: JobSpec, after_s: f64, cancelled: f64) {
         let id = spec.id.clone();
         self.after(after_s, move |sim| sim.submit(spec));
-        if self.happens(cancelled) {
+        if self.occurs(cancelled) {
             let after_s = after_s + self.rng.random_range(CANCELLED_WITHIN_S);
             self.after(after_s, move |sim| sim.cancel(id));
         }
@@ -85,7 +85,7 @@
             match status {
                 200 | 201 => sim.after(1.0, move |sim| sim.poll(id)),
                 400 | 422 => {}
-                _ if sim.now - since > 60.0 => sim.given_up += 1,
+                _ if sim.now - since > 60.0 => sim.abandoned_submissions += 1,
                 _ => sim.after(1.0, move |sim| sim.try_submit(spec, since)),
             }
         });
@@ -122,7 +122,7 @@
 
     /// A user cancels a job through one of these nodes, or any if there are none.
     pub fn cancel_through(&mut self, id: JobId, through: Vec<usize>) {
-        self.rules.asks_to_cancel(&id);
+        self.invariants.asks_to_cancel(&id);
         self.try_cancel(id, through, self.now);
     }
 
@@ -130,7 +130,7 @@
         let request = ("POST", format!("/api/jobs/{id}/cancel"), Vec::new());
         let job = id.clone();
         let nodes = through.clone();
-        let then = move |sim: &mut Sim, status: u16, _| {
+        let then = move |sim: &mut Simulation, status: u16, _| {
             if status != 200 && sim.now - since < 60.0 {
                 sim.after(1.0, move |sim| sim.try_cancel(job, nodes, since));
             }
@@ -149,17 +149,17 @@
         for task in self.workers.values().flat_map(|worker| &worker.tasks) {
             if task.state == TaskState::Running {
                 let until = left.entry(task.task.job.clone()).or_default();
-                *until = until.max(task.until);
+                *until = until.max(task.state_ends_at);
             }
         }
-        let open = |id: &JobId| !self.rules.last(id).is_some_and(JobState::is_final);
+        let open = |id: &JobId| !self.invariants.last(id).is_some_and(JobState::is_final);
         let mut longest: Vec<(f64, JobId)> =
             left.into_iter().filter(|(id, _)| open(id)).map(|(id, until)| (until, id)).collect();
         longest.sort_by(|a, b| b.0.total_cmp(&a.0));
         longest.truncate(count);
         let jobs: Vec<JobId> = longest.into_iter().map(|(_, id)| id).collect();
         if hang_s > 0.0 {
-            let holds = |w: &&Worker| w.tasks.iter().any(|t| jobs.contains(&t.task.job));
+            let holds = |w: &&FakeWorker| w.tasks.iter().any(|t| jobs.contains(&t.task.job));
             let names = self.workers.values().filter(holds).map(|w| w.name.clone());
             let names: Vec<String> = names.take(8).collect();
             self.hang(names, hang_s);
@@ -173,8 +173,10 @@
 
     /// The last task of a job ends: at that moment its user calls it off, asks for it and
     /// submits it again, at any node each.
-    pub(super) fn at_the_end(&mut self, id: JobId) {
-        if self.cancel_at_end <= 0.0 || self.rng.random::<f64>() >= self.cancel_at_end {
+    pub(super) fn at_completion(&mut self, id: JobId) {
+        if self.cancel_at_completion_share <= 0.0
+            || self.rng.random::<f64>() >= self.cancel_at_completion_share
+        {
             return;
         }
         let mut soon = || if self.rng.random() { 0.0 } else { self.rng.random_range(0.0..0.4) };
@@ -194,13 +196,13 @@
 
     /// The same at this node.
     pub fn submit_again_at(&mut self, node: usize, id: JobId) {
-        let Some(spec) = self.rules.spec(&id) else { return };
-        let known = self.rules.last(&id).is_some();
+        let Some(spec) = self.invariants.spec(&id) else { return };
+        let known = self.invariants.last(&id).is_some();
         let body = serde_json::to_vec(&spec).unwrap_or_default();
         let request = ("POST", "/api/jobs".into(), body);
         self.ask_node(node, id.clone(), request, 5.0, move |sim, status, _| {
             let wanted = if known { 200 } else { status };
-            sim.rules.odd_answer(sim.now, wanted, status, &format!("repeat of {id}"));
+            sim.invariants.check_status(sim.now, wanted, status, &format!("repeat of {id}"));
         });
     }
 }
--- a/crates/gladekeel-testkit/src/cloud.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/cloud.rs
@@ -23,7 +23,7 @@
 
 /// The cloud.
 #[derive(Debug)]
-pub struct Cloud {
+pub struct FakeCloud {
     /// Its machine types.
     pub types: Vec<MachineType>,
     /// Free machines by zone and spot.
@@ -35,29 +35,29 @@
     /// How late the list is.
     pub lag_s: f64,
     /// The next this many machines do not boot.
-    pub duds: u32,
+    pub machines_not_booting: u32,
     /// What was asked of it that no client may ask.
     pub abuses: Vec<String>,
-    charters: BTreeMap<String, (String, Vec<String>)>,
+    rentals: BTreeMap<String, (String, Vec<String>)>,
     counter: u64,
 }
 
-impl Cloud {
+impl FakeCloud {
     /// A cloud with one machine type.
     pub fn new(
         types: Vec<MachineType>,
         capacity: BTreeMap<(String, bool), u32>,
         lag_s: f64,
-    ) -> Cloud {
-        Cloud {
+    ) -> FakeCloud {
+        FakeCloud {
             types,
             capacity,
             machines: BTreeMap::new(),
             down: false,
             lag_s,
-            duds: 0,
+            machines_not_booting: 0,
             abuses: Vec::new(),
-            charters: BTreeMap::new(),
+            rentals: BTreeMap::new(),
             counter: 0,
         }
     }
@@ -79,7 +79,7 @@
             }
             CloudRequest::Rent(rent) => {
                 let what = format!("{rent:?}");
-                if let Some((before, names)) = self.charters.get(&rent.request_id) {
+                if let Some((before, names)) = self.rentals.get(&rent.request_id) {
                     if *before != what {
                         self.abuses.push(format!("charter {} used twice", rent.request_id));
                     }
@@ -98,8 +98,8 @@
                 for _ in 0..count {
                     self.counter += 1;
                     let name = format!("n-{:06}", self.counter);
-                    let dud = self.duds > 0;
-                    self.duds -= u32::from(dud);
+                    let dud = self.machines_not_booting > 0;
+                    self.machines_not_booting -= u32::from(dud);
                     self.machines.insert(
                         name.clone(),
                         Rented {
@@ -113,7 +113,7 @@
                     );
                     names.push(name);
                 }
-                self.charters.insert(rent.request_id.clone(), (what, names.clone()));
+                self.rentals.insert(rent.request_id.clone(), (what, names.clone()));
                 (CloudOutcome::Rented(names.clone()), names, none())
             }
             CloudRequest::Delete(names) => {
--- a/crates/gladekeel-testkit/src/gang.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/gang.rs
@@ -1,10 +1,10 @@
-//! Gangs, seen across machines: what the tasks of a job and attempt do together.
+//! GangRuntime, seen across machines: what the tasks of a job and attempt do together.
 //!
 //! A worker alone brings a task of a gang up to `waiting` and takes its commands. What
 //! depends on the other tasks is worked out here, step by step, from the tasks as they
 //! are on the machines; nothing is kept that a machine would have to report first.
 
-use crate::worker::{Happened, Task, Worker};
+use crate::stand_ins::worker::{FakeTask, FakeWorker, WorkerEvent};
 use gladekeel_wire::{
     JobId,
     job::{JobKind, JobSpec},
@@ -49,7 +49,7 @@
 
 /// Every gang of the world.
 #[derive(Debug)]
-pub struct Gangs {
+pub struct GangRuntime {
     /// Within this time the tasks of a gang notice what befell another one.
     pub peer_s: f64,
     /// Tasks run without waiting for the others: a fault for the checker to find.
@@ -73,24 +73,24 @@
 }
 
 impl Member {
-    fn worker<'a>(&self, workers: &'a BTreeMap<String, Worker>) -> &'a Worker {
+    fn worker<'a>(&self, workers: &'a BTreeMap<String, FakeWorker>) -> &'a FakeWorker {
         &workers[&*self.machine]
     }
 
-    fn task<'a>(&self, workers: &'a BTreeMap<String, Worker>) -> &'a Task {
+    fn task<'a>(&self, workers: &'a BTreeMap<String, FakeWorker>) -> &'a FakeTask {
         &self.worker(workers).tasks[self.position]
     }
 }
 
 /// Whether a task takes part in its gang as far as it can tell.
-fn present(task: &Task) -> bool {
+fn present(task: &FakeTask) -> bool {
     matches!(task.state, TaskState::Waiting | TaskState::Running)
 }
 
-impl Gangs {
+impl GangRuntime {
     /// No gangs yet.
-    pub fn new(peer_s: f64) -> Gangs {
-        Gangs { peer_s, alone: false, runs: BTreeMap::new(), jobs: BTreeMap::new() }
+    pub fn new(peer_s: f64) -> GangRuntime {
+        GangRuntime { peer_s, alone: false, runs: BTreeMap::new(), jobs: BTreeMap::new() }
     }
 
     /// What became of a job.
@@ -98,19 +98,20 @@
         self.jobs.get(job).cloned().unwrap_or_default()
     }
 
-    /// Lets the gangs go on until now. Returns what happened on which machine.
+    /// Lets the gangs go on until now. Returns what events on which machine.
     pub fn step(
         &mut self,
         now: f64,
-        workers: &mut BTreeMap<String, Worker>,
-    ) -> Vec<(String, Happened)> {
+        workers: &mut BTreeMap<String, FakeWorker>,
+    ) -> Vec<(String, WorkerEvent)> {
         let mut members: BTreeMap<(JobId, u64), Vec<Member>> = BTreeMap::new();
         for (name, worker) in workers.iter() {
             let name: Rc<str> = name.as_str().into();
             let gangs = worker.tasks.iter().enumerate();
             let gangs: Vec<_> = gangs.filter(|(_, task)| task.spec.kind == JobKind::Gang).collect();
             // Tasks of an attempt mostly lie together: they are noted together.
-            let same = |a: &Task, b: &Task| a.attempt == b.attempt && a.task.job == b.task.job;
+            let same =
+                |a: &FakeTask, b: &FakeTask| a.attempt == b.attempt && a.task.job == b.task.job;
             for attempt in gangs.chunk_by(|(_, a), (_, b)| same(a, b)) {
                 let Some((_, first)) = attempt.first() else { continue };
                 let job = self.jobs.entry(first.task.job.clone()).or_default();
@@ -128,20 +129,20 @@
                 }
             }
         }
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         let keys: BTreeSet<_> = members.keys().chain(self.runs.keys()).cloned().collect();
         for key in keys {
             let here = members.remove(&key).unwrap_or_default();
             let (waiting, running): (Vec<Member>, Vec<Member>) =
                 here.into_iter().partition(|m| m.task(workers).state == TaskState::Waiting);
             if self.runs.contains_key(&key) {
-                self.go_on(now, &key, &running, workers, &mut happened);
+                self.go_on(now, &key, &running, workers, &mut events);
             }
             if !self.runs.contains_key(&key) || self.alone {
-                self.gather(now, &key, &waiting, workers, &mut happened);
+                self.gather(now, &key, &waiting, workers, &mut events);
             }
         }
-        happened
+        events
     }
 
     /// Starts a gang whose tasks all wait.
@@ -150,8 +151,8 @@
         now: f64,
         key: &(JobId, u64),
         waiting: &[Member],
-        workers: &mut BTreeMap<String, Worker>,
-        happened: &mut Vec<(String, Happened)>,
+        workers: &mut BTreeMap<String, FakeWorker>,
+        events: &mut Vec<(String, WorkerEvent)>,
     ) {
         let awake: Vec<&Member> =
             waiting.iter().filter(|member| !member.worker(workers).hung).collect();
@@ -161,7 +162,7 @@
         if job.done {
             // The result is kept: whoever comes later has nothing left to do.
             for member in awake {
-                exit(workers, member, ExitCause::Done, None, happened);
+                exit(workers, member, ExitCause::Done, None, events);
             }
             return;
         }
@@ -173,14 +174,15 @@
         let progress_s = job.kept_s;
         for member in awake {
             let Some(worker) = workers.get_mut(&*member.machine) else { continue };
-            let fails = worker.sick || spec.class == "faulty";
+            let fails = worker.fails_tasks || spec.class == "faulty";
             worker.changed = true;
             let task = &mut worker.tasks[member.position];
             task.state = TaskState::Running;
-            task.until = if fails { now + 0.5 } else { f64::MAX };
+            task.state_ends_at = if fails { now + 0.5 } else { f64::MAX };
             task.cause = fails.then_some(ExitCause::Error);
-            let what = Happened::Runs(task.task.clone(), task.attempt);
-            happened.push((member.machine.to_string(), what));
+            let what =
+                WorkerEvent::GangTaskRunning { task: task.task.clone(), attempt: task.attempt };
+            events.push((member.machine.to_string(), what));
         }
         let run = Run { at: now, progress_s, halted_at: None, safe: false, broken_at: None };
         self.runs.insert(key.clone(), run);
@@ -192,8 +194,8 @@
         now: f64,
         key: &(JobId, u64),
         running: &[Member],
-        workers: &mut BTreeMap<String, Worker>,
-        happened: &mut Vec<(String, Happened)>,
+        workers: &mut BTreeMap<String, FakeWorker>,
+        events: &mut Vec<(String, WorkerEvent)>,
     ) {
         let Some(run) = self.runs.get_mut(key) else { return };
         let job = self.jobs.entry(key.0.clone()).or_default();
@@ -208,22 +210,22 @@
             return;
         };
         let spec = first.task(workers).spec.clone();
-        let halts = running.iter().filter_map(|member| member.task(workers).told_at);
+        let halts = running.iter().filter_map(|member| member.task(workers).stop_requested_at);
         let first_halt = halts.min_by(f64::total_cmp);
         run.halted_at = run.halted_at.or(first_halt);
         if run.broken_at.is_none() && !run.safe {
             run.make_progress(now, job, &spec, running, workers);
         }
         if let Some(broken_at) = run.broken_at {
-            fall_apart(now, broken_at, self.peer_s, running, workers, happened);
+            fall_apart(now, broken_at, self.peer_s, running, workers, events);
         } else if let Some(halted_at) = run.halted_at {
             let late_at = halted_at + self.peer_s;
-            run.stop_in_order(now, late_at, job, running, workers, happened);
+            run.stop_in_order(now, late_at, job, running, workers, events);
         } else if run.progress_s >= spec.estimate_s - ROUNDING_S {
             job.done = true;
             self.runs.remove(key);
             for member in running {
-                exit(workers, member, ExitCause::Done, None, happened);
+                exit(workers, member, ExitCause::Done, None, events);
             }
         }
     }
@@ -238,13 +240,13 @@
         job: &mut Record,
         spec: &JobSpec,
         running: &[Member],
-        workers: &BTreeMap<String, Worker>,
+        workers: &BTreeMap<String, FakeWorker>,
     ) {
         let hung = running.iter().any(|member| member.worker(workers).hung);
         let whole = running.len() == spec.tasks as usize && !hung;
         let until = self.halted_at.map_or(now, |halted| halted.min(now));
         if whole && until > self.at {
-            let slowest = running.iter().map(|member| member.worker(workers).slow);
+            let slowest = running.iter().map(|member| member.worker(workers).slowdown);
             self.progress_s += (until - self.at) / slowest.fold(1.0, f64::max);
         }
         self.at = now;
@@ -268,29 +270,31 @@
         late_at: f64,
         job: &mut Record,
         running: &[Member],
-        workers: &mut BTreeMap<String, Worker>,
-        happened: &mut Vec<(String, Happened)>,
+        workers: &mut BTreeMap<String, FakeWorker>,
+        events: &mut Vec<(String, WorkerEvent)>,
     ) {
-        let is_told = |member: &Member| member.task(workers).told_at.is_some();
+        let stop_requested = |member: &Member| member.task(workers).stop_requested_at.is_some();
         let has_saved = |member: &Member| {
             let task = member.task(workers);
-            task.told_at.is_some_and(|told_at| told_at + task.spec.checkpoint_write_s <= now)
+            task.stop_requested_at.is_some_and(|stop_requested_at| {
+                stop_requested_at + task.spec.checkpoint_write_s <= now
+            })
         };
-        let all_told = self.safe || running.iter().all(is_told);
-        let all_saved = all_told && running.iter().all(has_saved);
+        let all_requested = self.safe || running.iter().all(stop_requested);
+        let all_saved = all_requested && running.iter().all(has_saved);
         let mut leave = Vec::new();
         for member in running.iter().filter(|member| !member.worker(workers).hung) {
-            if all_told {
+            if all_requested {
                 if has_saved(member) && (all_saved || self.safe || now >= late_at) {
                     leave.push((member, ExitCause::Stopped, Some(true)));
                 }
-            } else if now >= late_at && is_told(member) {
+            } else if now >= late_at && stop_requested(member) {
                 leave.push((member, ExitCause::Stopped, Some(false)));
             } else if now >= late_at {
                 leave.push((member, ExitCause::GangMemberLost, None));
             }
         }
-        if !all_told && now >= late_at {
+        if !all_requested && now >= late_at {
             self.fail(now, job);
         } else if !leave.is_empty() && !self.safe {
             self.safe = true;
@@ -298,7 +302,7 @@
             job.kept_s = self.progress_s;
         }
         for (member, cause, saved) in leave {
-            exit(workers, member, cause, saved, happened);
+            exit(workers, member, cause, saved, events);
         }
     }
 }
@@ -309,15 +313,15 @@
     broken_at: f64,
     peer_s: f64,
     running: &[Member],
-    workers: &mut BTreeMap<String, Worker>,
-    happened: &mut Vec<(String, Happened)>,
+    workers: &mut BTreeMap<String, FakeWorker>,
+    events: &mut Vec<(String, WorkerEvent)>,
 ) {
     for member in running {
         let tasks = member.task(workers).spec.tasks;
         let part = f64::from(member.index + 1) / f64::from(tasks);
         let notices_at = broken_at + peer_s * (0.25 + 0.7 * part);
         if now >= notices_at && !member.worker(workers).hung {
-            exit(workers, member, ExitCause::GangMemberLost, None, happened);
+            exit(workers, member, ExitCause::GangMemberLost, None, events);
         }
     }
 }
@@ -333,19 +337,20 @@
 
 /// Ends a task on its machine.
 fn exit(
-    workers: &mut BTreeMap<String, Worker>,
+    workers: &mut BTreeMap<String, FakeWorker>,
     member: &Member,
     cause: ExitCause,
     saved: Option<bool>,
-    happened: &mut Vec<(String, Happened)>,
+    events: &mut Vec<(String, WorkerEvent)>,
 ) {
     let Some(worker) = workers.get_mut(&*member.machine) else { return };
     worker.changed = true;
     let task = &mut worker.tasks[member.position];
     task.state = TaskState::Exited;
-    task.until = f64::MAX;
+    task.state_ends_at = f64::MAX;
     task.cause = Some(cause);
     task.saved = saved;
-    let ended = Happened::Ended(task.task.clone(), cause == ExitCause::Done);
-    happened.push((member.machine.to_string(), ended));
+    let ended =
+        WorkerEvent::TaskEnded { task: task.task.clone(), completed: cause == ExitCause::Done };
+    events.push((member.machine.to_string(), ended));
 }
--- a/crates/gladekeel-testkit/src/state.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/store.rs
@@ -10,9 +10,9 @@
 /// Changes that are kept for followers.
 const KEPT: usize = 10_000;
 
-/// Limits, as in the settings.
+/// StoreLimits, as in the settings.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct StoreLimits {
     /// Requests per second.
     pub rps: f64,
     /// Writes per second.
@@ -25,8 +25,8 @@
 
 /// The service.
 #[derive(Debug)]
-pub struct State {
-    limits: Limits,
+pub struct FakeStore {
+    limits: StoreLimits,
     rows: BTreeMap<String, (Value, u64, Option<u64>)>,
     revision: u64,
     history: Vec<(u64, WatchEvent)>,
@@ -51,10 +51,10 @@
     pub bytes: u64,
 }
 
-impl State {
+impl FakeStore {
     /// An empty service.
-    pub fn new(limits: Limits) -> State {
-        State {
+    pub fn new(limits: StoreLimits) -> FakeStore {
+        FakeStore {
             limits,
             rows: BTreeMap::new(),
             revision: 1,
@@ -76,7 +76,7 @@
 
     /// Lowers the limits, as `state.next` announces without a time. From now on what is
     /// too large is refused; what is stored stays readable.
-    pub fn lower(&mut self, limits: Limits) {
+    pub fn lower_limits(&mut self, limits: StoreLimits) {
         if limits.write_rps != self.limits.write_rps {
             self.writes = gladekeel_store::TokenBucket::new(limits.write_rps, limits.write_rps);
         }
@@ -88,7 +88,7 @@
     }
 
     /// The limits as they are now.
-    pub fn limits(&self) -> Limits {
+    pub fn limits(&self) -> StoreLimits {
         self.limits
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// Begins or ends an outage; after it every lease has its full time again.
-    pub fn set_down(&mut self, now: f64, down: bool) {
+    pub fn set_outage(&mut self, now: f64, down: bool) {
         self.expire(now);
         self.down = down;
         if !down {
@@ -280,7 +280,7 @@
     }
 
     /// Spoils every segment of the leader's log, or mends them again.
-    pub fn spoil_log(&mut self, spoilt: bool) {
+    pub fn corrupt_assignment_log(&mut self, spoilt: bool) {
         for (key, (value, ..)) in &mut self.rows {
             let Some(text) = value.as_str().filter(|_| key.starts_with("gl/")) else { continue };
             *value = match text.strip_prefix('!') {
@@ -292,7 +292,7 @@
     }
 
     /// Puts the start of the kept changes up to now, as if many had passed.
-    pub fn forget_history(&mut self) {
+    pub fn compact_history(&mut self) {
         self.revision += 1;
         self.history = vec![(
             self.revision,
--- a/crates/gladekeel-testkit/src/worker.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker.rs
@@ -11,7 +11,7 @@
 
 /// A task on the worker.
 #[derive(Debug, Clone)]
-pub struct Task {
+pub struct FakeTask {
     /// Which.
     pub task: TaskId,
     /// Its attempt.
@@ -21,31 +21,41 @@
     /// Its state.
     pub state: TaskState,
     /// When this state ends by itself.
-    pub until: f64,
+    pub state_ends_at: f64,
     /// Why it ended.
     pub cause: Option<ExitCause>,
     /// Whether it saved.
     pub saved: Option<bool>,
     /// When it was told to stop with time enough to save, as a task of a gang.
-    pub told_at: Option<f64>,
+    pub stop_requested_at: Option<f64>,
 }
 
-/// What happened on a machine.
+/// What events on a machine.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Happened {
-    /// A task is on the machine from now.
-    Started(TaskId),
-    /// A task of a gang runs from now, under this attempt.
-    Runs(TaskId, u64),
-    /// A task is no longer on the machine; whether it completed.
-    Ended(TaskId, bool),
-    /// A start was refused for want of room.
-    NoRoom(TaskId),
+pub enum WorkerEvent {
+    /// A task has its image and occupies resources from now on.
+    TaskStarted(TaskId),
+    /// A task of a gang has met the others and begins to run.
+    GangTaskRunning {
+        /// The task.
+        task: TaskId,
+        /// The attempt under which it runs.
+        attempt: u64,
+    },
+    /// A task no longer occupies the machine.
+    TaskEnded {
+        /// The task.
+        task: TaskId,
+        /// Whether it completed, as opposed to having failed or been stopped.
+        completed: bool,
+    },
+    /// A start was refused for lack of free resources.
+    StartRefused(TaskId),
 }
 
 /// A worker.
 #[derive(Debug)]
-pub struct Worker {
+pub struct FakeWorker {
     /// The machine.
     pub name: String,
     /// Its type.
@@ -57,39 +67,39 @@
     /// CPUs, GPUs, memory.
     pub room: (f64, f64, f64),
     /// Session.
-    pub session: u64,
+    pub incarnation: u64,
     /// Number of the last message.
-    pub seq: u64,
+    pub sequence: u64,
     /// Highest token seen.
     pub token: u64,
     /// When the last answered report was sent.
-    pub lease_from: f64,
+    pub lease_renewed_at: f64,
     /// Length of its lease.
     pub lease_s: f64,
     /// Tasks.
-    pub tasks: Vec<Task>,
+    pub tasks: Vec<FakeTask>,
     /// Node that it reports to.
     pub node: usize,
     /// Fails every task.
-    pub sick: bool,
+    pub fails_tasks: bool,
     /// Does nothing for now.
     pub hung: bool,
     /// Its reports arrive; answers and commands do not reach it.
-    pub deaf: bool,
+    pub inbound_partitioned: bool,
     /// It reaches no controller, while direct commands reach it and are answered.
-    pub mute: bool,
+    pub outbound_partitioned: bool,
     /// The report that it was about to send when it hung, and when that was.
-    pub held_report: Option<(f64, Heartbeat)>,
+    pub delayed_heartbeat: Option<(f64, Heartbeat)>,
     /// When it goes.
-    pub leaves_at: Option<f64>,
+    pub terminates_at: Option<f64>,
     /// Whether something changed since the last report.
     pub changed: bool,
     /// The report that waits for its answer.
     pub in_flight: Option<u64>,
     /// Direct commands that wait while it hangs.
-    pub held: Vec<DirectCommands>,
+    pub queued_commands: Vec<DirectCommands>,
     /// Slowness: run times are this many times longer.
-    pub slow: f64,
+    pub slowdown: f64,
     /// How long a task waits for the others of its gang.
     pub gang_wait_s: f64,
     images: BTreeSet<String>,
@@ -106,7 +116,7 @@
 }
 
 impl Lookup {
-    fn of(tasks: &[Task]) -> Lookup {
+    fn of(tasks: &[FakeTask]) -> Lookup {
         let mut lookup = Lookup { places: BTreeMap::new(), forgotten: BTreeSet::new(), free: None };
         for (at, task) in tasks.iter().enumerate() {
             lookup.add(&task.task, at);
@@ -122,7 +132,7 @@
         self.places.get(task).map_or(&[], Vec::as_slice)
     }
 
-    fn of_attempt(&self, tasks: &[Task], task: &TaskId, attempt: u64) -> Vec<usize> {
+    fn of_attempt(&self, tasks: &[FakeTask], task: &TaskId, attempt: u64) -> Vec<usize> {
         let here = self.of_task(task).iter().copied();
         here.filter(|at| tasks[*at].attempt == attempt).collect()
     }
@@ -144,7 +154,7 @@
     spec.cpus <= cpus && spec.gpus <= gpus && spec.memory_gb <= memory
 }
 
-impl Worker {
+impl FakeWorker {
     /// A worker that has just come up.
     #[allow(clippy::too_many_arguments, reason = "a machine's fixed properties, spelled out")]
     pub fn new(
@@ -156,48 +166,48 @@
         lease_s: f64,
         now: f64,
         node: usize,
-    ) -> Worker {
-        Worker {
+    ) -> FakeWorker {
+        FakeWorker {
             name,
             machine_type,
             zone,
             spot,
             room,
-            session: 1,
-            seq: 0,
+            incarnation: 1,
+            sequence: 0,
             token: 0,
-            lease_from: now,
+            lease_renewed_at: now,
             lease_s,
             tasks: Vec::new(),
             node,
-            sick: false,
+            fails_tasks: false,
             hung: false,
-            deaf: false,
-            mute: false,
-            held_report: None,
-            leaves_at: None,
+            inbound_partitioned: false,
+            outbound_partitioned: false,
+            delayed_heartbeat: None,
+            terminates_at: None,
             changed: true,
             in_flight: None,
-            held: Vec::new(),
-            slow: 1.0,
+            queued_commands: Vec::new(),
+            slowdown: 1.0,
             gang_wait_s: 30.0,
             images: BTreeSet::new(),
         }
     }
 
     /// A report as of now.
-    pub fn report(&mut self, now: f64) -> Heartbeat {
-        self.seq += 1;
+    pub fn heartbeat(&mut self, now: f64) -> Heartbeat {
+        self.sequence += 1;
         Heartbeat {
             machine: self.name.clone(),
             addr: self.name.clone(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            incarnation: self.session,
-            sequence: self.seq,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
             token: self.token,
-            termination_notice_s: self.leaves_at.map(|at| (at - now).max(0.0)),
+            termination_notice_s: self.terminates_at.map(|at| (at - now).max(0.0)),
             tasks: self
                 .tasks
                 .iter()
@@ -213,33 +223,33 @@
     }
 
     /// Takes an answer to the report that was sent at `sent_at` in `session`.
-    pub fn answered(
+    pub fn handle_heartbeat_response(
         &mut self,
         now: f64,
-        session: u64,
+        incarnation: u64,
         sent_at: f64,
         answer: &HeartbeatResponse,
         find: &dyn Fn(&TaskId) -> Option<JobSpec>,
-    ) -> Vec<Happened> {
-        if session != self.session || answer.token < self.token {
+    ) -> Vec<WorkerEvent> {
+        if incarnation != self.incarnation || answer.token < self.token {
             return Vec::new();
         }
         if answer.token > self.token {
             self.token = answer.token;
             self.changed = true;
         }
-        self.lease_from = self.lease_from.max(sent_at);
+        self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
         self.carry_out(now, &answer.commands, find)
     }
 
     /// Carries out direct commands; tells whether it did.
-    pub fn direct(
+    pub fn handle_direct_commands(
         &mut self,
         now: f64,
         direct: &DirectCommands,
         find: &dyn Fn(&TaskId) -> Option<JobSpec>,
-    ) -> (bool, Vec<Happened>) {
-        if direct.token < self.token || direct.incarnation != self.session {
+    ) -> (bool, Vec<WorkerEvent>) {
+        if direct.token < self.token || direct.incarnation != self.incarnation {
             return (false, Vec::new());
         }
         if direct.token > self.token {
@@ -256,23 +266,23 @@
         now: f64,
         commands: &[Command],
         find: &dyn Fn(&TaskId) -> Option<JobSpec>,
-    ) -> Vec<Happened> {
+    ) -> Vec<WorkerEvent> {
         if commands.is_empty() {
             return Vec::new();
         }
         let mut lookup = Lookup::of(&self.tasks);
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
-                    happened.extend(self.start(now, task, *attempt, find, &mut lookup));
+                    events.extend(self.start(now, task, *attempt, find, &mut lookup));
                 }
                 Command::Stop { task, attempt, grace_s } => {
                     for at in lookup.of_attempt(&self.tasks, task, *attempt) {
                         let ended = self.stop(now, at, *grace_s);
                         lookup.free =
                             lookup.free.filter(|_| self.tasks[at].state != TaskState::Exited);
-                        happened.extend(ended);
+                        events.extend(ended);
                     }
                 }
                 Command::Forget { task, attempt } => {
@@ -290,7 +300,7 @@
             at += 1;
             !lookup.forgotten.contains(&(at - 1))
         });
-        happened
+        events
     }
 
     /// Starts a task; returns that it was refused, if that was for want of room.
@@ -301,7 +311,7 @@
         attempt: u64,
         find: &dyn Fn(&TaskId) -> Option<JobSpec>,
         lookup: &mut Lookup,
-    ) -> Option<Happened> {
+    ) -> Option<WorkerEvent> {
         let here = lookup.of_task(task);
         if here.iter().any(|at| self.tasks[*at].attempt == attempt) {
             return None;
@@ -317,7 +327,7 @@
             Some(_) => None,
         };
         let no_room = (refused == Some(ExitCause::InsufficientResources))
-            .then(|| Happened::NoRoom(task.clone()));
+            .then(|| WorkerEvent::StartRefused(task.clone()));
         let Some(spec) = spec.or_else(|| self.any_spec(lookup)) else { return no_room };
         let (state, until) = if refused.is_some() {
             (TaskState::Exited, f64::MAX)
@@ -327,21 +337,21 @@
             (TaskState::Fetching, now + if cached { 0.0 } else { spec.image_gb })
         };
         lookup.add(task, self.tasks.len());
-        self.tasks.push(Task {
+        self.tasks.push(FakeTask {
             task: task.clone(),
             attempt,
             spec,
             state,
-            until,
+            state_ends_at: until,
             cause: refused,
             saved: None,
-            told_at: None,
+            stop_requested_at: None,
         });
         no_room
     }
 
     /// Tells a task to stop; returns that it has ended, if it has at once.
-    fn stop(&mut self, now: f64, at: usize, grace_s: f64) -> Option<Happened> {
+    fn stop(&mut self, now: f64, at: usize, grace_s: f64) -> Option<WorkerEvent> {
         let t = &mut self.tasks[at];
         if t.state == TaskState::Exited {
             return None;
@@ -353,18 +363,19 @@
         if saves && t.spec.kind == JobKind::Gang {
             // It reports `running` until it exits; when it may depends on
             // the others.
-            t.told_at = t.told_at.or(Some(now));
-        } else if t.told_at.is_some() && grace_s > 0.0 {
+            t.stop_requested_at = t.stop_requested_at.or(Some(now));
+        } else if t.stop_requested_at.is_some() && grace_s > 0.0 {
             // It is saving already.
         } else if saves {
             t.state = TaskState::Saving;
-            t.until = now + t.spec.checkpoint_write_s;
+            t.state_ends_at = now + t.spec.checkpoint_write_s;
         } else if t.state != TaskState::Saving || grace_s == 0.0 {
             let began = t.state != TaskState::Fetching;
             t.state = TaskState::Exited;
             t.cause = Some(ExitCause::Stopped);
             t.saved = Some(false);
-            return began.then(|| Happened::Ended(t.task.clone(), false));
+            return began
+                .then(|| WorkerEvent::TaskEnded { task: t.task.clone(), completed: false });
         }
         None
     }
@@ -385,44 +396,44 @@
     /// lease too: they are only killed when it goes on, or with the machine.
     pub fn hang(&mut self, now: f64, on: bool) {
         if on && !self.hung {
-            self.held_report = Some((now, self.report(now)));
+            self.delayed_heartbeat = Some((now, self.heartbeat(now)));
         }
         self.hung = on;
     }
 
     /// Lets time pass: tasks go on, the lease runs out.
-    pub fn step(&mut self, now: f64) -> Vec<Happened> {
-        let mut happened = Vec::new();
+    pub fn step(&mut self, now: f64) -> Vec<WorkerEvent> {
+        let mut events = Vec::new();
         if self.hung {
-            return happened;
+            return events;
         }
-        if now - self.lease_from > self.lease_s {
-            happened.extend(self.kill_all());
-            self.session += 1;
-            self.seq = 0;
-            self.lease_from = now;
+        if now - self.lease_renewed_at > self.lease_s {
+            events.extend(self.kill_all());
+            self.incarnation += 1;
+            self.sequence = 0;
+            self.lease_renewed_at = now;
             self.in_flight = None;
             self.changed = true;
-            return happened;
+            return events;
         }
-        for task in self.tasks.iter_mut().filter(|t| t.until <= now) {
+        for task in self.tasks.iter_mut().filter(|t| t.state_ends_at <= now) {
             match task.state {
                 TaskState::Fetching => {
                     self.images.insert(task.spec.image.clone());
                     if task.spec.kind == JobKind::Gang {
                         task.state = TaskState::Waiting;
-                        task.until = now + self.gang_wait_s;
-                        happened.push(Happened::Started(task.task.clone()));
+                        task.state_ends_at = now + self.gang_wait_s;
+                        events.push(WorkerEvent::TaskStarted(task.task.clone()));
                         self.changed = true;
                         continue;
                     }
                     task.state = TaskState::Running;
-                    let fails = self.sick || task.spec.class == "faulty";
-                    let run = if fails { 0.5 } else { task.spec.estimate_s * self.slow };
+                    let fails = self.fails_tasks || task.spec.class == "faulty";
+                    let run = if fails { 0.5 } else { task.spec.estimate_s * self.slowdown };
                     let service = task.spec.kind == JobKind::Service && !fails;
-                    task.until = if service { f64::MAX } else { now + run };
+                    task.state_ends_at = if service { f64::MAX } else { now + run };
                     task.cause = fails.then_some(ExitCause::Error);
-                    happened.push(Happened::Started(task.task.clone()));
+                    events.push(WorkerEvent::TaskStarted(task.task.clone()));
                 }
                 TaskState::Running | TaskState::Saving => {
                     let saving = task.state == TaskState::Saving;
@@ -431,28 +442,30 @@
                     task.cause = Some(task.cause.unwrap_or(cause));
                     task.saved = saving.then_some(true);
                     let done = task.cause == Some(ExitCause::Done);
-                    happened.push(Happened::Ended(task.task.clone(), done));
+                    events
+                        .push(WorkerEvent::TaskEnded { task: task.task.clone(), completed: done });
                 }
                 TaskState::Waiting => {
                     task.state = TaskState::Exited;
                     task.cause = Some(ExitCause::GangIncomplete);
-                    happened.push(Happened::Ended(task.task.clone(), false));
+                    events
+                        .push(WorkerEvent::TaskEnded { task: task.task.clone(), completed: false });
                 }
                 _ => continue,
             }
             self.changed = true;
         }
-        happened
+        events
     }
 
     /// Comes back from a restart within an instant: the same address, a new session, and
     /// nothing is left of what it knew.
-    pub fn reboot(&mut self, now: f64) -> Vec<Happened> {
+    pub fn reboot(&mut self, now: f64) -> Vec<WorkerEvent> {
         let ended = self.kill_all();
-        self.session += 1;
-        self.seq = 0;
+        self.incarnation += 1;
+        self.sequence = 0;
         self.token = 0;
-        self.lease_from = now;
+        self.lease_renewed_at = now;
         self.in_flight = None;
         self.changed = true;
         self.images.clear();
@@ -460,14 +473,14 @@
     }
 
     /// Kills and forgets every task.
-    pub fn kill_all(&mut self) -> Vec<Happened> {
+    pub fn kill_all(&mut self) -> Vec<WorkerEvent> {
         let ended = self
             .tasks
             .iter()
             .filter(|t| {
                 matches!(t.state, TaskState::Waiting | TaskState::Running | TaskState::Saving)
             })
-            .map(|t| Happened::Ended(t.task.clone(), false))
+            .map(|t| WorkerEvent::TaskEnded { task: t.task.clone(), completed: false })
             .collect();
         self.tasks.clear();
         ended
--- a/crates/gladekeel-testkit/tests/between_tokens.rs
+++ b/crates/gladekeel-testkit/tests/between_tokens.rs
@@ -8,7 +8,7 @@
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_testkit::{
     scenario::{example_settings, example_type},
-    state::{Limits, State},
+    stand_ins::store::{FakeStore, StoreLimits},
 };
 use gladekeel_wire::{
     cloud::{MachinePage, MachineTypes},
@@ -21,7 +21,8 @@
 /// the deletion, counted as under way for ever, and no other one followed.
 #[test]
 fn answers_of_the_cloud_between_two_tokens_count() {
-    let mut state = State::new(Limits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 });
+    let mut state =
+        FakeStore::new(StoreLimits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 });
     let mut node = Node::new(example_settings(0, 1), 7, 0.0);
     let (mut unanswered, mut leaders, mut lists) = (false, 0, 0);
     let (mut log, mut list) = (None, None);
--- a/crates/gladekeel-testkit/tests/gangs.rs
+++ b/crates/gladekeel-testkit/tests/gangs.rs
@@ -1,11 +1,11 @@
 //! The page's table on gangs, row by row, on a handful of stand-in workers.
 
 use gladekeel_testkit::{
-    gang::Gangs,
-    rules::Rules,
+    invariants::InvariantChecker,
     scenario::{example_job, example_settings, run, settings_with},
-    state::{Limits, State},
-    worker::{Happened, Worker},
+    stand_ins::gang::GangRuntime,
+    stand_ins::store::{FakeStore, StoreLimits},
+    stand_ins::worker::{FakeWorker, WorkerEvent},
 };
 use gladekeel_wire::{
     JobId, TaskId,
@@ -21,9 +21,9 @@
 struct Yard {
     now: f64,
     spec: JobSpec,
-    workers: BTreeMap<String, Worker>,
-    gangs: Gangs,
-    happened: Vec<(f64, String, Happened)>,
+    workers: BTreeMap<String, FakeWorker>,
+    gangs: GangRuntime,
+    events: Vec<(f64, String, WorkerEvent)>,
 }
 
 impl Yard {
@@ -36,20 +36,21 @@
                 let name = format!("n-{n}");
                 let room = (32.0, 0.0, 64.0);
                 let zone = "a".to_owned();
-                (name.clone(), Worker::new(name, "m32".into(), zone, false, room, 1e6, 0.0, 0))
+                (name.clone(), FakeWorker::new(name, "m32".into(), zone, false, room, 1e6, 0.0, 0))
             })
             .collect();
-        Yard { now: 0.0, spec, workers, gangs: Gangs::new(4.0), happened: Vec::new() }
+        Yard { now: 0.0, spec, workers, gangs: GangRuntime::new(4.0), events: Vec::new() }
     }
 
     fn command(&mut self, machine: u32, command: Command) {
         let spec = self.spec.clone();
         let worker = self.workers.get_mut(&format!("n-{machine}")).unwrap();
         let answer = HeartbeatResponse { token: 1, commands: vec![command] };
-        let (session, now) = (worker.session, self.now);
-        let happened = worker.answered(now, session, now, &answer, &|_| Some(spec.clone()));
+        let (session, now) = (worker.incarnation, self.now);
+        let events =
+            worker.handle_heartbeat_response(now, session, now, &answer, &|_| Some(spec.clone()));
         let name = worker.name.clone();
-        self.happened.extend(happened.into_iter().map(|what| (now, name.clone(), what)));
+        self.events.extend(events.into_iter().map(|what| (now, name.clone(), what)));
     }
 
     fn start(&mut self, machine: u32, index: u32, attempt: u64) {
@@ -73,15 +74,15 @@
         while self.now < time - 1e-9 {
             self.now += STEP_S;
             for (name, worker) in &mut self.workers {
-                let happened = worker.step(self.now);
-                self.happened.extend(happened.into_iter().map(|h| (self.now, name.clone(), h)));
+                let events = worker.step(self.now);
+                self.events.extend(events.into_iter().map(|h| (self.now, name.clone(), h)));
             }
-            let happened = self.gangs.step(self.now, &mut self.workers);
-            self.happened.extend(happened.into_iter().map(|(name, h)| (self.now, name, h)));
+            let events = self.gangs.step(self.now, &mut self.workers);
+            self.events.extend(events.into_iter().map(|(name, h)| (self.now, name, h)));
         }
     }
 
-    fn worker(&mut self, machine: u32) -> &mut Worker {
+    fn worker(&mut self, machine: u32) -> &mut FakeWorker {
         self.workers.get_mut(&format!("n-{machine}")).unwrap()
     }
 
@@ -98,10 +99,10 @@
     /// When a machine's task ended.
     fn ended_at(&self, machine: u32) -> f64 {
         let name = format!("n-{machine}");
-        let ended = |(_, on, what): &&(f64, String, Happened)| {
-            *on == name && matches!(what, Happened::Ended(..))
+        let ended = |(_, on, what): &&(f64, String, WorkerEvent)| {
+            *on == name && matches!(what, WorkerEvent::TaskEnded { .. })
         };
-        self.happened.iter().find(ended).expect("the task has ended").0
+        self.events.iter().find(ended).expect("the task has ended").0
     }
 
     fn kept_s(&self) -> f64 {
@@ -127,15 +128,15 @@
     assert_eq!(yard.state(0), TaskState::Waiting);
     let on = (TaskId { job: yard.spec.id.clone(), index: 0 }, 1.0);
     assert!(
-        yard.happened
+        yard.events
             .iter()
-            .any(|(at, _, what)| *what == Happened::Started(on.0.clone()) && near(*at, on.1)),
+            .any(|(at, _, what)| *what == WorkerEvent::TaskStarted(on.0.clone()) && near(*at, on.1)),
         "it is on its machine from when it has its image"
     );
     yard.start(1, 1, 1);
     yard.until(5.5);
     assert_eq!(yard.state(0), TaskState::Waiting);
-    assert_eq!(yard.worker(0).report(5.5).tasks[0].state, TaskState::Waiting);
+    assert_eq!(yard.worker(0).heartbeat(5.5).tasks[0].state, TaskState::Waiting);
     yard.until(6.3);
     assert_eq!((yard.state(0), yard.state(1)), (TaskState::Running, TaskState::Running));
     yard.until(35.5);
@@ -178,7 +179,11 @@
     yard.start(1, 1, 1);
     yard.until(3.0);
     let gone = yard.worker(1).kill_all();
-    assert_eq!(gone, [Happened::Ended(task(1), false)], "a waiting task was on its machine");
+    assert_eq!(
+        gone,
+        [WorkerEvent::TaskEnded { task: task(1), completed: false }],
+        "a waiting task was on its machine"
+    );
     yard.until(10.0);
     assert_eq!(yard.state(0), TaskState::Waiting);
     yard.start(2, 2, 1);
@@ -194,8 +199,8 @@
     yard.until(3.0);
     yard.stop(0, 0, 60.0);
     assert_eq!(yard.end(0), Some((ExitCause::Stopped, Some(false))));
-    let ended = (3.0, "n-0".to_owned(), Happened::Ended(task(0), false));
-    assert!(yard.happened.iter().any(|h| near(h.0, ended.0) && h.2 == ended.2));
+    let ended = (3.0, "n-0".to_owned(), WorkerEvent::TaskEnded { task: task(0), completed: false });
+    assert!(yard.events.iter().any(|h| near(h.0, ended.0) && h.2 == ended.2));
 }
 
 #[test]
@@ -217,7 +222,7 @@
 #[test]
 fn a_gang_runs_at_the_speed_of_its_slowest_machine() {
     let mut yard = Yard::new(2);
-    yard.worker(1).slow = 2.0;
+    yard.worker(1).slowdown = 2.0;
     yard.start(0, 0, 1);
     yard.start(1, 1, 1);
     yard.until(60.5);
@@ -232,7 +237,11 @@
     yard.until(25.0);
     yard.worker(1).kill_all();
     yard.until(25.3);
-    assert_eq!(yard.worker(0).report(25.3).tasks[0].state, TaskState::Running, "not yet noticed");
+    assert_eq!(
+        yard.worker(0).heartbeat(25.3).tasks[0].state,
+        TaskState::Running,
+        "not yet noticed"
+    );
     yard.until(29.1);
     assert_eq!(yard.end(0), Some((ExitCause::GangMemberLost, None)));
     assert_eq!(yard.end(2), Some((ExitCause::GangMemberLost, None)));
@@ -280,7 +289,7 @@
 #[test]
 fn a_sick_machine_fails_its_task_and_the_rest_notices() {
     let mut yard = Yard::new(2);
-    yard.worker(1).sick = true;
+    yard.worker(1).fails_tasks = true;
     yard.start(0, 0, 1);
     yard.start(1, 1, 1);
     yard.until(6.0);
@@ -305,7 +314,7 @@
     let mut yard = Yard::started(2);
     yard.until(17.0);
     yard.stop(0, 0, 10.0);
-    assert_eq!(yard.worker(0).report(17.0).tasks[0].state, TaskState::Running, "not `flushing`");
+    assert_eq!(yard.worker(0).heartbeat(17.0).tasks[0].state, TaskState::Running, "not `flushing`");
     yard.until(20.5);
     assert_eq!(yard.end(0), None, "it has saved and waits for the other");
     yard.stop(1, 1, 10.0);
@@ -386,14 +395,14 @@
 
 // ---- the checker --------------------------------------------------------
 
-fn rules(spec: &JobSpec) -> Rules {
-    let mut rules = Rules::new(example_settings(0, 1).deployment);
-    rules.submits(spec);
-    rules
+fn checker(spec: &JobSpec) -> InvariantChecker {
+    let mut checker = InvariantChecker::new(example_settings(0, 1).deployment);
+    checker.submits(spec);
+    checker
 }
 
-fn names(rules: &Rules) -> Vec<&str> {
-    rules.broken.iter().map(|(rule, _)| *rule).collect()
+fn names(checker: &InvariantChecker) -> Vec<&str> {
+    checker.broken.iter().map(|(rule, _)| *rule).collect()
 }
 
 fn gang(tasks: u32) -> JobSpec {
@@ -402,7 +411,7 @@
 
 #[test]
 fn a_gang_has_begun_when_all_run() {
-    let mut r = rules(&gang(2));
+    let mut r = checker(&gang(2));
     let id: JobId = "job-1".parse().unwrap();
     r.started(1.0, &task(0), "n-1", "m32", "a", false);
     r.started(2.0, &task(1), "n-2", "m32", "a", false);
@@ -416,21 +425,21 @@
 
 #[test]
 fn a_gang_that_runs_in_part_is_seen() {
-    let mut r = rules(&gang(2));
+    let mut r = checker(&gang(2));
     (0..2).for_each(|n| r.started(1.0, &task(n), "n-1", "m32", "a", false));
     r.runs(2.0, &task(0), 1);
     r.check_together(2.0);
     assert_eq!(names(&r), ["ran_alone"]);
 
     // The same number of tasks, of two attempts.
-    let mut r = rules(&gang(2));
+    let mut r = checker(&gang(2));
     (0..2).for_each(|n| r.started(1.0, &task(n), "n-1", "m32", "a", false));
     (0..2).for_each(|n| r.runs(2.0, &task(n), u64::from(n)));
     r.check_together(2.0);
     assert_eq!(names(&r), ["ran_alone", "ran_alone"]);
 
     // A task that is on no machine.
-    let mut r = rules(&gang(1));
+    let mut r = checker(&gang(1));
     r.runs(2.0, &task(0), 1);
     r.check_together(2.0);
     assert_eq!(names(&r), ["ran_alone"]);
@@ -439,17 +448,17 @@
 #[test]
 fn a_waiting_task_counts_as_on_its_machine() {
     // `started` is all that the checker learns of a task that waits.
-    let mut r = rules(&gang(2));
+    let mut r = checker(&gang(2));
     r.started(1.0, &task(0), "n-1", "m32", "a", false);
     r.started(2.0, &task(0), "n-2", "m32", "a", false);
     assert_eq!(names(&r), ["ran_twice"]);
 
-    let mut r = rules(&JobSpec { single_zone: true, ..gang(2) });
+    let mut r = checker(&JobSpec { single_zone: true, ..gang(2) });
     r.started(1.0, &task(0), "n-1", "m32", "a", false);
     r.started(2.0, &task(1), "n-2", "m32", "b", false);
     assert_eq!(names(&r), ["wrong_place"]);
 
-    let mut r = rules(&JobSpec { cpus: 60.0, ..gang(4) });
+    let mut r = checker(&JobSpec { cpus: 60.0, ..gang(4) });
     (0..4).for_each(|n| r.started(1.0, &task(n), "n-1", "m32", "a", false));
     assert_eq!(names(&r), ["quota"]);
 }
@@ -457,7 +466,7 @@
 #[test]
 fn a_task_that_waits_after_a_cancellation_is_seen() {
     let id: JobId = "job-1".parse().unwrap();
-    let mut r = rules(&gang(2));
+    let mut r = checker(&gang(2));
     r.started(1.0, &task(0), "n-1", "m32", "a", false);
     r.asks_to_cancel(&id);
     r.answer(2.0, &id, 200, Some(JobState::Cancelled), false);
@@ -471,7 +480,7 @@
 fn a_gang_is_done_when_all_of_its_tasks_are() {
     let id: JobId = "job-1".parse().unwrap();
     for missing in [0, 1] {
-        let mut r = rules(&gang(3));
+        let mut r = checker(&gang(3));
         (missing..3).for_each(|n| r.ended(&task(n), "n-1", true));
         r.answer(2.0, &id, 200, Some(JobState::Done), false);
         assert_eq!(names(&r).len(), missing as usize, "{:?}", r.broken);
@@ -483,14 +492,14 @@
 fn tasks_that_wait_on_stand_ins_are_on_their_machines_for_the_checker() {
     let mut yard = Yard::new(2);
     yard.spec.single_zone = true;
-    let mut r = rules(&yard.spec);
+    let mut r = checker(&yard.spec);
     yard.worker(1).zone = "b".into();
     yard.start(0, 0, 1);
     yard.start(1, 1, 2);
     yard.until(5.0);
     assert_eq!((yard.state(0), yard.state(1)), (TaskState::Waiting, TaskState::Waiting));
-    for (at, machine, what) in &yard.happened {
-        let Happened::Started(task) = what else { continue };
+    for (at, machine, what) in &yard.events {
+        let WorkerEvent::TaskStarted(task) = what else { continue };
         r.started(*at, task, machine, "m32", &yard.workers[machine].zone, false);
     }
     assert_eq!(names(&r), ["wrong_place"]);
@@ -517,8 +526,8 @@
 #[test]
 fn lowered_limits_refuse_what_is_larger_and_keep_what_is_stored() {
     use gladekeel_store::{StoreOutcome, StoreRequest};
-    let limits = Limits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 };
-    let mut state = State::new(limits);
+    let limits = StoreLimits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 };
+    let mut state = FakeStore::new(limits);
     let put = |key: &str, bytes: usize| Write::Put {
         key: key.into(),
         value: "x".repeat(bytes).into(),
@@ -531,7 +540,7 @@
     let many = commit((0..5).map(|n| put(&format!("b{n}"), 1)).collect());
     assert!(matches!(state.call(0.0, 0, &large), StoreOutcome::Committed(_)));
     assert!(matches!(state.call(0.0, 0, &many), StoreOutcome::Committed(_)));
-    state.lower(Limits { rps: 1000.0, write_rps: 6.0, txn_ops: 4, value: 2048 });
+    state.lower_limits(StoreLimits { rps: 1000.0, write_rps: 6.0, txn_ops: 4, value: 2048 });
     // The client knows a 400 to a commit by this name only.
     assert_eq!(state.call(10.0, 0, &large), StoreOutcome::LeaseNotFound);
     assert_eq!(state.call(10.0, 0, &many), StoreOutcome::LeaseNotFound);
--- a/crates/gladekeel-testkit/tests/rules.rs
+++ b/crates/gladekeel-testkit/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Each rule of the checker is shown to fail on a world that breaks it.
 
 use gladekeel_testkit::{
-    rules::{RoomOn, Rules},
+    invariants::{FreeCapacity, InvariantChecker},
     scenario::{example_job, example_settings, example_type},
 };
 use gladekeel_wire::{
@@ -10,8 +10,8 @@
 };
 use std::collections::BTreeSet;
 
-fn rules() -> Rules {
-    Rules::new(example_settings(0, 1).deployment)
+fn checker() -> InvariantChecker {
+    InvariantChecker::new(example_settings(0, 1).deployment)
 }
 
 fn cancel_s() -> f64 {
@@ -22,8 +22,8 @@
     TaskId { job: "job-1".parse().unwrap(), index }
 }
 
-fn names(rules: &Rules) -> Vec<&str> {
-    rules.broken.iter().map(|(rule, _)| *rule).collect()
+fn names(checker: &InvariantChecker) -> Vec<&str> {
+    checker.broken.iter().map(|(rule, _)| *rule).collect()
 }
 
 /// Each rule is shown to fail on a world that breaks it, and only it.
@@ -34,13 +34,13 @@
     spec.tasks = 4;
     spec.cpus = 4.0;
 
-    let mut r = rules();
+    let mut r = checker();
     r.submits(&spec);
     r.started(1.0, &task(0), "n-1", "m32", "a", false);
     r.started(2.0, &task(0), "n-2", "m32", "a", false);
     assert_eq!(names(&r), ["ran_twice"]);
 
-    let mut r = rules();
+    let mut r = checker();
     let mut large = spec.clone();
     large.cpus = 60.0;
     r.submits(&large);
@@ -56,7 +56,7 @@
         |s| s.single_zone = true,
         |s| s.spread = true,
     ] {
-        let mut r = rules();
+        let mut r = checker();
         let mut spec = spec.clone();
         change(&mut spec);
         r.submits(&spec);
@@ -70,7 +70,7 @@
         assert_eq!(names(&r), ["wrong_place"]);
     }
 
-    let mut r = rules();
+    let mut r = checker();
     r.submits(&spec);
     r.asks_to_cancel(&id);
     r.started(1.0, &task(0), "n-1", "m32", "a", false);
@@ -80,7 +80,7 @@
     r.check_cancelled(2.1 + cancel_s());
     assert_eq!(names(&r), ["ran_cancelled"]);
 
-    let mut r = rules();
+    let mut r = checker();
     r.submits(&spec);
     r.answer(1.0, &id, 404, None, false);
     assert!(names(&r).is_empty(), "not accepted yet");
@@ -89,17 +89,17 @@
     r.answer(3.0, &id, 422, None, true);
     assert_eq!(names(&r), ["forgotten", "forgotten"]);
 
-    let mut r = rules();
+    let mut r = checker();
     r.answer(1.0, &id, 200, Some(JobState::Queued), false);
     assert_eq!(names(&r), ["invented"]);
 
-    let mut r = rules();
+    let mut r = checker();
     r.submits(&spec);
     r.ended(&task(0), "n-1", true);
     r.answer(1.0, &id, 200, Some(JobState::Done), false);
     assert_eq!(names(&r), ["not_done"]);
 
-    let mut r = rules();
+    let mut r = checker();
     r.submits(&spec);
     for index in 0..4 {
         r.ended(&task(index), "n-1", true);
@@ -109,7 +109,7 @@
     r.answer(2.0, &id, 200, Some(JobState::Running), false);
     assert_eq!(names(&r), ["went_back"]);
 
-    let mut r = rules();
+    let mut r = checker();
     r.submits(&spec);
     r.answer(1.0, &id, 200, Some(JobState::Cancelled), false);
     assert_eq!(names(&r), ["went_back"], "its user did not cancel it");
@@ -118,10 +118,10 @@
 #[test]
 fn unanswered_polls_count_once_troubles_are_over() {
     let id: JobId = "job-1".parse().unwrap();
-    let mut r = rules();
+    let mut r = checker();
     r.submits(&example_job("job-1"));
     r.answer(1.0, &id, 201, Some(JobState::Queued), true);
-    r.calm_from = 100.0;
+    r.faults_cleared_at = 100.0;
     for now in [50.0, 100.0, 174.0] {
         r.answer(now, &id, 503, None, false);
     }
@@ -141,7 +141,7 @@
     let mut spec = example_job("job-1");
     spec.tasks = 4;
     for (image_gb, fine, late) in [(1.0, 6.9, 7.1), (10.0, 15.9, 16.1)] {
-        let mut r = rules();
+        let mut r = checker();
         r.types = vec![example_type(vec!["a".into()])];
         r.submits(&JobSpec { image_gb, ..spec.clone() });
         r.answer(1.0, &id, 201, Some(JobState::Queued), true);
@@ -173,7 +173,7 @@
     for (index, change) in changes.into_iter().enumerate() {
         let mut spec = fits.clone();
         change(&mut spec);
-        let mut r = rules();
+        let mut r = checker();
         r.types = vec![example_type(vec!["a".into(), "b".into()])];
         r.submits(&spec);
         r.answer(1.0, &id, 422, None, true);
@@ -184,23 +184,23 @@
     }
 }
 
-fn room(zone: &str, spot: bool, cpus: f64) -> RoomOn {
-    RoomOn { machine_type: "m32".into(), zone: zone.into(), spot, free: (cpus, 0.0, 64.0) }
+fn room(zone: &str, spot: bool, cpus: f64) -> FreeCapacity {
+    FreeCapacity { machine_type: "m32".into(), zone: zone.into(), spot, free: (cpus, 0.0, 64.0) }
 }
 
 /// Looks every 5 s at a job that waits, from 0 to `until`, and tells what broke.
 fn waits(
     spec: &JobSpec,
     until: u32,
-    look: impl Fn(u32, &mut Rules) -> (Vec<RoomOn>, bool),
+    look: impl Fn(u32, &mut InvariantChecker) -> (Vec<FreeCapacity>, bool),
 ) -> Vec<String> {
-    let mut r = rules();
+    let mut r = checker();
     r.submits(spec);
     r.answer(0.0, &spec.id, 201, Some(JobState::Queued), true);
     for now in (0..=until).step_by(5) {
         let (rooms, holds) = look(now, &mut r);
         let held = if holds { BTreeSet::from([spec.id.clone()]) } else { BTreeSet::new() };
-        r.check_waiting(f64::from(now), &rooms, &held);
+        r.check_pending(f64::from(now), &rooms, &held);
     }
     r.broken.iter().map(|(rule, _)| (*rule).to_owned()).collect()
 }
@@ -211,23 +211,23 @@
 fn jobs_that_wait_beside_room_count_in_calm() {
     let mut spec = example_job("job-1");
     (spec.cpus, spec.tasks) = (8.0, 4);
-    let beside = |_: u32, _: &mut Rules| (vec![room("a", false, 8.0)], false);
+    let beside = |_: u32, _: &mut InvariantChecker| (vec![room("a", false, 8.0)], false);
     assert!(waits(&spec, 90, beside).is_empty(), "90 s have not passed");
     assert_eq!(waits(&spec, 400, beside), ["left_waiting"], "it is said once");
 
     // The clock begins when the troubles are over.
-    let calm_from = |at: f64| {
-        move |_: u32, r: &mut Rules| {
-            r.calm_from = at;
+    let faults_cleared_at = |at: f64| {
+        move |_: u32, r: &mut InvariantChecker| {
+            r.faults_cleared_at = at;
             (vec![room("a", false, 8.0)], false)
         }
     };
-    assert!(waits(&spec, 190, calm_from(100.0)).is_empty());
-    assert_eq!(waits(&spec, 195, calm_from(100.0)), ["left_waiting"]);
+    assert!(waits(&spec, 190, faults_cleared_at(100.0)).is_empty());
+    assert_eq!(waits(&spec, 195, faults_cleared_at(100.0)), ["left_waiting"]);
 
     // No room, not for a while or never.
     assert!(waits(&spec, 400, |_, _| (vec![room("a", false, 7.9)], false)).is_empty());
-    let gap = |now: u32, _: &mut Rules| {
+    let gap = |now: u32, _: &mut InvariantChecker| {
         (if now == 60 { vec![] } else { vec![room("a", false, 8.0)] }, false)
     };
     assert!(waits(&spec, 155, gap).is_empty());
@@ -240,12 +240,12 @@
     let elsewhere = JobSpec { zone: Some("b".into()), spot: false, ..spec.clone() };
     assert!(waits(&elsewhere, 400, beside).is_empty());
     assert!(waits(&elsewhere, 400, |_, _| (vec![room("b", true, 8.0)], false)).is_empty());
-    let there = |_: u32, _: &mut Rules| (vec![room("b", false, 8.0)], false);
+    let there = |_: u32, _: &mut InvariantChecker| (vec![room("b", false, 8.0)], false);
     assert_eq!(waits(&elsewhere, 400, there), ["left_waiting"]);
 
     // Its team is at its limit of 200 CPUs.
     let full = |cpus: f64| {
-        move |now: u32, r: &mut Rules| {
+        move |now: u32, r: &mut InvariantChecker| {
             if now == 0 {
                 let other = JobSpec { cpus, ..example_job("job-2") };
                 r.submits(&other);
@@ -261,13 +261,15 @@
     // A gang begins whole, on several machines.
     let gang = JobSpec { kind: JobKind::Gang, ..spec.clone() };
     let two = |cpus: f64| {
-        move |_: u32, _: &mut Rules| (vec![room("a", false, 16.0), room("b", false, cpus)], false)
+        move |_: u32, _: &mut InvariantChecker| {
+            (vec![room("a", false, 16.0), room("b", false, cpus)], false)
+        }
     };
     assert!(waits(&gang, 400, two(8.0)).is_empty());
     assert_eq!(waits(&gang, 400, two(16.0)), ["left_waiting"]);
 
     // Its user called it off.
-    let cancelled = |_: u32, r: &mut Rules| {
+    let cancelled = |_: u32, r: &mut InvariantChecker| {
         r.asks_to_cancel(&"job-1".parse().unwrap());
         (vec![room("a", false, 8.0)], false)
     };
@@ -283,7 +285,7 @@
     let mut spec = example_job("job-1");
     spec.tasks = 1;
     let told = |asked: f64, status: u16, state: Option<JobState>| {
-        let mut r = rules();
+        let mut r = checker();
         r.submits(&spec);
         r.asks_to_cancel(&id);
         r.answer_to(0.5, 1.0, &id, 201, Some(JobState::Queued), true);
@@ -307,7 +309,7 @@
 fn only_direct_starts_of_before_the_cancellation_may_be_held_up() {
     let id: JobId = "job-1".parse().unwrap();
     let broken = |sent_at: f64, told_again: bool| {
-        let mut r = rules();
+        let mut r = checker();
         r.submits(&example_job("job-1"));
         r.answer(1.0, &id, 201, Some(JobState::Queued), true);
         r.asks_to_cancel(&id);
@@ -330,14 +332,14 @@
 /// is put off does not.
 #[test]
 fn odd_requests_have_one_right_answer() {
-    let mut r = rules();
+    let mut r = checker();
     for (wanted, got) in [(200, 200), (400, 400), (422, 422), (200, 503), (422, 429), (400, 0)] {
-        r.odd_answer(1.0, wanted, got, "right or put off");
+        r.check_status(1.0, wanted, got, "right or put off");
     }
     assert!(names(&r).is_empty());
     for (wanted, got) in [(200, 201), (200, 404), (200, 422), (400, 201), (422, 201), (422, 400)] {
-        let mut r = rules();
-        r.odd_answer(1.0, wanted, got, "wrong");
+        let mut r = checker();
+        r.check_status(1.0, wanted, got, "wrong");
         assert_eq!(names(&r), ["odd"], "{got} instead of {wanted}");
     }
 }
--- a/crates/gladekeel-testkit/tests/settling.rs
+++ b/crates/gladekeel-testkit/tests/settling.rs
@@ -3,17 +3,17 @@
 use gladekeel_controller::node::{Action, Event, Node};
 use gladekeel_testkit::{
     scenario::example_settings,
-    state::{Limits, State},
+    stand_ins::store::{FakeStore, StoreLimits},
 };
 use gladekeel_wire::mesh::FrameHeader;
 use std::collections::VecDeque;
 
-fn state() -> State {
-    State::new(Limits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 })
+fn state() -> FakeStore {
+    FakeStore::new(StoreLimits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 })
 }
 
 /// Lets a node tick and answers its calls to the state service; returns its frames.
-fn tick(node: &mut Node, state: &mut State, now: f64) -> Vec<Vec<u8>> {
+fn tick(node: &mut Node, state: &mut FakeStore, now: f64) -> Vec<Vec<u8>> {
     let mut frames = Vec::new();
     let mut actions = VecDeque::from(node.handle(now, Event::Tick));
     while let Some(action) = actions.pop_front() {
--- a/crates/gladekeel-testkit/tests/stand_ins.rs
+++ b/crates/gladekeel-testkit/tests/stand_ins.rs
@@ -3,7 +3,7 @@
 use gladekeel_testkit::{
     scenario,
     scenario::example_job,
-    worker::{Happened, Worker},
+    stand_ins::worker::{FakeWorker, WorkerEvent},
 };
 use gladekeel_wire::{
     TaskId,
@@ -22,20 +22,24 @@
     let task = TaskId { job: spec.id.clone(), index: 0 };
     let find = |_: &TaskId| Some(spec.clone());
     let room = (32.0, 0.0, 64.0);
-    let mut worker = Worker::new("n-1".into(), "m32".into(), "a".into(), false, room, 30.0, 0.0, 0);
+    let mut worker =
+        FakeWorker::new("n-1".into(), "m32".into(), "a".into(), false, room, 30.0, 0.0, 0);
     let answer = HeartbeatResponse { token: 7, commands: start(&task) };
-    assert!(worker.answered(0.0, 1, 0.0, &answer, &find).is_empty());
-    assert_eq!(worker.step(1.5), [Happened::Started(task.clone())]);
+    assert!(worker.handle_heartbeat_response(0.0, 1, 0.0, &answer, &find).is_empty());
+    assert_eq!(worker.step(1.5), [WorkerEvent::TaskStarted(task.clone())]);
     worker.hang(2.0, true);
     assert!(worker.step(100.0).is_empty(), "its lease is long over, its task still there");
     assert_eq!(worker.tasks.len(), 1);
     worker.hang(100.0, false);
-    assert_eq!(worker.step(100.0), [Happened::Ended(task.clone(), false)]);
+    assert_eq!(
+        worker.step(100.0),
+        [WorkerEvent::TaskEnded { task: task.clone(), completed: false }]
+    );
     assert!(worker.tasks.is_empty());
     let late = DirectCommands { token: 7, incarnation: 1, commands: start(&task) };
-    assert!(!worker.direct(100.0, &late, &find).0);
+    assert!(!worker.handle_direct_commands(100.0, &late, &find).0);
     // The report that it was about to send shows what was there then.
-    let (made_at, report) = worker.held_report.take().unwrap();
+    let (made_at, report) = worker.delayed_heartbeat.take().unwrap();
     assert_eq!((made_at, report.incarnation, report.tasks.len()), (2.0, 1, 1));
 }
 
--- a/crates/gladekeel-testkit/tests/two_versions.rs
+++ b/crates/gladekeel-testkit/tests/two_versions.rs
@@ -10,7 +10,7 @@
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_testkit::{
     scenario::{example_job, example_settings, example_type},
-    state::{Limits, State},
+    stand_ins::store::{FakeStore, StoreLimits},
 };
 use gladekeel_wire::{
     JobId,
@@ -33,7 +33,7 @@
 /// A node among `levels.len()` peers, and what it has sent.
 struct Rig {
     node: Node,
-    state: State,
+    state: FakeStore,
     /// What the peers' hellos tell from now on; none for a peer that is silent.
     levels: Vec<Option<u16>>,
     /// The number of the peers' processes in their hellos; 0 as earlier versions have it.
@@ -48,10 +48,10 @@
 
 impl Rig {
     fn new(levels: &[Option<u16>]) -> Rig {
-        let limits = Limits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 };
+        let limits = StoreLimits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 };
         Rig {
             node: Node::new(example_settings(0, levels.len() + 1), 7, 0.0),
-            state: State::new(limits),
+            state: FakeStore::new(limits),
             levels: levels.to_vec(),
             processes: 0,
             step: 0,
