--- a/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
@@ -144,7 +144,7 @@
         machine.attempts.insert(id);
         machine.requested += job.task_request;
         machine.record_image_use(job.image, job.spec.image_gb, f64::INFINITY);
-        job.count_zone(machine.zone, 1);
+        job.zone_placement.add(machine.zone);
         self.teams[job.team.position()].used += job.task_request;
         self.attempts.insert(
             id,
--- a/crates/gladekeel-controller/src/leader/autoscaling/scaling.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/scaling.rs
@@ -121,7 +121,7 @@
             );
             left[job.team.position()] -= job.task_request * i64::from(allowed);
             let running = (self.attempts.of_job(*ix).len() as u32).min(allowed);
-            let pending = if now < job.backoff_until { 0 } else { allowed - running };
+            let pending = if job.backoff.is_active(now) { 0 } else { allowed - running };
             let run_s = self.expected_run(job);
             let need = JobDemand {
                 pending: f64::from(pending) / f64::from(fits),
--- a/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
@@ -5,7 +5,7 @@
 //! for ever.
 
 use crate::leader::{Job, Leader, autoscaling::cloud_requests::MachinePool};
-use gladekeel_sched::{DenseIndex, MachineTypeIdx, ZoneIdx};
+use gladekeel_sched::{MachineTypeIdx, ZoneIdx};
 use std::collections::BTreeMap;
 
 /// Work that is bound to a zone and has waited for longer gets machines of its own.
@@ -75,15 +75,13 @@
 
 /// Whether a job has waited long enough for room in the one zone that it may use.
 fn waits_bound(job: &Job, now: f64) -> bool {
-    let waits_s = job.waiting_since.map_or(0.0, |since| now - since);
     !job.is_finished()
         && !job.pending.is_empty()
-        && now >= job.backoff_until
-        && waits_s > BOUND_WAITS_S
+        && !job.backoff.is_active(now)
+        && job.pending.waited_s(now) > BOUND_WAITS_S
 }
 
 /// The only zone in which further tasks of a job may be, if there is only one.
 fn bound_zone(job: &Job) -> Option<ZoneIdx> {
-    let held = || job.tasks_by_zone.iter().position(|tasks| *tasks > 0).map(ZoneIdx::from_position);
-    job.zone.or_else(|| held().filter(|_| job.spec.single_zone))
+    job.zone.or_else(|| job.zone_placement.first_zone().filter(|_| job.spec.single_zone))
 }
--- a/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -83,7 +83,7 @@
                 && attempt.reported_state.is_some()
                 && (!job.is_gang() || self.all_heard(attempt.job, now, heard));
         };
-        let run_s = job.median_run_time_s().unwrap_or_else(|| self.expected_run(job));
+        let run_s = job.run_times.median_s().unwrap_or_else(|| self.expected_run(job));
         let ran = attempt.running_since.map_or(0.0, |since| now - since);
         let too_long = run_s - ran > left_s - 0.5;
         if !job.is_gang() || job.spec.checkpoint_interval_s == 0.0 {
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -276,8 +276,8 @@
         for id in &machine.attempts {
             self.attempts.update(*id, |attempt| {
                 if let Some(job) = self.jobs.get_mut(&attempt.job) {
-                    job.count_zone(attempt.zone, -1);
-                    job.count_zone(Some(zone), 1);
+                    job.zone_placement.remove(attempt.zone);
+                    job.zone_placement.add(Some(zone));
                 }
                 attempt.zone = Some(zone);
             });
--- a/crates/gladekeel-controller/src/leader/reconciliation/release.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/release.rs
@@ -52,10 +52,8 @@
         }
         if let Some(job) = self.jobs.get_mut(&attempt.job) {
             self.teams[job.team.position()].used -= attempt.resources;
-            job.count_zone(attempt.zone, -1);
-            if outcome != AttemptOutcome::Done {
-                job.requeue(attempt.task_index, outcome == AttemptOutcome::Restarted, now);
-            }
+            job.zone_placement.remove(attempt.zone);
+            job.requeue(attempt.task_index, outcome, now);
             if job.final_state.is_some() && self.attempts.of_job(attempt.job).is_empty() {
                 self.log_writer.cleared.insert(attempt.job);
             }
--- a/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
@@ -13,12 +13,6 @@
 const AFTER_FAILURE_S: f64 = 5.0;
 /// A machine goes back after so many failures in a row.
 const MAX_MACHINE_FAILURES: u32 = 2;
-/// A job must have failed on so many machines before it is to blame rather than they.
-const FAULTY_JOB_MACHINES: usize = 2;
-/// The longest pause of a job that fails wherever it goes.
-const MAX_JOB_PAUSE_S: f64 = 60.0;
-/// The pause doubles with each failure, up to this many times.
-const MAX_PAUSE_DOUBLINGS: u32 = 6;
 /// Part of a new run time in what a class's estimates are corrected by.
 const RATIO_WEIGHT: f64 = 0.1;
 /// Bounds of the ratio of a run time to its estimate.
@@ -97,16 +91,15 @@
         let Some(job) = self.jobs.get_mut(&ended.job) else { return AttemptOutcome::Requeued };
         if job.spec.kind == JobKind::Service {
             // A service is done when it is cancelled, and not before.
-            job.backoff_until = now + SERVICE_AGAIN_S;
+            job.backoff.hold_until(now + SERVICE_AGAIN_S);
             return AttemptOutcome::Requeued;
         }
-        job.failures = 0;
-        job.failed_on.clear();
+        job.backoff.record_completion();
         if let Some(machine) = self.cluster.machines.get_mut(&ended.machine) {
             machine.consecutive_failures = 0;
         }
         if let Some(ran_s) = ended.ran_s {
-            job.record_run(ran_s);
+            job.record_run_time(ran_s);
             let (least, most) = RATIO_RANGE;
             let ratio = (ran_s / job.spec.estimate_s.max(MIN_ESTIMATE_S)).clamp(least, most);
             let learned =
@@ -122,11 +115,8 @@
         self.cluster.counters.failures += 1;
         let others = self.attempts.of_job(ended.job).unfinished();
         let Some(job) = self.jobs.get_mut(&ended.job) else { return };
-        job.failures += 1;
-        job.failed_on.insert(ended.machine);
-        // A large job has tasks on faulty machines as well; what fails by itself fails more
-        // often than it runs.
-        let is_faulty = job.failed_on.len() >= FAULTY_JOB_MACHINES && job.failures > others;
+        job.backoff.record_failure(ended.machine);
+        let is_faulty = job.backoff.is_job_faulty(others);
         let is_gang = job.is_gang();
         if is_faulty {
             self.pause_faulty_job(now, ended.job);
@@ -142,14 +132,13 @@
     /// Lets a job wait that fails wherever it goes, and clears the machines that it failed on.
     fn pause_faulty_job(&mut self, now: f64, job: JobIdx) {
         let Some(job) = self.jobs.get_mut(&job) else { return };
-        let pause_s = f64::from(1 << job.failures.min(MAX_PAUSE_DOUBLINGS));
-        job.backoff_until = now + pause_s.min(MAX_JOB_PAUSE_S);
-        for machine in &job.failed_on {
-            if let Some(machine) = self.cluster.machines.get_mut(machine) {
+        job.backoff.back_off(now);
+        for machine in job.backoff.failed_on() {
+            if let Some(machine) = self.cluster.machines.get_mut(&machine) {
                 machine.consecutive_failures = 0;
             }
         }
-        tracing::info!(job = %job.id, failures = job.failures, "a job fails on every machine");
+        tracing::info!(job = %job.id, failures = job.backoff.failures(), "a job fails on every machine");
     }
 
     /// Counts a failure against a machine, which goes back when it fails too often.
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle.rs
@@ -27,8 +27,7 @@
         }
         // A gang that has waited long gets room that full machines will have.
         let overdue_gang = self.jobs.values().any(|job| {
-            let waited = job.waiting_since.map_or(0.0, |since| now - since);
-            job.is_gang() && !job.is_finished() && waited > PATIENCE_S
+            job.is_gang() && !job.is_finished() && job.pending.waited_s(now) > PATIENCE_S
         });
         let mut input = self.round_input(now, overdue_gang);
         let mut gangs: BTreeMap<JobIdx, u64> = BTreeMap::new();
@@ -58,10 +57,8 @@
             });
             self.bind(job, machine, gang, now);
         }
-        for job in
-            self.jobs.values_mut().filter(|job| !job.is_finished() && !job.pending.is_empty())
-        {
-            job.waiting_since.get_or_insert(now);
+        for job in self.jobs.values_mut().filter(|job| !job.is_finished()) {
+            job.pending.record_unbound(now);
         }
     }
 
@@ -132,8 +129,8 @@
             let waits = !job.is_finished()
                 && !job.is_gang()
                 && self.attempts.of_job(*ix).is_empty()
-                && now >= job.backoff_until;
-            waits && job.waiting_since.is_some_and(|since| now - since > STARVED_S)
+                && !job.backoff.is_active(now);
+            waits && job.pending.waited_s(now) > STARVED_S
         })
     }
 
@@ -141,27 +138,28 @@
         // After a takeover the zone of a machine may not be known yet; jobs whose
         // tasks must be in certain zones relative to one another wait for it.
         let zones_matter = job.spec.single_zone || job.spec.spread;
-        let held = now < job.backoff_until || (zones_matter && job.tasks_in_unknown_zone > 0);
+        let held =
+            job.backoff.is_active(now) || (zones_matter && job.zone_placement.has_unknown_zone());
         let array = job.spec.kind == JobKind::Array;
         // A gang that waits has nothing on any machine; of an array that is so as
         // long as its share rounds down to nothing or room comes in small pieces.
         let nowhere = self.attempts.of_job(ix).is_empty();
         let idle = (!array || nowhere) && job.spec.kind != JobKind::Service;
-        let waited = job.waiting_since.filter(|_| idle).map_or(0.0, |since| now - since);
+        let waited = if idle { job.pending.waited_s(now) } else { 0.0 };
         cycle::SchedulableJob {
             team: job.team,
             priority: job.spec.priority as u8,
             task_request: job.task_request,
             remaining: job.remaining(),
             pending: if held { 0 } else { job.pending.len() as u32 },
-            speculative_restarts: if held { 0 } else { job.speculative_restarts },
+            speculative_restarts: if held { 0 } else { job.pending.speculative_restarts() },
             image: job.image,
             machine_types: job.machine_types.clone(),
             zone: job.zone,
             single_zone: job.spec.single_zone,
             max_tasks_per_zone: if job.spec.spread { job.spec.tasks.div_ceil(2) } else { u32::MAX },
             spot: job.spec.spot,
-            tasks_by_zone: job.tasks_by_zone.clone(),
+            tasks_by_zone: job.zone_placement.by_zone().to_vec(),
             gang: job.is_gang(),
             replaces_gang_members: !nowhere && self.still_waits(ix),
             // A gang looks for the image before all else, in any case.
@@ -179,7 +177,7 @@
         else {
             return;
         };
-        let Some(index) = job.next_pending() else { return };
+        let Some(index) = job.pending.next() else { return };
         let number = gang.unwrap_or(self.next_attempt);
         let id = if gang.is_some() {
             AttemptId::of_gang_task(number, index)
@@ -188,10 +186,7 @@
             AttemptId::from_logged(number)
         };
         job.gang_attempt = number;
-        job.count_zone(machine.zone, 1);
-        if job.pending.is_empty() {
-            job.waiting_since = None;
-        }
+        job.zone_placement.add(machine.zone);
         let cache = machine
             .machine_type
             .and_then(|kind| self.catalog.machine_type(kind))
--- a/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
@@ -19,11 +19,10 @@
     /// machines until they give up by themselves.
     pub(in crate::leader) fn end_incomplete(&mut self, now: f64) {
         let gangs = self.jobs.iter().filter(|(ix, job)| {
-            let waits_s = job.waiting_since.map_or(0.0, |since| now - since);
             job.is_gang()
                 && !self.attempts.of_job(**ix).is_empty()
                 && !job.pending.is_empty()
-                && waits_s > REPLACE_S
+                && job.pending.waited_s(now) > REPLACE_S
         });
         for ix in gangs.map(|(ix, _)| *ix).collect::<Vec<_>>() {
             self.stop_gang(ix, StopReason::GangRestart);
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -39,7 +39,7 @@
                 continue;
             };
             let Some(job) = self.jobs.get(&attempt.job) else { continue };
-            let median = *medians.entry(attempt.job).or_insert_with(|| job.median_run_time_s());
+            let median = *medians.entry(attempt.job).or_insert_with(|| job.run_times.median_s());
             ids.push(*id);
             runs.push(straggler::RunningTask {
                 machine: attempt.machine,
@@ -91,7 +91,8 @@
     /// How long a job has waited for room, if it may be placed now.
     fn waited_for_room(&self, ix: JobIdx, now: f64) -> Option<f64> {
         let job = self.jobs.get(&ix)?;
-        (now >= job.backoff_until && !job.pending.is_empty()).then_some(now - job.waiting_since?)
+        (!job.backoff.is_active(now) && !job.pending.is_empty())
+            .then_some(now - job.pending.waiting_since()?)
     }
 
     /// Whether a job has waited for long enough that others may be stopped for it.
