--- /dev/null
+++ b/crates/gladekeel-controller/src/leader/commands/answer.rs
@@ -0,0 +1,150 @@
+//! What the outcome of a request tells of a worker.
+
+use super::WorkerRequest;
+use crate::leader::{AttemptId, Leader, machine::DeletionReason};
+use gladekeel_sched::MachineIdx;
+use gladekeel_wire::worker::{Heartbeat, TaskStatus};
+
+/// Unanswered requests in a row after which a silent machine counts as unresponsive, and one that
+/// has not acknowledged the answers to its heartbeats as cut off from what is sent to it.
+const MAX_UNANSWERED: u32 = 2;
+/// Unacknowledged answers to heartbeats in a row, beyond which unanswered requests prove an
+/// inbound partition.
+const MAX_MISSED_ACKS: u32 = 1;
+/// For so long after this node has lagged, missing answers do not count against machines.
+const LAG_GRACE_S: f64 = 3.0;
+
+/// What came of a request to a worker.
+#[derive(Debug, Clone, PartialEq)]
+pub enum WorkerOutcome {
+    /// Executed; the heartbeat was made afterwards.
+    Done(Heartbeat),
+    /// Refused by the worker: another incarnation, or a higher fencing token.
+    NotExecuted,
+    /// The worker was not reached: it has not received the request and never will.
+    NotSent,
+    /// No answer: it may have been executed, or still be.
+    Unknown,
+}
+
+impl Leader {
+    /// Applies the outcome of a request that [`Leader::next_worker_request`] has returned.
+    pub fn worker_answered(&mut self, now: f64, request: &WorkerRequest, outcome: &WorkerOutcome) {
+        if request.token != self.token {
+            return;
+        }
+        if request.is_probe() {
+            self.commands.record_probe_outcome();
+        }
+        let Some(machine) = self.cluster.machines.get_mut(&request.machine) else { return };
+        machine.command_in_flight = false;
+        self.settle_starts(now, request, outcome);
+        match outcome {
+            WorkerOutcome::Done(heartbeat) => self.on_answer(now, request.machine, heartbeat),
+            WorkerOutcome::NotExecuted => self.on_refusal_to_execute(request.machine),
+            WorkerOutcome::NotSent | WorkerOutcome::Unknown => {
+                self.resend_stops(request.machine);
+                self.on_no_answer(now, request.machine);
+            }
+        }
+    }
+
+    /// A refusal is an answer: the worker receives what is sent to it.
+    fn on_refusal_to_execute(&mut self, machine_idx: MachineIdx) {
+        let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
+        machine.unanswered_commands = 0;
+    }
+
+    /// Marks the stops of a machine as not sent. Those in the request may be lost, and the
+    /// heartbeat that would have them repeated may never come.
+    fn resend_stops(&mut self, machine_idx: MachineIdx) {
+        let Some(machine) = self.cluster.machines.get(&machine_idx) else { return };
+        for id in &machine.attempts {
+            if self.attempts.get(*id).is_some_and(|attempt| attempt.stop_reason.is_some()) {
+                self.attempts.update(*id, |attempt| attempt.stops_sent = 0);
+                self.commands.record_undelivered_stop(machine_idx);
+            }
+        }
+    }
+
+    /// Counts a request that had no answer against its machine, unless this node was late itself.
+    fn on_no_answer(&mut self, now: f64, machine_idx: MachineIdx) {
+        if self.timers.lagged_within(LAG_GRACE_S, now) {
+            return;
+        }
+        let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
+        machine.unanswered_commands += 1;
+        if machine.unanswered_commands < MAX_UNANSWERED {
+            self.commands.request_probe(machine_idx);
+            return;
+        }
+        machine.unresponsive_since.get_or_insert(now);
+        if machine.missed_acks > MAX_MISSED_ACKS && machine.deletion_reason.is_none() {
+            tracing::info!(
+                machine = machine.name,
+                missed_acks = machine.missed_acks,
+                reason = "inbound partition",
+                "machine deleted"
+            );
+            machine.deletion_reason = Some(DeletionReason::InboundPartition);
+            self.cluster.leaving.insert(machine_idx);
+        }
+    }
+
+    /// Applies the heartbeat with which a worker has answered.
+    fn on_answer(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
+        // An address may by now be another machine's.
+        let sender = self.cluster.machine_names.get(heartbeat.machine.as_str());
+        if sender != Some(machine_idx) {
+            return;
+        }
+        let is_newest = self.apply_heartbeat(now, heartbeat).is_some();
+        self.record_answer(now, machine_idx, heartbeat);
+        if is_newest {
+            self.apply_listed_tasks(now, machine_idx, heartbeat);
+            self.commands.request_commands(machine_idx);
+        }
+    }
+
+    /// Records that a machine was reached and receives what is sent to it.
+    fn record_answer(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
+        let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
+        machine.unanswered_commands = 0;
+        machine.last_probe_answer = Some(now);
+        machine.answering_probes_since.get_or_insert(now);
+        if machine.last_heartbeat.1 == 0 {
+            machine.last_heartbeat.1 = heartbeat.incarnation;
+        }
+        machine.unresponsive_since = None;
+        machine.suspect_since = None;
+        machine.missed_acks = 0;
+        machine.expected_effects = Default::default();
+    }
+
+    /// Applies the states of the tasks that an answer lists. Those that it lacks prove nothing,
+    /// since answers to heartbeats may still be under way and start them.
+    fn apply_listed_tasks(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
+        for status in &heartbeat.tasks {
+            let id = self.attempt_id(status);
+            if self.is_assigned_to(id, machine_idx, heartbeat.incarnation, status) {
+                self.apply_task_status(now, id, status);
+            }
+        }
+    }
+
+    /// Whether a listed task is the one that the leader has assigned under this id.
+    fn is_assigned_to(
+        &self,
+        id: AttemptId,
+        machine_idx: MachineIdx,
+        incarnation: u64,
+        status: &TaskStatus,
+    ) -> bool {
+        self.attempts.get(id).is_some_and(|attempt| {
+            attempt.machine == machine_idx
+                && attempt.incarnation == incarnation
+                && attempt.task_index == status.task.index
+                && self.job_names.name(attempt.job) == &status.task.job
+        })
+    }
+}
--- /dev/null
+++ b/crates/gladekeel-controller/src/leader/commands/request.rs
@@ -0,0 +1,185 @@
+//! Which commands a machine is due, and the requests that carry them.
+
+use crate::leader::{Attempt, AttemptId, Leader, Machine, StopReason};
+use gladekeel_sched::MachineIdx;
+use gladekeel_wire::{
+    TaskId,
+    worker::{Command, DirectCommands, TaskState},
+};
+use std::collections::BTreeSet;
+
+/// A request to a worker, which it answers with a heartbeat.
+#[derive(Debug, Clone)]
+pub struct WorkerRequest {
+    /// The worker's address.
+    pub addr: String,
+    /// The commands; `None` for a probe, which only asks for the heartbeat.
+    pub body: Option<DirectCommands>,
+    /// The fencing token under which it was built. Outcomes under an older one say nothing.
+    pub(super) token: u64,
+    pub(super) machine: MachineIdx,
+    /// The attempts that it starts.
+    pub(super) starts: Vec<AttemptId>,
+}
+
+impl WorkerRequest {
+    /// Whether it carries no commands.
+    pub(super) fn is_probe(&self) -> bool {
+        self.body.is_none()
+    }
+}
+
+/// Commands that a machine is due.
+#[derive(Default)]
+struct DueCommands {
+    commands: Vec<Command>,
+    /// The attempts that they start.
+    starts: Vec<AttemptId>,
+}
+
+impl Leader {
+    /// The next request to a worker, if one is due: commands first, then probes. With `may_start`
+    /// false, as long as nothing new may be started, it contains no starts.
+    pub fn next_worker_request(&mut self, now: f64, may_start: bool) -> Option<WorkerRequest> {
+        for gang in self.commands.take_gangs() {
+            self.commands.request_commands_on(self.attempts.of_job(gang).machines());
+        }
+        while let Some(machine_idx) = self.commands.next_machine() {
+            if let Some(request) = self.command_request(now, machine_idx, may_start) {
+                return Some(request);
+            }
+        }
+        while let Some(machine_idx) = self.commands.next_probe() {
+            if let Some(request) = self.probe_request(machine_idx) {
+                return Some(request);
+            }
+        }
+        None
+    }
+
+    fn probe_request(&mut self, machine_idx: MachineIdx) -> Option<WorkerRequest> {
+        let machine = self.cluster.machines.get_mut(&machine_idx)?;
+        if machine.command_in_flight || machine.deleted {
+            return None;
+        }
+        let addr = machine.addr.clone()?;
+        machine.command_in_flight = true;
+        self.commands.record_probe_sent();
+        Some(WorkerRequest {
+            addr,
+            body: None,
+            token: self.token,
+            machine: machine_idx,
+            starts: Vec::new(),
+        })
+    }
+
+    /// The commands that a machine is due now, if it is due any and takes requests. A silent one
+    /// is left to the failure detector: the request would hang.
+    fn command_request(
+        &mut self,
+        now: f64,
+        machine_idx: MachineIdx,
+        may_start: bool,
+    ) -> Option<WorkerRequest> {
+        let timeout_s = self.deployment.workers.heartbeat_timeout_s();
+        let machine = self.cluster.machines.get(&machine_idx)?;
+        if machine.command_in_flight || machine.deleted || now - machine.silent_since > timeout_s {
+            return None;
+        }
+        let addr = machine.addr.clone()?;
+        let incarnation = machine.newest_message.0;
+        let may_start = may_start && !self.needs_new_token && machine.may_receive_starts();
+        let attempts = machine.attempts.clone();
+        let DueCommands { mut commands, starts } =
+            self.due_commands(attempts, incarnation, may_start);
+        let machine = self.cluster.machines.get_mut(&machine_idx)?;
+        if commands.is_empty() {
+            if machine.missed_acks > 0 && machine.deletion_reason.is_none() {
+                // The probe shows whether it receives anything at all.
+                self.commands.request_probe(machine_idx);
+            }
+            return None;
+        }
+        machine.unsettled_starts.extend(starts.iter().map(|id| (*id, None)));
+        machine.command_in_flight = true;
+        commands.sort_by_key(|command| matches!(command, Command::Start { .. }));
+        let token = self.token;
+        let body = Some(DirectCommands { token, incarnation, commands });
+        Some(WorkerRequest { addr, body, token, machine: machine_idx, starts })
+    }
+
+    /// The commands due for the attempts on a machine: stops and, with `may_start`, starts.
+    fn due_commands(
+        &mut self,
+        attempts: BTreeSet<AttemptId>,
+        incarnation: u64,
+        may_start: bool,
+    ) -> DueCommands {
+        let mut due = DueCommands::default();
+        for id in attempts {
+            if let Some(stop) = self.due_stop(id, incarnation) {
+                due.commands.push(stop);
+            } else if may_start && let Some(start) = self.due_start(id, incarnation) {
+                due.commands.push(start);
+                due.starts.push(id);
+            }
+        }
+        due
+    }
+
+    /// The stop of an attempt that is to stop and has not been sent one; counts it as sent.
+    fn due_stop(&mut self, id: AttemptId, incarnation: u64) -> Option<Command> {
+        let attempt =
+            self.attempts.get(id).filter(|attempt| attempt.is_committed_in(incarnation))?;
+        let reason = attempt.stop_reason?;
+        if attempt.stops_sent > 0 || !takes_stop(attempt.reported_state?, reason) {
+            return None;
+        }
+        let task = self.task_id(attempt);
+        let grace_s = self.jobs[&attempt.job].grace_period_s(reason);
+        self.attempts.update(id, |attempt| attempt.stops_sent = 1);
+        Some(Command::Stop { task, attempt: self.reported_attempt(id), grace_s })
+    }
+
+    /// The start of an attempt that is committed, a gang's with all of its others, and has not
+    /// been sent one; counts it as sent.
+    fn due_start(&mut self, id: AttemptId, incarnation: u64) -> Option<Command> {
+        let attempt =
+            self.attempts.get(id).filter(|attempt| attempt.is_committed_in(incarnation))?;
+        if attempt.stop_reason.is_some() || attempt.reported_state.is_some() || attempt.start_sent {
+            return None;
+        }
+        let job = &self.jobs[&attempt.job];
+        let is_incomplete = job.is_gang() && self.attempts.of_job(attempt.job).uncommitted() > 0;
+        if job.is_finished() || is_incomplete {
+            return None;
+        }
+        let task = self.task_id(attempt);
+        self.attempts.update(id, |attempt| attempt.start_sent = true);
+        Some(Command::Start { task, attempt: self.reported_attempt(id) })
+    }
+
+    fn task_id(&self, attempt: &Attempt) -> TaskId {
+        TaskId { job: self.job_names.name(attempt.job).clone(), index: attempt.task_index }
+    }
+}
+
+impl Machine {
+    /// Whether starts may be sent to it: it stays, and acknowledges what it receives.
+    fn may_receive_starts(&self) -> bool {
+        !self.is_leaving() && self.missed_acks == 0
+    }
+}
+
+/// Whether a task in this state is to be sent a stop for this reason.
+fn takes_stop(state: TaskState, reason: StopReason) -> bool {
+    match state {
+        // A fetch goes on to its end, so that the gang's next attempt finds the image.
+        TaskState::Fetching => reason != StopReason::GangIncomplete,
+        TaskState::Waiting | TaskState::Running => true,
+        // It is stopping already; only a cancellation leaves it no time to save.
+        TaskState::Saving => reason == StopReason::Cancelled,
+        TaskState::Exited | TaskState::Other => false,
+    }
+}
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -22,7 +22,7 @@
 pub use attempt::{AssignmentPhase, Attempt, AttemptOutcome, StopReason};
 pub use attempt_id::AttemptId;
 pub use autoscaling::cost::CostBreakdown;
-pub use commands::queue::{WorkerOutcome, WorkerRequest};
+pub use commands::{WorkerOutcome, WorkerRequest};
 pub use job::Job;
 pub use machine::Machine;
 
@@ -40,7 +40,7 @@
 use autoscaling::scaling::Demand;
 use autoscaling::warm_pool::WarmPool;
 use catalog::Catalog;
-use commands::queue::CommandQueue;
+use commands::CommandQueue;
 use failure_detection::reachability::ZoneReachability;
 use gladekeel_sched::{Interner, Resources, cycle::TeamQuota};
 use gladekeel_sched::{JobIdx, MachineIdx, ZoneIdx};
@@ -320,7 +320,7 @@
         self.timers.tick(now);
         self.cluster.counters.attempt_lookups += self.attempts.take_lookups();
         self.evacuate_leaving_machines(now);
-        self.needs_new_token |= self.has_unsettled_start(now);
+        self.needs_new_token |= self.unsettled_start_needs_new_token(now);
         // What looks at every machine is done once a round at the most. Dead machines are
         // found also while a new token is awaited: that may take as long as an outage.
         let upkeep = self.timers.upkeep_due(now, options);
