--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests.rs
@@ -275,7 +275,7 @@
         if first || changed {
             self.log_writer.types = Some(types.clone());
         }
-        self.catalog.add_types(&types);
+        self.catalog.add_machine_types(&types);
         self.timers.request_cycle();
     }
 
--- a/crates/gladekeel-controller/src/leader/catalog.rs
+++ b/crates/gladekeel-controller/src/leader/catalog.rs
@@ -1,26 +1,33 @@
-//! Names of teams, zones, machine types and images, as indices.
+//! Names of teams, zones, machine types and images as dense indices.
+//!
+//! Names are turned into indices where they enter the leader; everything else in it uses the
+//! indices. They stay the same when the leader takes a new token, since the cluster state that
+//! outlives it refers to machine types, zones and images by them.
 
-use gladekeel_sched::{DenseIndex, ImageIdx, MachineTypeIdx, TeamIdx, ZoneIdx};
-use gladekeel_sched::{Interner, Resources};
+use gladekeel_sched::{
+    DenseIndex, ImageIdx, Interner, MachineTypeIdx, Resources, TeamIdx, ZoneIdx,
+};
 use gladekeel_wire::{
     cloud::{MachineType, MachineTypes},
     settings::Deployment,
 };
-/// Names of teams, zones, types and images, as indices.
+
+/// The names in use, and the machine types that the cloud offers.
 #[derive(Debug, Default)]
 pub(super) struct Catalog {
+    /// Teams, in the order of the deployment file.
     pub teams: Interner<String, TeamIdx>,
     pub zones: Interner<String, ZoneIdx>,
     pub machine_type_names: Interner<String, MachineTypeIdx>,
     pub images: Interner<String, ImageIdx>,
-    /// By kind; none for kinds that jobs name but the cloud does not.
+    /// By index; `None` for those that jobs name but the cloud does not offer.
     pub machine_types: Vec<Option<MachineType>>,
 }
 
 impl Catalog {
-    /// Gets ready for a new token. Names keep their indices, since what is known of machines
-    /// goes on and speaks of kinds, zones and images by them.
-    pub fn renew(&mut self, deployment: &Deployment, types: Option<&MachineTypes>) {
+    /// Prepares the catalog for a new token: names keep their indices, machine types are those
+    /// that the store has.
+    pub fn renew(&mut self, deployment: &Deployment, machine_types: Option<&MachineTypes>) {
         for team in &deployment.teams {
             self.teams.intern(&team.name);
         }
@@ -28,27 +35,29 @@
             self.zones.intern(zone);
         }
         self.machine_types.fill(None);
-        if let Some(types) = types {
-            self.add_types(types);
+        if let Some(machine_types) = machine_types {
+            self.add_machine_types(machine_types);
         }
     }
 
-    pub fn add_types(&mut self, types: &MachineTypes) {
-        for machine_type in &types.types {
-            let kind = self.intern_machine_type(&machine_type.name);
-            self.machine_types[kind.position()] = Some(machine_type.clone());
+    /// Adds machine types that the cloud offers, or their new prices.
+    pub fn add_machine_types(&mut self, machine_types: &MachineTypes) {
+        for machine_type in &machine_types.types {
+            let machine_type_idx = self.intern_machine_type(&machine_type.name);
+            self.machine_types[machine_type_idx.position()] = Some(machine_type.clone());
             for zone in &machine_type.zones {
                 self.zones.intern(zone);
             }
         }
     }
 
+    /// The index of a machine type, whether the cloud offers it or not.
     pub fn intern_machine_type(&mut self, name: &str) -> MachineTypeIdx {
-        let kind = self.machine_type_names.intern(&name.to_owned());
-        if self.machine_types.len() <= kind.position() {
-            self.machine_types.resize(kind.position() + 1, None);
+        let machine_type_idx = self.machine_type_names.intern(&name.to_owned());
+        if self.machine_types.len() <= machine_type_idx.position() {
+            self.machine_types.resize(machine_type_idx.position() + 1, None);
         }
-        kind
+        machine_type_idx
     }
 
     /// The indices of all machine types, those that only jobs name included.
@@ -56,13 +65,14 @@
         (0..self.machine_types.len()).map(MachineTypeIdx::from_position)
     }
 
-    /// A kind's type, if the cloud has it.
-    pub fn machine_type(&self, kind: MachineTypeIdx) -> Option<&MachineType> {
-        self.machine_types.get(kind.position())?.as_ref()
+    /// What the cloud says of a machine type, if it offers it.
+    pub fn machine_type(&self, machine_type_idx: MachineTypeIdx) -> Option<&MachineType> {
+        self.machine_types.get(machine_type_idx.position())?.as_ref()
     }
 
-    /// What a machine of this kind offers.
-    pub fn capacity(&self, kind: MachineTypeIdx) -> Option<Resources> {
-        self.machine_type(kind).map(|t| Resources::allocatable(t.cpus, t.gpus, t.memory_gb))
+    /// The resources that tasks may use on a machine of this type.
+    pub fn capacity(&self, machine_type_idx: MachineTypeIdx) -> Option<Resources> {
+        let machine_type = self.machine_type(machine_type_idx)?;
+        Some(Resources::allocatable(machine_type.cpus, machine_type.gpus, machine_type.memory_gb))
     }
 }
--- a/crates/gladekeel-controller/src/leader/reconciliation/release.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/release.rs
@@ -25,7 +25,7 @@
             if job.final_state.is_none() {
                 self.log_writer.finished.insert(job_ix);
             }
-        } else if job.is_gang() && !job.is_finished() && !self.still_waits(job_ix) {
+        } else if job.is_gang() && !job.is_finished() && !self.is_gang_unstarted(job_ix) {
             self.stop_gang(job_ix, StopReason::GangRestart);
         }
         let Some(job) = self.jobs.get_mut(&job_ix) else { return };
--- /dev/null
+++ b/crates/gladekeel-controller/src/leader/scheduling/binding.rs
@@ -0,0 +1,78 @@
+//! Binding of a task to a machine: the assignment is proposed, and counts at once.
+//!
+//! Upholds "Write ahead" of `docs/safety.md`: the start is sent only after the assignment log
+//! writer has committed the proposal.
+
+use crate::leader::{AssignmentPhase, Attempt, AttemptId, Leader};
+use gladekeel_sched::{DenseIndex, JobIdx, MachineIdx};
+
+/// A decision that the next pending task of a job goes to a machine.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct TaskBinding {
+    /// The job.
+    pub job: JobIdx,
+    /// The machine.
+    pub machine: MachineIdx,
+    /// The attempt number that the tasks of a gang share; `None` for other jobs.
+    pub gang_attempt: Option<u64>,
+}
+
+impl Leader {
+    /// Proposes the assignment of a job's next pending task. From now on it counts for the quota
+    /// of the team, for the zone, and for the machine's resources.
+    pub(super) fn bind(&mut self, binding: TaskBinding, now: f64) {
+        let (Some(job), Some(machine)) =
+            (self.jobs.get_mut(&binding.job), self.cluster.machines.get_mut(&binding.machine))
+        else {
+            return;
+        };
+        let Some(task_index) = job.pending.next() else { return };
+        let id = match binding.gang_attempt {
+            Some(gang_attempt) => {
+                job.gang_attempt = gang_attempt;
+                AttemptId::of_gang_task(gang_attempt, task_index)
+            }
+            None => AttemptId::from_logged(self.attempt_numbers.reserve(1)),
+        };
+        let cache_gb = machine
+            .machine_type
+            .and_then(|machine_type| self.catalog.machine_type(machine_type))
+            .map_or(0.0, |machine_type| machine_type.cache_gb);
+        let image_cached = machine.images.iter().any(|(image, _)| *image == job.image);
+        machine.record_image_use(job.image, job.spec.image_gb, cache_gb);
+        machine.attempts.insert(id);
+        machine.requested += job.task_request;
+        job.zone_placement.add(machine.zone);
+        self.teams[job.team.position()].used += job.task_request;
+        self.attempts.insert(
+            id,
+            Attempt {
+                job: binding.job,
+                task_index,
+                machine: binding.machine,
+                zone: machine.zone,
+                incarnation: machine.newest_message.0,
+                phase: AssignmentPhase::Proposed,
+                reported_state: None,
+                running_since: None,
+                stop_reason: None,
+                stops_sent: 0,
+                start_sent: false,
+                resources: job.task_request,
+                image: job.image,
+                recovered: false,
+                segment: 0,
+            },
+        );
+        self.log_writer.proposed.insert(id);
+        self.changed_progress.insert(binding.job);
+        tracing::debug!(
+            job = %job.id,
+            task = task_index,
+            machine = machine.name,
+            image_cached,
+            now,
+            "task bound"
+        );
+    }
+}
--- /dev/null
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -0,0 +1,171 @@
+//! What a scheduling cycle is given: the machines, teams and jobs as the leader has them.
+
+use crate::leader::{Job, Leader, Machine};
+use gladekeel_sched::cycle::{SchedulableJob, SchedulableMachine, SchedulingCycle};
+use gladekeel_sched::{JobIdx, MachineIdx, ZoneIdx};
+use gladekeel_wire::job::JobKind;
+use std::collections::{BTreeSet, HashMap};
+
+/// A job that has waited for longer, with nothing on any machine, is scheduled first.
+pub(super) const OVERDUE_AFTER_S: f64 = 60.0;
+/// An array that has waited for longer, with nothing on any machine, may use the warm pool.
+const STARVED_AFTER_S: f64 = 75.0;
+
+/// The input of a scheduling cycle, with the leader's indices beside the cycle's positions.
+pub(in crate::leader) struct CycleInput {
+    /// Jobs and machines by position.
+    pub cycle: SchedulingCycle,
+    /// The job at each position.
+    pub jobs: Vec<JobIdx>,
+    /// The machine at each position.
+    pub machines: Vec<MachineIdx>,
+}
+
+impl CycleInput {
+    /// The position of each machine.
+    pub fn machine_positions(&self) -> HashMap<MachineIdx, usize> {
+        self.machines
+            .iter()
+            .enumerate()
+            .map(|(position, machine_idx)| (*machine_idx, position))
+            .collect()
+    }
+}
+
+/// Which machines a cycle is given.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(in crate::leader) enum MachineScope {
+    /// Those that may take a task now.
+    Free,
+    /// Also those that are full or must not get tasks for now: their resources may be reserved
+    /// for later, or freed by preemption.
+    All,
+}
+
+impl Leader {
+    /// The input as things are, with the jobs in the order in which they were submitted.
+    pub(in crate::leader) fn cycle_input(&self, now: f64, scope: MachineScope) -> CycleInput {
+        let cycle = SchedulingCycle {
+            max_bindings: self.log_writer.batch(&self.deployment),
+            teams: self.teams.clone(),
+            ..Default::default()
+        };
+        let mut input = CycleInput { cycle, jobs: Vec::new(), machines: Vec::new() };
+        self.add_machines(&mut input, now, scope);
+        for (job_idx, job) in self.jobs.iter().filter(|(_, job)| !job.is_finished()) {
+            input.jobs.push(*job_idx);
+            input.cycle.jobs.push(self.schedulable_job(*job_idx, job, now));
+        }
+        input
+    }
+
+    fn add_machines(&self, input: &mut CycleInput, now: f64, scope: MachineScope) {
+        let unreachable_zones: BTreeSet<ZoneIdx> =
+            self.reachability.unreachable_zones(now).collect();
+        // Arrays may use the warm pool before they have waited for too long.
+        let warm_pool_reserved = !self.is_any_array_starved(now);
+        for (machine_idx, machine) in &self.cluster.machines {
+            let (Some(machine_type), Some(zone)) = (machine.machine_type, machine.zone) else {
+                continue;
+            };
+            let Some(capacity) = self.catalog.capacity(machine_type) else { continue };
+            if machine.is_leaving() || machine.last_seen.is_none() {
+                continue;
+            }
+            input.cycle.total_capacity += capacity;
+            let free = capacity - machine.requested;
+            let schedulable =
+                self.is_schedulable(machine, now) && !unreachable_zones.contains(&zone);
+            let may_take_task = schedulable && free.cpus > 0 && free.memory > 0;
+            if scope == MachineScope::Free && !may_take_task {
+                continue;
+            }
+            input.machines.push(*machine_idx);
+            input.cycle.machines.push(SchedulableMachine {
+                capacity,
+                free,
+                machine_type,
+                zone,
+                spot: machine.spot,
+                cached_or_fetching: machine.images.iter().map(|(image, _)| *image).collect(),
+                cached_images: machine.cached_images.iter().copied().collect(),
+                fetching: self.is_fetching(*machine_idx, machine),
+                schedulable,
+                warm_pool: machine.warm_pool && warm_pool_reserved,
+            });
+        }
+    }
+
+    /// Whether a machine may get new tasks, as far as it is concerned by itself.
+    fn is_schedulable(&self, machine: &Machine, now: f64) -> bool {
+        // One that answers probes and sends no heartbeats will lose its tasks with its lease.
+        let heard_at = machine.silent_since.min(machine.last_heartbeat.0);
+        now - heard_at < self.deployment.workers.heartbeat_timeout_s()
+            && now >= machine.quarantined_until
+            && machine.is_reachable()
+    }
+
+    /// Whether one of a machine's tasks waits for an image, as far as known.
+    fn is_fetching(&self, machine_idx: MachineIdx, machine: &Machine) -> bool {
+        self.attempts
+            .images_not_yet_running(machine_idx)
+            .any(|image| !machine.cached_images.contains(&image))
+    }
+
+    /// Whether an array has waited for too long with nothing on any machine.
+    fn is_any_array_starved(&self, now: f64) -> bool {
+        self.jobs.iter().any(|(job_idx, job)| {
+            !job.is_finished()
+                && !job.is_gang()
+                && self.attempts.of_job(*job_idx).is_empty()
+                && !job.backoff.is_active(now)
+                && job.pending.waited_s(now) > STARVED_AFTER_S
+        })
+    }
+
+    fn schedulable_job(&self, job_idx: JobIdx, job: &Job, now: f64) -> SchedulableJob {
+        let is_held = is_held(job, now);
+        let has_attempts = !self.attempts.of_job(job_idx).is_empty();
+        SchedulableJob {
+            team: job.team,
+            priority: job.spec.priority as u8,
+            task_request: job.task_request,
+            remaining: job.remaining(),
+            pending: if is_held { 0 } else { job.pending.len() as u32 },
+            speculative_restarts: if is_held { 0 } else { job.pending.speculative_restarts() },
+            image: job.image,
+            machine_types: job.machine_types.clone(),
+            zone: job.zone,
+            single_zone: job.spec.single_zone,
+            max_tasks_per_zone: if job.spec.spread { job.spec.tasks.div_ceil(2) } else { u32::MAX },
+            spot: job.spec.spot,
+            tasks_by_zone: job.zone_placement.by_zone().to_vec(),
+            gang: job.is_gang(),
+            replaces_gang_members: has_attempts && self.is_gang_unstarted(job_idx),
+            // The cycle prefers machines with a gang's image in any case.
+            requires_cached_image: !job.is_gang()
+                && job.requires_cached_image(&self.deployment, self.fetch_s(job), now),
+            overdue_s: overdue_s(job, has_attempts, now),
+        }
+    }
+}
+
+/// Whether a job must not be scheduled now. After a takeover the zone of a machine may not be
+/// known yet; jobs whose tasks must be in certain zones relative to one another wait for it.
+fn is_held(job: &Job, now: f64) -> bool {
+    let zones_matter = job.spec.single_zone || job.spec.spread;
+    job.backoff.is_active(now) || (zones_matter && job.zone_placement.has_unknown_zone())
+}
+
+/// For how many seconds a job has waited beyond [`OVERDUE_AFTER_S`]. A gang that waits has
+/// nothing on any machine. An array has not as long as its fair share rounds down to nothing, or
+/// resources become free in small pieces. Services never count as overdue.
+fn overdue_s(job: &Job, has_attempts: bool, now: f64) -> u32 {
+    let may_be_overdue = match job.spec.kind {
+        JobKind::Gang => true,
+        JobKind::Array => !has_attempts,
+        JobKind::Service => false,
+    };
+    let waited_s = if may_be_overdue { job.pending.waited_s(now) } else { 0.0 };
+    (waited_s - OVERDUE_AFTER_S).max(0.0).ceil() as u32
+}
--- a/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
@@ -1,48 +1,56 @@
 //! Gangs: their tasks share an attempt number, and are stopped together.
+//!
+//! Upholds "Gangs" of `docs/safety.md`, together with release and replay.
 
 use crate::leader::{AttemptId, Job, Leader, StopReason};
 use gladekeel_sched::JobIdx;
 use gladekeel_wire::worker::TaskStatus;
 
-/// How long a place is looked for to replace a task of a gang that waits.
-const REPLACE_S: f64 = 5.0;
+/// For how long a machine is sought to replace a lost task of a gang that has not started.
+const REPLACEMENT_TIMEOUT_S: f64 = 5.0;
 
 impl Leader {
-    /// Whether a gang has not started and is not being stopped: a task of it that is gone
-    /// can be replaced under the same number while the others wait. Of what an earlier
-    /// leader placed it is not known whether it has run.
-    pub(in crate::leader) fn still_waits(&self, job_ix: JobIdx) -> bool {
-        self.jobs.contains_key(&job_ix) && self.attempts.of_job(job_ix).none_started()
+    /// Whether no task of a gang has started or is being stopped: one that is lost can be replaced
+    /// under the same number while the others wait. Of attempts that an earlier leader has
+    /// assigned it is not known whether they have run, so they count as started.
+    pub(in crate::leader) fn is_gang_unstarted(&self, job_idx: JobIdx) -> bool {
+        self.jobs.contains_key(&job_idx) && self.attempts.of_job(job_idx).none_started()
     }
 
-    /// Gangs that lack a task and find no place for it begin anew, rather than hold
-    /// machines until they give up by themselves.
-    pub(in crate::leader) fn end_incomplete(&mut self, now: f64) {
-        let gangs = self.jobs.iter().filter(|(ix, job)| {
+    /// Restarts gangs that lack a task and find no machine for it, rather than let them hold
+    /// machines until the workers give up.
+    pub(in crate::leader) fn restart_incomplete_gangs(&mut self, now: f64) {
+        let is_incomplete = |job_idx: JobIdx, job: &Job| {
             job.is_gang()
-                && !self.attempts.of_job(**ix).is_empty()
+                && !self.attempts.of_job(job_idx).is_empty()
                 && !job.pending.is_empty()
-                && job.pending.waited_s(now) > REPLACE_S
-        });
-        for ix in gangs.map(|(ix, _)| *ix).collect::<Vec<_>>() {
-            self.stop_gang(ix, StopReason::GangRestart);
+                && job.pending.waited_s(now) > REPLACEMENT_TIMEOUT_S
+        };
+        let incomplete: Vec<JobIdx> = self
+            .jobs
+            .iter()
+            .filter(|(job_idx, job)| is_incomplete(**job_idx, job))
+            .map(|(job_idx, _)| *job_idx)
+            .collect();
+        for job_idx in incomplete {
+            self.stop_gang(job_idx, StopReason::GangRestart);
         }
     }
 
     /// Stops all tasks of a gang that are not being stopped yet: one decision for all,
     /// sent to all at once.
-    pub(in crate::leader) fn stop_gang(&mut self, job_ix: JobIdx, why: StopReason) {
-        if !self.jobs.contains_key(&job_ix) {
+    pub(in crate::leader) fn stop_gang(&mut self, job_idx: JobIdx, reason: StopReason) {
+        if !self.jobs.contains_key(&job_idx) {
             return;
         }
-        // Each task that ends asks for this: only the first time there is something to
-        // stop, and the machines are gathered when the next command is sent.
-        self.commands.request_gang_commands(job_ix);
-        if self.attempts.of_job(job_ix).all_stopping() {
+        // Each task that ends asks for this. Only the first call has something to stop, and the
+        // machines are looked up once, when the next request is built.
+        self.commands.request_gang_commands(job_idx);
+        if self.attempts.of_job(job_idx).all_stopping() {
             return;
         }
-        for id in self.attempts.ids_of_job(job_ix) {
-            self.attempts.update(id, |attempt| _ = attempt.stop_reason.get_or_insert(why));
+        for id in self.attempts.ids_of_job(job_idx) {
+            self.attempts.update(id, |attempt| _ = attempt.stop_reason.get_or_insert(reason));
         }
     }
 
@@ -50,14 +58,14 @@
     /// one: that is how they find one another.
     pub(in crate::leader) fn reported_attempt(&self, id: AttemptId) -> u64 {
         let Some(attempt) = self.attempts.get(id) else { return id.logged() };
-        let gang = self.jobs.get(&attempt.job).is_some_and(Job::is_gang);
-        if gang { id.gang_number(attempt.task_index) } else { id.logged() }
+        let is_gang = self.jobs.get(&attempt.job).is_some_and(Job::is_gang);
+        if is_gang { id.gang_number(attempt.task_index) } else { id.logged() }
     }
 
-    /// The attempt that a worker speaks of.
+    /// The id of the attempt that a worker reports.
     pub(in crate::leader) fn attempt_id(&self, reported: &TaskStatus) -> AttemptId {
-        let job = self.job_names.get(&reported.task.job).and_then(|ix| self.jobs.get(&ix));
-        match job {
+        let job_idx = self.job_names.get(&reported.task.job);
+        match job_idx.and_then(|job_idx| self.jobs.get(&job_idx)) {
             Some(job) if job.is_gang() => {
                 AttemptId::of_gang_task(reported.attempt, reported.task.index)
             }
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -1,165 +1,194 @@
-//! Stopping tasks: for others with a better claim, or because they are slow.
+//! Preemption: running tasks are stopped for waiting jobs that have a better claim.
+//!
+//! Runs after the scheduling cycle, on what that left pending. Only decides and marks attempts as
+//! stopping; their resources are free once the releases are committed, and a later cycle binds
+//! the waiting tasks. A task is preempted once at most, so that it completes in the end.
 
 use crate::leader::{
-    AssignmentPhase, Attempt, AttemptId, Job, Leader, StopReason, scheduling::cycle::CycleInput,
+    AssignmentPhase, Attempt, AttemptId, Job, Leader, StopReason,
+    scheduling::cycle_input::{CycleInput, MachineScope},
 };
 use crate::runtime_settings::RuntimeSettings;
-use gladekeel_sched::{DenseIndex, JobIdx, MachineIdx};
 use gladekeel_sched::{
+    DenseIndex, JobIdx,
     preemption::{PreemptionCandidate, PreemptionCandidates},
-    straggler,
 };
-use gladekeel_wire::{job::JobKind, worker::TaskState};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 
-/// One in so many machines may have tasks stopped for others in a round.
-const STOPPING: usize = 20;
-/// But so many tasks at the least.
-const LEAST_STOPPED: usize = 8;
-/// Gangs for which room is sought among what could be stopped, in one round.
-const GANGS_AT_ONCE: usize = 4;
-/// Rounds in which the search for slow machines comes around.
-const SLOW_ROUNDS: usize = 5;
+/// In one call a task may be preempted for every so many machines.
+const MACHINES_PER_VICTIM: usize = 20;
+/// But at least so many tasks.
+const MIN_VICTIMS: usize = 8;
+/// Gangs for which victims are sought in one call: each search copies the whole input.
+const MAX_GANG_SEARCHES: usize = 4;
 
-impl Leader {
-    /// Stops tasks that are slow on machines where everything is. Looks at some of the
-    /// machines each time.
-    pub(in crate::leader) fn restart_stragglers(&mut self, now: f64, options: &RuntimeSettings) {
-        let some = self.cluster.machines.len() / SLOW_ROUNDS + 1;
-        let mut range = self.cluster.machines.range(self.straggler_cursor..);
-        let machines: Vec<MachineIdx> = range.by_ref().take(some).map(|(ix, _)| *ix).collect();
-        self.straggler_cursor = range.next().map(|(ix, _)| *ix).unwrap_or_default();
-        let mut ids = Vec::new();
-        let mut runs = Vec::new();
-        let mut medians: HashMap<JobIdx, Option<f64>> = HashMap::new();
-        for id in machines.iter().flat_map(|ix| &self.cluster.machines[ix].attempts) {
-            let Some(attempt) = self.attempts.get(*id) else { continue };
-            let (Some(since), AssignmentPhase::Committed) = (attempt.running_since, attempt.phase)
-            else {
-                continue;
-            };
-            let Some(job) = self.jobs.get(&attempt.job) else { continue };
-            let median = *medians.entry(attempt.job).or_insert_with(|| job.run_times.median_s());
-            ids.push(*id);
-            runs.push(straggler::RunningTask {
-                machine: attempt.machine,
-                ran_s: now - since,
-                median_s: median,
-                may_restart: job.spec.kind == JobKind::Array
-                    && attempt.stop_reason.is_none()
-                    && !job.restarted.contains(attempt.task_index)
-                    && attempt.reported_state == Some(TaskState::Running),
-            });
+/// What may be preempted.
+#[derive(Default)]
+struct Preemptible {
+    /// Single tasks.
+    tasks: Vec<PreemptionCandidate>,
+    /// Gangs, by job and position of the machine that their tasks are on.
+    gangs: BTreeMap<(JobIdx, usize), PreemptionCandidate>,
+}
+
+impl Preemptible {
+    /// Adds a task of a gang. Stopping it costs what stopping the whole gang does.
+    fn add_gang_task(&mut self, job_idx: JobIdx, job: &Job, task: PreemptionCandidate) {
+        let lost_work = task.lost_work * f64::from(job.spec.tasks);
+        self.gangs
+            .entry((job_idx, task.machine))
+            .and_modify(|tasks| tasks.resources += task.resources)
+            .or_insert(PreemptionCandidate { lost_work, ..task });
+    }
+}
+
+/// The search for tasks to preempt.
+struct VictimSearch<'a> {
+    input: &'a mut CycleInput,
+    candidates: PreemptionCandidates,
+    victims: Vec<u64>,
+    max_victims: usize,
+    gang_searches: usize,
+}
+
+impl VictimSearch<'_> {
+    fn new(input: &mut CycleInput, tasks: Vec<PreemptionCandidate>) -> VictimSearch<'_> {
+        let machines = input.machines.len();
+        VictimSearch {
+            input,
+            candidates: PreemptionCandidates::new(machines, tasks),
+            victims: Vec::new(),
+            max_victims: (machines / MACHINES_PER_VICTIM).max(MIN_VICTIMS),
+            gang_searches: 0,
         }
-        for slow in straggler::find_stragglers(&runs, options.straggler_multiple) {
-            let id = ids[slow];
-            self.attempts.update(id, |attempt| attempt.stop_reason = Some(StopReason::Straggler));
-            if let Some(attempt) = self.attempts.get(id) {
-                self.commands.request_commands(attempt.machine);
-                let (job, machine) = (
-                    self.job_names.name(attempt.job),
-                    self.cluster.machine_names.name(attempt.machine),
-                );
-                tracing::info!(%job, index = attempt.task_index, machine, ran_s = runs[slow].ran_s, "slow: starts anew");
-            }
+    }
+
+    /// How many more tasks may be preempted.
+    fn remaining(&self) -> usize {
+        self.max_victims.saturating_sub(self.victims.len())
+    }
+
+    /// Seeks victims for the pending tasks of the job at this position.
+    fn search_for_tasks(&mut self, position: usize, checkpointed_only: bool) {
+        let remaining = self.remaining();
+        let cycle = &mut self.input.cycle;
+        let victims = self.candidates.preempt_for(cycle, position, remaining, checkpointed_only);
+        self.victims.extend(victims);
+    }
+
+    /// Seeks victims for the whole gang at this position, if none of it is on a machine.
+    fn search_for_gang(&mut self, position: usize, checkpointed_only: bool) {
+        let remaining = self.remaining();
+        let cycle = &mut self.input.cycle;
+        let gang = &cycle.jobs[position];
+        if gang.pending != gang.remaining || self.gang_searches >= MAX_GANG_SEARCHES {
+            return;
         }
+        self.gang_searches += 1;
+        let victims =
+            self.candidates.preempt_for_gang(cycle, position, remaining, checkpointed_only);
+        self.victims.extend(victims);
+    }
+
+    /// Whether a job that requires a cached image still has pending tasks, although more could
+    /// have been preempted: no machine that has the image can be freed.
+    fn lacks_cached_image(&self, position: usize) -> bool {
+        let job = &self.input.cycle.jobs[position];
+        job.requires_cached_image && job.pending > 0 && self.remaining() > 0
+    }
+
+    fn into_victims(self) -> Vec<AttemptId> {
+        self.victims.into_iter().map(AttemptId::from_logged).collect()
     }
+}
 
-    /// Stops tasks for others that have a better claim and found no room.
+impl Leader {
+    /// Preempts tasks for jobs that have a better claim and have waited for long enough.
     pub(in crate::leader) fn preempt_for_waiting_jobs(
         &mut self,
         now: f64,
         options: &RuntimeSettings,
     ) {
-        if !self.has_claimant(now, options) {
+        if !self.has_preemptor(now, options) {
             return;
         }
-        // What is being stopped already counts as free: it will be.
-        let mut input = self.round_input(now, true);
-        let (tasks, gangs) = self.preemptible(now, &mut input);
+        let mut input = self.cycle_input(now, MachineScope::All);
+        let Preemptible { tasks, gangs } = self.preemptible(now, &mut input);
         input.cycle.run(&options.fair_share);
-        let stopped = self.choose_victims(now, options, &mut input, tasks);
-        if stopped.is_empty() {
-            // Gangs are stopped last, one at a time, and each as a whole.
-            self.preempt_gang(now, options, &mut input, gangs);
+        let victims = self.choose_victims(now, options, &mut input, tasks);
+        if victims.is_empty() {
+            // Gangs are preempted last, one at a time, and each as a whole.
+            self.preempt_one_gang(now, options, &mut input, gangs);
         }
-        for id in stopped {
+        for id in victims {
             self.preempt(id);
         }
     }
 
-    /// How long a job has waited for room, if it may be placed now.
-    fn waited_for_room(&self, ix: JobIdx, now: f64) -> Option<f64> {
-        let job = self.jobs.get(&ix)?;
-        (!job.backoff.is_active(now) && !job.pending.is_empty())
-            .then_some(now - job.pending.waiting_since()?)
+    /// Whether a job may preempt that has a higher priority than another, or whose team uses less
+    /// than it is guaranteed.
+    fn has_preemptor(&self, now: f64, options: &RuntimeSettings) -> bool {
+        let mut unfinished = self.jobs.iter().filter(|(_, job)| !job.is_finished());
+        let lowest = unfinished.clone().map(|(_, job)| job.spec.priority as u8).min();
+        unfinished.any(|(job_idx, job)| {
+            let team = &self.teams[job.team.position()];
+            self.may_preempt(*job_idx, now, options)
+                && (Some(job.spec.priority as u8) > lowest
+                    || team.within_guarantee(job.task_request))
+        })
     }
 
-    /// Whether a job has waited for long enough that others may be stopped for it.
-    fn may_preempt(&self, ix: JobIdx, now: f64, options: &RuntimeSettings) -> bool {
-        let least_s = options.preempt_after_s.min(options.preempt_checkpointed_after_s);
-        let hurried = self
+    /// Whether a job has waited for long enough that others may be preempted for it.
+    fn may_preempt(&self, job_idx: JobIdx, now: f64, options: &RuntimeSettings) -> bool {
+        let min_wait_s = options.preempt_after_s.min(options.preempt_checkpointed_after_s);
+        let requires_cached_image = self
             .jobs
-            .get(&ix)
+            .get(&job_idx)
             .is_some_and(|job| job.requires_cached_image(&self.deployment, self.fetch_s(job), now));
-        self.waited_for_room(ix, now).is_some_and(|waited_s| waited_s >= least_s || hurried)
+        self.schedulable_wait_s(job_idx, now)
+            .is_some_and(|waited_s| waited_s >= min_wait_s || requires_cached_image)
     }
 
-    /// Whether a job waits that has a higher priority than another, or lacks a guarantee.
-    fn has_claimant(&self, now: f64, options: &RuntimeSettings) -> bool {
-        let mut open = self.jobs.iter().filter(|(_, job)| !job.is_finished());
-        let lowest = open.clone().map(|(_, job)| job.spec.priority as u8).min();
-        open.any(|(ix, job)| {
-            let team = &self.teams[job.team.position()];
-            self.may_preempt(*ix, now, options)
-                && (Some(job.spec.priority as u8) > lowest
-                    || team.within_guarantee(job.task_request))
-        })
+    /// How long a job's tasks have waited for resources; `None` if it may not be scheduled now.
+    fn schedulable_wait_s(&self, job_idx: JobIdx, now: f64) -> Option<f64> {
+        let job = self.jobs.get(&job_idx)?;
+        if job.backoff.is_active(now) || job.pending.is_empty() {
+            return None;
+        }
+        Some(now - job.pending.waiting_since()?)
     }
 
-    /// What could be stopped: single tasks, and gangs by the machines that they are on.
-    /// Counts the room of what is being stopped as free.
-    fn preemptible(
-        &self,
-        now: f64,
-        input: &mut CycleInput,
-    ) -> (Vec<PreemptionCandidate>, Vec<PreemptionCandidate>) {
-        let index: HashMap<MachineIdx, usize> =
-            input.machines.iter().enumerate().map(|(at, ix)| (*ix, at)).collect();
-        let (mut tasks, mut gangs) = (Vec::new(), BTreeMap::new());
-        let mut heard = BTreeMap::new();
+    /// What may be preempted. The resources of attempts that are ending count as free in `input`,
+    /// so that nothing is preempted for tasks that will fit anyway.
+    fn preemptible(&self, now: f64, input: &mut CycleInput) -> Preemptible {
+        let positions = input.machine_positions();
+        let mut preemptible = Preemptible::default();
+        let mut reachable_gangs = BTreeMap::new();
         for (id, attempt) in self.attempts.iter() {
-            let Some(machine) = index.get(&attempt.machine).copied() else { continue };
+            let Some(position) = positions.get(&attempt.machine).copied() else { continue };
             let job = &self.jobs[&attempt.job];
-            if attempt.stop_reason.is_some()
-                || matches!(attempt.phase, AssignmentPhase::Releasing(_))
-            {
-                input.cycle.machines[machine].free += attempt.resources;
+            if is_ending(attempt) {
+                input.cycle.machines[position].free += attempt.resources;
                 input.cycle.teams[job.team.position()].used -= attempt.resources;
                 continue;
             }
-            // What was stopped before would never get anywhere.
-            if attempt.phase != AssignmentPhase::Committed
-                || job.preempted.contains(attempt.task_index)
-            {
+            if !may_be_preempted(job, attempt) {
                 continue;
             }
-            let victim = victim(now, id, attempt, job, machine);
+            let candidate = preemption_candidate(now, id, attempt, job, position);
             if !job.is_gang() {
-                tasks.push(victim);
-            } else if job.pending.is_empty() && self.all_heard(attempt.job, now, &mut heard) {
-                // One task of a gang cannot be stopped without all.
-                let loss = victim.lost_work * f64::from(job.spec.tasks);
-                gangs
-                    .entry((attempt.job, machine))
-                    .and_modify(|all: &mut PreemptionCandidate| all.resources += attempt.resources)
-                    .or_insert(PreemptionCandidate { lost_work: loss, ..victim });
+                preemptible.tasks.push(candidate);
+            } else if job.pending.is_empty()
+                && self.all_heard(attempt.job, now, &mut reachable_gangs)
+            {
+                preemptible.add_gang_task(attempt.job, job, candidate);
             }
         }
-        (tasks, gangs.into_values().collect())
+        preemptible
     }
 
-    /// Chooses the tasks that are stopped for those that wait.
+    /// Chooses the single tasks that are preempted, for waiting jobs in the order in which those
+    /// are scheduled.
     fn choose_victims(
         &mut self,
         now: f64,
@@ -167,67 +196,69 @@
         input: &mut CycleInput,
         tasks: Vec<PreemptionCandidate>,
     ) -> Vec<AttemptId> {
-        let most = (input.machines.len() / STOPPING).max(LEAST_STOPPED);
-        let mut victims = PreemptionCandidates::new(input.machines.len(), tasks);
-        let (mut stopped, mut gangs) = (Vec::new(), 0);
-        for at in input.cycle.job_order() {
-            let ix = input.jobs[at];
-            let job = &input.cycle.jobs[at];
-            let left = most.saturating_sub(stopped.len());
-            if job.pending == 0 || left == 0 || !self.may_preempt(ix, now, options) {
+        let mut search = VictimSearch::new(input, tasks);
+        for position in search.input.cycle.job_order() {
+            let job_idx = search.input.jobs[position];
+            let job = &search.input.cycle.jobs[position];
+            if job.pending == 0
+                || search.remaining() == 0
+                || !self.may_preempt(job_idx, now, options)
+            {
                 continue;
             }
-            // Tasks that lose little are stopped soon, others after a longer wait.
-            let waited_s = self.waited_for_room(ix, now).unwrap_or(0.0);
-            let saving = waited_s < options.preempt_after_s;
+            // Tasks that lose little are preempted soon, others only after a longer wait.
+            let waited_s = self.schedulable_wait_s(job_idx, now).unwrap_or(0.0);
+            let checkpointed_only = waited_s < options.preempt_after_s;
             if job.gang {
-                if job.pending == job.remaining && gangs < GANGS_AT_ONCE {
-                    gangs += 1;
-                    stopped.extend(victims.preempt_for_gang(&mut input.cycle, at, left, saving));
-                }
+                search.search_for_gang(position, checkpointed_only);
                 continue;
             }
-            let hurried = job.requires_cached_image;
-            stopped.extend(victims.preempt_for(&mut input.cycle, at, left, saving));
-            if hurried
-                && input.cycle.jobs[at].pending > 0
-                && stopped.len() < most
-                && let Some(job) = self.jobs.get_mut(&ix)
-            {
-                job.gave_up_on_cached_image = true;
-                self.timers.request_cycle();
+            search.search_for_tasks(position, checkpointed_only);
+            if search.lacks_cached_image(position) {
+                self.give_up_on_cached_image(job_idx);
             }
         }
-        stopped.into_iter().map(AttemptId::from_logged).collect()
+        search.into_victims()
     }
 
-    /// Stops one gang as a whole, for the first job that has waited for long enough.
-    fn preempt_gang(
+    /// Lets a job be bound to machines that have to fetch its image.
+    fn give_up_on_cached_image(&mut self, job_idx: JobIdx) {
+        let Some(job) = self.jobs.get_mut(&job_idx) else { return };
+        job.gave_up_on_cached_image = true;
+        self.timers.request_cycle();
+    }
+
+    /// Preempts one gang as a whole, for the first job that has waited for long enough.
+    fn preempt_one_gang(
         &mut self,
         now: f64,
         options: &RuntimeSettings,
         input: &mut CycleInput,
-        gangs: Vec<PreemptionCandidate>,
+        gangs: BTreeMap<(JobIdx, usize), PreemptionCandidate>,
     ) {
-        let mut victims = PreemptionCandidates::new(input.machines.len(), gangs);
-        let claimant = input.cycle.job_order().into_iter().find(|at| {
-            let waited_s = self.waited_for_room(input.jobs[*at], now).unwrap_or(0.0);
-            let job = &input.cycle.jobs[*at];
+        let preemptor = input.cycle.job_order().into_iter().find(|position| {
+            let waited_s = self.schedulable_wait_s(input.jobs[*position], now).unwrap_or(0.0);
+            let job = &input.cycle.jobs[*position];
             job.pending > 0 && !job.gang && waited_s >= options.preempt_after_s
         });
-        let Some(claimant) = claimant else { return };
-        let stopped = victims.preempt_for(&mut input.cycle, claimant, 1, false);
-        let stopped = stopped.first().copied().map(AttemptId::from_logged);
-        let attempt = stopped.and_then(|id| self.attempts.get(id));
-        let Some(ix) = attempt.map(|attempt| attempt.job) else { return };
-        let Some(job) = self.jobs.get_mut(&ix) else { return };
+        let Some(preemptor) = preemptor else { return };
+        let mut candidates = PreemptionCandidates::new(input.machines.len(), gangs.into_values());
+        let victims = candidates.preempt_for(&mut input.cycle, preemptor, 1, false);
+        let victim = victims.first().copied().map(AttemptId::from_logged);
+        let victim = victim.and_then(|id| self.attempts.get(id));
+        if let Some(gang) = victim.map(|attempt| attempt.job) {
+            self.preempt_gang(gang);
+        }
+    }
+
+    fn preempt_gang(&mut self, job_idx: JobIdx) {
+        let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         self.cluster.counters.preemptions += u64::from(job.spec.tasks);
-        (0..job.spec.tasks).for_each(|index| _ = job.preempted.insert(index));
-        tracing::info!(job = %self.job_names.name(ix), "a gang is stopped to make room");
-        self.stop_gang(ix, StopReason::Preempted);
+        (0..job.spec.tasks).for_each(|task_index| _ = job.preempted.insert(task_index));
+        tracing::info!(job = %job.id, tasks = job.spec.tasks, reason = "preempted", "gang stopped");
+        self.stop_gang(job_idx, StopReason::Preempted);
     }
 
-    /// Stops one task for another.
     fn preempt(&mut self, id: AttemptId) {
         self.attempts.update(id, |attempt| attempt.stop_reason = Some(StopReason::Preempted));
         let Some(attempt) = self.attempts.get(id) else { return };
@@ -236,31 +267,46 @@
         if let Some(job) = self.jobs.get_mut(&attempt.job) {
             job.preempted.insert(attempt.task_index);
         }
-        let job = self.job_names.name(attempt.job);
-        tracing::info!(%job, index = attempt.task_index, "stopped to make room");
+        tracing::info!(
+            job = %self.job_names.name(attempt.job),
+            task = attempt.task_index,
+            machine = self.cluster.machine_names.name(attempt.machine),
+            reason = "preempted",
+            "task stopped"
+        );
     }
 }
 
-/// A task as one that could be stopped. What it has saved is not lost; work counts by the
-/// CPUs that it takes.
-fn victim(
+/// Whether an attempt's resources will be free without anything being preempted.
+fn is_ending(attempt: &Attempt) -> bool {
+    attempt.stop_reason.is_some() || matches!(attempt.phase, AssignmentPhase::Releasing(_))
+}
+
+/// Whether an attempt may be preempted: it is committed, and its task was not preempted before.
+fn may_be_preempted(job: &Job, attempt: &Attempt) -> bool {
+    attempt.phase == AssignmentPhase::Committed && !job.preempted.contains(attempt.task_index)
+}
+
+/// An attempt on the machine at this position as a candidate. Preempting it loses what it has
+/// worked since its last checkpoint, weighted by the CPUs that it uses.
+fn preemption_candidate(
     now: f64,
     id: AttemptId,
     attempt: &Attempt,
     job: &Job,
-    machine: usize,
+    position: usize,
 ) -> PreemptionCandidate {
     let ran_s = attempt.running_since.map_or(0.0, |since| now - since);
-    let checkpoint_s = job.spec.checkpoint_interval_s;
-    let saves = checkpoint_s > 0.0;
-    let lost_s = if saves { ran_s % checkpoint_s } else { ran_s };
+    let checkpoint_interval_s = job.spec.checkpoint_interval_s;
+    let checkpoints = checkpoint_interval_s > 0.0;
+    let lost_s = if checkpoints { ran_s % checkpoint_interval_s } else { ran_s };
     PreemptionCandidate {
         id: id.logged(),
-        machine,
+        machine: position,
         team: job.team,
         priority: job.spec.priority as u8,
         resources: attempt.resources,
         lost_work: lost_s * job.spec.cpus,
-        checkpoints: saves,
+        checkpoints,
     }
 }
--- /dev/null
+++ b/crates/gladekeel-controller/src/leader/scheduling/stragglers.rs
@@ -0,0 +1,96 @@
+//! Straggler mitigation: running tasks on machines where everything is slow are stopped, to be
+//! restarted elsewhere.
+
+use crate::leader::{AssignmentPhase, Attempt, AttemptId, Job, Leader, Machine, StopReason};
+use crate::runtime_settings::RuntimeSettings;
+use gladekeel_sched::{
+    JobIdx, MachineIdx,
+    straggler::{self, RunningTask},
+};
+use gladekeel_wire::{job::JobKind, worker::TaskState};
+use std::collections::{BTreeMap, HashMap};
+
+/// Calls in which the scan has looked at every machine.
+const CALLS_PER_SCAN: usize = 5;
+
+/// Goes over the machines a part at a time, since looking at all running tasks at once would take
+/// too long.
+#[derive(Debug, Default)]
+pub(in crate::leader) struct StragglerScan {
+    /// The machine at which the next part begins.
+    cursor: MachineIdx,
+}
+
+impl StragglerScan {
+    /// The machines to look at now; the cursor moves past them, and at the end to the start.
+    fn next_part(&mut self, machines: &BTreeMap<MachineIdx, Machine>) -> Vec<MachineIdx> {
+        let part_len = machines.len() / CALLS_PER_SCAN + 1;
+        let mut rest = machines.range(self.cursor..).map(|(machine_idx, _)| *machine_idx);
+        let part = rest.by_ref().take(part_len).collect();
+        self.cursor = rest.next().unwrap_or_default();
+        part
+    }
+}
+
+/// Running tasks as the rule for stragglers sees them, with their attempts in the same order.
+#[derive(Default)]
+struct RunningTasks {
+    ids: Vec<AttemptId>,
+    tasks: Vec<RunningTask>,
+}
+
+impl Leader {
+    /// Stops stragglers among the running tasks of the next part of the machines.
+    pub(in crate::leader) fn restart_stragglers(&mut self, now: f64, options: &RuntimeSettings) {
+        let machines = self.straggler_scan.next_part(&self.cluster.machines);
+        let running = self.running_tasks(now, &machines);
+        for position in straggler::find_stragglers(&running.tasks, options.straggler_multiple) {
+            self.stop_straggler(running.ids[position], running.tasks[position].ran_s);
+        }
+    }
+
+    fn running_tasks(&self, now: f64, machines: &[MachineIdx]) -> RunningTasks {
+        let mut running = RunningTasks::default();
+        let mut medians_s: HashMap<JobIdx, Option<f64>> = HashMap::new();
+        for id in machines.iter().flat_map(|machine| &self.cluster.machines[machine].attempts) {
+            let Some(attempt) = self.attempts.get(*id) else { continue };
+            let (Some(since), AssignmentPhase::Committed) = (attempt.running_since, attempt.phase)
+            else {
+                continue;
+            };
+            let Some(job) = self.jobs.get(&attempt.job) else { continue };
+            let median_s = medians_s.entry(attempt.job).or_insert_with(|| job.run_times.median_s());
+            running.ids.push(*id);
+            running.tasks.push(RunningTask {
+                machine: attempt.machine,
+                ran_s: now - since,
+                median_s: *median_s,
+                may_restart: may_restart(job, attempt),
+            });
+        }
+        running
+    }
+
+    fn stop_straggler(&mut self, id: AttemptId, ran_s: f64) {
+        self.attempts.update(id, |attempt| attempt.stop_reason = Some(StopReason::Straggler));
+        let Some(attempt) = self.attempts.get(id) else { return };
+        self.commands.request_commands(attempt.machine);
+        tracing::info!(
+            job = %self.job_names.name(attempt.job),
+            task = attempt.task_index,
+            machine = self.cluster.machine_names.name(attempt.machine),
+            ran_s,
+            reason = "straggler",
+            "task stopped"
+        );
+    }
+}
+
+/// Whether a task may be restarted as a straggler: at most once, and only tasks of arrays, which
+/// need no others.
+fn may_restart(job: &Job, attempt: &Attempt) -> bool {
+    job.spec.kind == JobKind::Array
+        && attempt.stop_reason.is_none()
+        && !job.restarted.contains(attempt.task_index)
+        && attempt.reported_state == Some(TaskState::Running)
+}
--- a/crates/gladekeel-controller/src/leader/timers.rs
+++ b/crates/gladekeel-controller/src/leader/timers.rs
@@ -1,65 +1,72 @@
-//! When the leader's periodic work is due.
+//! When the leader's periodic work is due, and whether this node keeps up with it.
 
 use crate::runtime_settings::RuntimeSettings;
 
-/// Ticks come many times a second; one that is later than this is a lag.
-const LAG_S: f64 = 0.5;
-/// An event brings a round forward, to this part of the time between rounds at the least.
-const EARLY_ROUND_PART: f64 = 0.25;
+/// Ticks come many times a second. After a longer gap this node counts as lagging.
+const MAX_TICK_GAP_S: f64 = 0.5;
+/// A requested scheduling cycle comes early, but not before this part of the cycle interval.
+const MIN_CYCLE_INTERVAL_SHARE: f64 = 0.25;
 
-/// When each kind of periodic work was done last.
+/// When each kind of periodic work was last done.
 #[derive(Debug)]
 pub(super) struct Timers {
-    round_at: f64,
-    round_wanted: bool,
-    upkeep_at: f64,
-    ticked_at: f64,
-    /// When this node was last late: it had more to do than it has time for.
-    lagged_at: f64,
+    last_cycle_at: f64,
+    cycle_requested: bool,
+    last_maintenance_at: f64,
+    last_tick_at: f64,
+    last_lag_at: f64,
 }
 
 impl Timers {
-    /// Timers that begin now, with a round as soon as one may be.
+    /// Timers that begin now, with a scheduling cycle requested.
     pub fn new(now: f64) -> Timers {
-        Timers { round_at: now, round_wanted: true, upkeep_at: now, ticked_at: now, lagged_at: now }
+        Timers {
+            last_cycle_at: now,
+            cycle_requested: true,
+            last_maintenance_at: now,
+            last_tick_at: now,
+            last_lag_at: now,
+        }
     }
 
-    /// Records a tick, and whether it is late.
+    /// Records a tick, and whether it comes late.
     pub fn tick(&mut self, now: f64) {
-        if now - self.ticked_at > LAG_S {
-            self.lagged_at = now;
+        if now - self.last_tick_at > MAX_TICK_GAP_S {
+            self.last_lag_at = now;
         }
-        self.ticked_at = now;
+        self.last_tick_at = now;
     }
 
-    /// Whether this node was late within the last seconds.
+    /// Whether this node has lagged within the last seconds; just after the start it counts as
+    /// having lagged.
     pub fn lagged_within(&self, seconds: f64, now: f64) -> bool {
-        now - self.lagged_at < seconds
+        now - self.last_lag_at < seconds
     }
 
-    /// Asks for a round before its time: something has changed.
+    /// Asks for a scheduling cycle ahead of its time: something has changed that it may act on.
     pub fn request_cycle(&mut self) {
-        self.round_wanted = true;
+        self.cycle_requested = true;
     }
 
-    /// Whether a round is due; if so, it counts as done.
+    /// Whether a scheduling cycle is due; if so, it counts as done.
     pub fn cycle_due(&mut self, now: f64, options: &RuntimeSettings) -> bool {
-        let since = now - self.round_at;
-        let early = self.round_wanted && since >= options.cycle_interval_s * EARLY_ROUND_PART;
-        let due = since >= options.cycle_interval_s || early;
-        if due {
-            self.round_at = now;
-            self.round_wanted = false;
+        let since_last_s = now - self.last_cycle_at;
+        let min_interval_s = options.cycle_interval_s * MIN_CYCLE_INTERVAL_SHARE;
+        let is_early = self.cycle_requested && since_last_s >= min_interval_s;
+        let is_due = is_early || since_last_s >= options.cycle_interval_s;
+        if is_due {
+            self.last_cycle_at = now;
+            self.cycle_requested = false;
         }
-        due
+        is_due
     }
 
     /// Whether the work that looks at every machine is due; if so, it counts as done.
-    pub fn upkeep_due(&mut self, now: f64, options: &RuntimeSettings) -> bool {
-        let due = now - self.upkeep_at >= options.cycle_interval_s;
-        if due {
-            self.upkeep_at = now;
+    pub fn maintenance_due(&mut self, now: f64, options: &RuntimeSettings) -> bool {
+        let is_due = now - self.last_maintenance_at >= options.cycle_interval_s;
+        if is_due {
+            self.last_maintenance_at = now;
         }
-        due
+        is_due
     }
 }
--- a/crates/gladekeel-controller/src/node/metrics.rs
+++ b/crates/gladekeel-controller/src/node/metrics.rs
@@ -142,7 +142,7 @@
     out.gauge("oldest_job_seconds", "Age of the oldest unfinished job.", oldest_s);
     let segments = leader.log_segments() as f64;
     out.gauge("log_segments", "Segments of the leader's log in use.", segments);
-    let (jobs, tasks) = leader.queue();
-    out.gauge("open_jobs", "Unfinished jobs.", jobs as f64);
-    out.gauge("waiting_tasks", "Tasks on no machine.", tasks as f64);
+    let backlog = leader.backlog();
+    out.gauge("open_jobs", "Unfinished jobs.", backlog.jobs as f64);
+    out.gauge("waiting_tasks", "Tasks on no machine.", backlog.pending_tasks as f64);
 }
--- a/crates/gladekeel-controller/src/node/peers.rs
+++ b/crates/gladekeel-controller/src/node/peers.rs
@@ -155,7 +155,7 @@
         self.counts_at = now;
         let peer_restarted = std::mem::take(&mut self.peer_restarted);
         let Some(leader) = &mut self.leader else { return };
-        let changed = leader.take_counts();
+        let changed = leader.take_changed_progress();
         for (id, counts) in &changed {
             self.store.job_progress.insert(id.clone(), *counts);
         }
