--- a/crates/gladekeel-wire/tests/frames_37c5e95.rs
+++ b/crates/gladekeel-wire/tests/frames_37c5e95.rs
@@ -5,52 +5,27 @@
 //! other: a name and the frame in hex on each line. These bytes never change with the
 //! code.
 
+mod common;
+
+use common::{ExpectedHeader, RecordedFrames, job, open, peer_heartbeat, write};
 use gladekeel_wire::{
-    JobId,
     mesh::{
         FrameHeader, FrameKind, MAX_PAYLOAD, PROTOCOL_LEVEL, PeerHeartbeat, decode_job_progress,
         encode_job_progress,
     },
-    worker::{Command, Heartbeat, HeartbeatResponse, TaskState},
+    worker::{Command, TaskState},
 };
 use zerocopy::{FromBytes, IntoBytes};
 
-/// The bytes of the frame with this name.
-fn frame(name: &str) -> Vec<u8> {
-    let text = include_str!("fixtures/37c5e95_frames.txt");
-    let mut frames = text.lines().filter_map(|line| line.split_once(' '));
-    let (_, hex) = frames.find(|(n, _)| *n == name).expect("the fixture has this frame");
-    hex.as_bytes()
-        .chunks(2)
-        .map(|two| u8::from_str_radix(std::str::from_utf8(two).unwrap(), 16).unwrap())
-        .collect()
-}
-
-/// The head and payload of a frame, which is exactly as long as its head tells.
-fn open(frame: &[u8]) -> (FrameHeader, FrameKind, &[u8]) {
-    let (head, payload) = frame.split_at(FrameHeader::SIZE);
-    let (header, kind) = FrameHeader::read(head.try_into().unwrap()).expect("production's head");
-    assert_eq!(header.payload_len.get() as usize, payload.len());
-    (header, kind, payload)
-}
-
-fn job(id: &str) -> JobId {
-    id.parse().unwrap()
-}
-
-/// The kind, the numbers of the head and the payload as this version writes them.
-fn write(kind: FrameKind, status: u16, call: u64, from: u32, payload: &[u8]) -> Vec<u8> {
-    let mut frame = FrameHeader::new(kind, status, call, from, payload.len()).as_bytes().to_vec();
-    frame.extend_from_slice(payload);
-    frame
-}
+/// The frames that production sent.
+const FRAMES: RecordedFrames = RecordedFrames::new(include_str!("fixtures/37c5e95_frames.txt"));
 
 /// Guards against a head whose fields move, widen or change their meaning: each frame
 /// of production is read to the values that it was sent with, and this version makes
 /// the same bytes of them.
 #[test]
 fn heads_are_production_s() {
-    for (name, kind, status, call, from) in [
+    for (name, kind, status, correlation_id, sender) in [
         ("nudge", FrameKind::StoreChanged, 0, 0, 1),
         ("relay", FrameKind::RelayedHeartbeat, 0, 45, 1),
         ("relayed", FrameKind::RelayedResponse, 200, 42, 0),
@@ -58,12 +33,7 @@
         ("hello-follower", FrameKind::PeerHeartbeat, 0, 0, 1),
         ("counts", FrameKind::JobProgress, 0, 0, 0),
     ] {
-        let bytes = frame(name);
-        let (header, read, payload) = open(&bytes);
-        assert_eq!(read, kind, "{name}");
-        let numbers = (header.status.get(), header.correlation_id.get(), header.sender.get());
-        assert_eq!(numbers, (status, call, from), "{name}");
-        assert_eq!(write(kind, status, call, from, payload), bytes, "{name}");
+        FRAMES.check_header(name, ExpectedHeader { kind, status, correlation_id, sender });
     }
 }
 
@@ -89,12 +59,12 @@
     assert_eq!((FrameHeader::SIZE, size_of::<PeerHeartbeat>()), (24, 12));
 }
 
-/// Guards against hellos that one of the versions misreads: a leader that is not heard
+/// Guards against peer heartbeats that one of the versions misreads: a leader that is not heard
 /// costs a takeover.
 #[test]
-fn hellos_are_read_and_written_as_production_s() {
-    for (name, from, contact_ms, leads) in [("hello", 0, 250, 2), ("hello-follower", 1, 299, 0)] {
-        let bytes = frame(name);
+fn peer_heartbeats_are_read_and_written_as_production_s() {
+    for (name, sender, contact_ms, leads) in [("hello", 0, 250, 2), ("hello-follower", 1, 299, 0)] {
+        let bytes = FRAMES.frame(name);
         let (header, _, payload) = open(&bytes);
         // No level is told: nothing that production cannot read may be sent to it.
         assert!(header.status.get() < 1, "{name}");
@@ -107,7 +77,7 @@
 
         let hello =
             PeerHeartbeat { store_contact_age_ms: contact_ms.into(), leader_token: leads.into() };
-        let ours = write(FrameKind::PeerHeartbeat, PROTOCOL_LEVEL, 0, from, hello.as_bytes());
+        let ours = write(peer_heartbeat(PROTOCOL_LEVEL, sender), hello.as_bytes());
         assert_eq!(ours.len(), bytes.len(), "{name}");
         let differ: Vec<usize> = (0..ours.len()).filter(|at| ours[*at] != bytes[*at]).collect();
         assert_eq!(differ, [6], "only the status, which production passes over");
@@ -118,7 +88,7 @@
 /// Guards against rows of counts that shift: the ids follow rows of a fixed size.
 #[test]
 fn counts_are_read_and_written_as_production_s() {
-    let bytes = frame("counts");
+    let bytes = FRAMES.frame("counts");
     let (_, _, payload) = open(&bytes);
     let rows = decode_job_progress(payload).expect("production's counts");
     assert_eq!(rows, [(job("job-000412"), 0, 3), (job("job-a_b.c-9"), 0, 1)]);
@@ -126,17 +96,22 @@
     assert_eq!(ours, [payload.to_vec()]);
 }
 
-/// Guards against reports and answers that one of the versions cannot pass on: a worker
-/// may report to a node of either, and be led by the other.
+/// Guards against heartbeats and responses that one of the versions cannot pass on: a worker
+/// may heartbeat to a node of either, and be led by the other.
 #[test]
-fn relayed_reports_and_answers_are_read() {
-    let bytes = frame("relay");
-    let report: Heartbeat = serde_json::from_slice(open(&bytes).2).expect("production's report");
-    assert_eq!((report.machine.as_str(), report.addr.as_str()), ("n-000001", "10.1.0.2:9000"));
-    assert_eq!((report.machine_type.as_str(), report.zone.as_str()), ("m32", "a"));
-    assert_eq!((report.spot, report.incarnation, report.sequence, report.token), (true, 1, 12, 2));
+fn relayed_heartbeats_and_responses_are_read() {
+    let heartbeat = FRAMES.heartbeat("relay");
+    assert_eq!(
+        (heartbeat.machine.as_str(), heartbeat.addr.as_str()),
+        ("n-000001", "10.1.0.2:9000")
+    );
+    assert_eq!((heartbeat.machine_type.as_str(), heartbeat.zone.as_str()), ("m32", "a"));
+    assert_eq!(
+        (heartbeat.spot, heartbeat.incarnation, heartbeat.sequence, heartbeat.token),
+        (true, 1, 12, 2)
+    );
     let tasks: Vec<(String, u64)> =
-        report.tasks.iter().map(|task| (task.task.to_string(), task.attempt)).collect();
+        heartbeat.tasks.iter().map(|task| (task.task.to_string(), task.attempt)).collect();
     let expected = [
         ("job-000412/0".to_owned(), 33_554_433),
         ("job-000412/1".to_owned(), 33_554_434),
@@ -144,13 +119,11 @@
         ("job-a_b.c-9/0".to_owned(), 33_554_432),
     ];
     assert_eq!(tasks, expected);
-    assert!(report.tasks.iter().all(|task| task.state == TaskState::Running));
-    assert_eq!(serde_json::to_vec(&report).unwrap(), open(&bytes).2);
+    assert!(heartbeat.tasks.iter().all(|task| task.state == TaskState::Running));
 
-    let bytes = frame("relayed");
-    let answer: HeartbeatResponse = serde_json::from_slice(open(&bytes).2).expect("an answer");
-    assert_eq!(answer.token, 2);
-    let starts: Vec<(String, u64)> = answer
+    let response = FRAMES.response("relayed");
+    assert_eq!(response.token, 2);
+    let starts: Vec<(String, u64)> = response
         .commands
         .iter()
         .map(|command| match command {
@@ -161,5 +134,4 @@
     let [.., last] = &expected;
     let (first, rest) = starts.split_first().expect("four starts");
     assert_eq!((first, rest), (last, &expected[..3]));
-    assert_eq!(serde_json::to_vec(&answer).unwrap(), open(&bytes).2);
 }
--- a/crates/gladekeel-wire/tests/frames_fe9a16c.rs
+++ b/crates/gladekeel-wire/tests/frames_fe9a16c.rs
@@ -6,13 +6,15 @@
 //! deployment is updated both versions run side by side, so these bytes never change with
 //! the code.
 
+mod common;
+
+use common::{ExpectedHeader, RecordedFrames, job, open, peer_heartbeat, write};
 use gladekeel_wire::{
-    JobId,
     mesh::{
         FrameHeader, FrameKind, MAX_PAYLOAD, PROTOCOL_LEVEL, PeerHeartbeat, decode_job_ids,
         decode_job_progress, encode_job_ids, encode_job_progress,
     },
-    worker::{Command, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus},
+    worker::{Command, ExitCause, TaskState, TaskStatus},
 };
 use zerocopy::{FromBytes, IntoBytes};
 
@@ -20,51 +22,8 @@
 const TOKEN: u64 = 2;
 const FIRST: u64 = TOKEN << 24;
 
-/// The bytes of the frame with this name.
-fn frame(name: &str) -> Vec<u8> {
-    let text = include_str!("fixtures/fe9a16c_frames.txt");
-    let mut frames = text.lines().filter_map(|line| line.split_once(' '));
-    let (_, hex) = frames.find(|(n, _)| *n == name).expect("the fixture has this frame");
-    hex.as_bytes()
-        .chunks(2)
-        .map(|two| u8::from_str_radix(std::str::from_utf8(two).unwrap(), 16).unwrap())
-        .collect()
-}
-
-/// The head and payload of a frame, which is exactly as long as its head tells.
-fn open(frame: &[u8]) -> (FrameHeader, FrameKind, &[u8]) {
-    let (head, payload) = frame.split_at(FrameHeader::SIZE);
-    let (header, kind) = FrameHeader::read(head.try_into().unwrap()).expect("a head of fe9a16c");
-    assert_eq!(header.payload_len.get() as usize, payload.len());
-    (header, kind, payload)
-}
-
-/// The kind, the numbers of the head and the payload as this version writes them.
-fn write(kind: FrameKind, status: u16, call: u64, from: u32, payload: &[u8]) -> Vec<u8> {
-    let mut frame = FrameHeader::new(kind, status, call, from, payload.len()).as_bytes().to_vec();
-    frame.extend_from_slice(payload);
-    frame
-}
-
-fn job(id: &str) -> JobId {
-    id.parse().unwrap()
-}
-
-fn report(name: &str) -> Heartbeat {
-    let bytes = frame(name);
-    let payload = open(&bytes).2;
-    let report: Heartbeat = serde_json::from_slice(payload).expect("a report");
-    assert_eq!(serde_json::to_vec(&report).unwrap(), payload, "{name} is written again");
-    report
-}
-
-fn answer(name: &str) -> HeartbeatResponse {
-    let bytes = frame(name);
-    let payload = open(&bytes).2;
-    let answer: HeartbeatResponse = serde_json::from_slice(payload).expect("an answer");
-    assert_eq!(serde_json::to_vec(&answer).unwrap(), payload, "{name} is written again");
-    answer
-}
+/// The frames that fe9a16c sent.
+const FRAMES: RecordedFrames = RecordedFrames::new(include_str!("fixtures/fe9a16c_frames.txt"));
 
 fn task(
     id: &str,
@@ -79,7 +38,7 @@
 /// Guards against a head whose fields move, widen or change their meaning.
 #[test]
 fn heads_are_read_and_written() {
-    for (name, kind, status, call, from) in [
+    for (name, kind, status, correlation_id, sender) in [
         ("nudge", FrameKind::StoreChanged, 0, 0, 0),
         ("relay-waiting", FrameKind::RelayedHeartbeat, 0, 0x83, 2),
         ("relay-stopped", FrameKind::RelayedHeartbeat, 0, 0x77, 2),
@@ -90,12 +49,7 @@
         ("counts", FrameKind::JobProgress, 0, 0, 1),
         ("cancelled", FrameKind::Cancellations, 0, 0, 1),
     ] {
-        let bytes = frame(name);
-        let (header, read, payload) = open(&bytes);
-        assert_eq!(read, kind, "{name}");
-        let numbers = (header.status.get(), header.correlation_id.get(), header.sender.get());
-        assert_eq!(numbers, (status, call, from), "{name}");
-        assert_eq!(write(kind, status, call, from, payload), bytes, "{name}");
+        FRAMES.check_header(name, ExpectedHeader { kind, status, correlation_id, sender });
     }
 }
 
@@ -125,11 +79,11 @@
 }
 
 /// Guards against a level that fe9a16c would take for less than it understands, and
-/// against hellos that one of the versions misreads.
+/// against peer heartbeats that one of the versions misreads.
 #[test]
-fn hellos_tell_the_level() {
-    for (name, from, leads) in [("hello-leader", 1, TOKEN), ("hello-follower", 0, 0)] {
-        let bytes = frame(name);
+fn peer_heartbeats_tell_the_level() {
+    for (name, sender, leads) in [("hello-leader", 1, TOKEN), ("hello-follower", 0, 0)] {
+        let bytes = FRAMES.frame(name);
         let (header, _, payload) = open(&bytes);
         assert_eq!(header.status.get(), 1, "{name}");
         let hello = PeerHeartbeat::read_from_bytes(payload).expect("a hello");
@@ -139,7 +93,7 @@
             "{name}"
         );
         let hello = PeerHeartbeat { store_contact_age_ms: 199.into(), leader_token: leads.into() };
-        assert_eq!(write(FrameKind::PeerHeartbeat, 1, 0, from, hello.as_bytes()), bytes, "{name}");
+        assert_eq!(write(peer_heartbeat(1, sender), hello.as_bytes()), bytes, "{name}");
     }
     let ours = PROTOCOL_LEVEL;
     assert!(ours >= 1, "cancellations go to peers of level 1 and more");
@@ -148,7 +102,7 @@
 /// Guards against cancellations that the other version does not find in the frame.
 #[test]
 fn cancelled_jobs_are_read_and_written() {
-    let bytes = frame("cancelled");
+    let bytes = FRAMES.frame("cancelled");
     let (_, _, payload) = open(&bytes);
     let jobs = decode_job_ids(payload).expect("ids");
     assert_eq!(jobs, [job("job-g_2")]);
@@ -161,7 +115,7 @@
 /// Guards against rows of counts that shift: the ids follow rows of a fixed size.
 #[test]
 fn counts_are_read_and_written() {
-    let bytes = frame("counts");
+    let bytes = FRAMES.frame("counts");
     let (_, _, payload) = open(&bytes);
     let rows = decode_job_progress(payload).expect("counts");
     assert_eq!(rows, [(job("job-g_2"), 0, 2), (job("job-a-3"), 0, 4), (job("job-s.4"), 0, 2)]);
@@ -172,8 +126,8 @@
 /// Guards against states of a gang's tasks that get lost on the way to a leader of the
 /// other version: one that waits holds its machine, one that saved has its progress.
 #[test]
-fn relayed_reports_of_gangs_are_read_and_written() {
-    let waiting = report("relay-waiting");
+fn relayed_heartbeats_of_gangs_are_read_and_written() {
+    let waiting = FRAMES.heartbeat("relay-waiting");
     assert_eq!((waiting.machine.as_str(), waiting.zone.as_str()), ("n-000002", "b"));
     assert_eq!((waiting.incarnation, waiting.sequence, waiting.token), (1, 11, TOKEN));
     let attempt = FIRST + 12;
@@ -185,7 +139,7 @@
 
     let (state, cause, saved) = (TaskState::Exited, Some(ExitCause::Stopped), Some(true));
     assert_eq!(
-        report("relay-stopped").tasks,
+        FRAMES.heartbeat("relay-stopped").tasks,
         [
             task("job-g_2/0", FIRST, state, cause, saved),
             task("job-g_2/1", FIRST, state, cause, saved),
@@ -196,18 +150,18 @@
 }
 
 /// Guards against commands to gangs that a node of the other version cannot hand to a
-/// worker: the answer is read and written by the node that the worker reports to.
+/// worker: the response is read and written by the node that the worker heartbeats to.
 #[test]
 fn relayed_commands_to_gangs_are_read_and_written() {
     let (first, second) = ("job-g_2/0".parse().unwrap(), "job-g_2/1".parse().unwrap());
-    let run = answer("relayed-run");
+    let run = FRAMES.response("relayed-run");
     assert_eq!(run.token, TOKEN);
     let attempt = FIRST + 12;
     let starts =
         [Command::Start { task: first, attempt }, Command::Start { task: second, attempt }];
     assert_eq!(run.commands, starts);
 
-    let halt = answer("relayed-halt");
+    let halt = FRAMES.response("relayed-halt");
     let stops = ["job-g_2/0", "job-g_2/1"].map(|id| Command::Stop {
         task: id.parse().unwrap(),
         attempt: FIRST,
