--- /dev/null
+++ b/crates/gladekeel-controller/src/assignment_log/layout.rs
@@ -0,0 +1,76 @@
+//! The binary layout of a segment: its header and its rows. See the table of the parent module.
+
+use zerocopy::{
+    FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned,
+    little_endian::{U16, U32, U64},
+};
+
+/// Marks a segment and the version of its layout.
+pub(super) const MAGIC: u32 = 0x676b_6c31;
+
+/// The header of a segment.
+#[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
+#[repr(C)]
+pub struct SegmentHeader {
+    pub(super) magic: U32,
+    pub(super) jobs: U16,
+    pub(super) machines: U16,
+    pub(super) assignments: U16,
+    pub(super) releases: U16,
+    pub(super) progress_pages: U16,
+    /// Written as 0, ignored when read.
+    pub(super) reserved: U16,
+    pub(super) sequence: U64,
+}
+
+/// A job that other rows refer to by the position of this row.
+#[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
+#[repr(C)]
+pub(super) struct JobRow {
+    pub name_len: U16,
+}
+
+/// A machine that other rows refer to by the position of this row.
+#[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
+#[repr(C)]
+pub(super) struct MachineRow {
+    pub incarnation: U64,
+    pub name_len: U16,
+}
+
+/// An attempt that may be on its machine from now on.
+#[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
+#[repr(C)]
+pub(super) struct AssignmentRow {
+    pub attempt: U64,
+    pub task_index: U32,
+    pub job: U16,
+    pub machine: U16,
+}
+
+/// An attempt that is proved to be off its machine.
+#[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
+#[repr(C)]
+pub(super) struct ReleaseRow {
+    pub attempt: U64,
+    pub task_index: U32,
+    pub job: U16,
+    pub outcome: U16,
+}
+
+/// A progress page, whose two bitmaps follow at the end of the segment.
+#[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
+#[repr(C)]
+pub(super) struct ProgressPageRow {
+    pub job: U16,
+    pub page: U16,
+    pub done_len: U16,
+    pub restarted_len: U16,
+}
+
+/// A machine in one incarnation of its worker: the content of a [`MachineRow`].
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct MachineIncarnation {
+    pub name: String,
+    pub incarnation: u64,
+}
--- a/crates/gladekeel-controller/src/keys.rs
+++ b/crates/gladekeel-controller/src/keys.rs
@@ -37,9 +37,6 @@
 /// Prefix of the pages in which the first version kept assignments.
 pub const LEGACY_ASSIGNMENTS_PREFIX: &str = "gk/assign/";
 
-/// Tasks per chunk of a job's progress: two bitmaps of it fit into any segment.
-pub const TASKS_PER_PAGE: u32 = 4096;
-
 /// The key of a job.
 pub fn job(id: &JobId) -> String {
     format!("{JOB_PREFIX}{id}")
@@ -80,56 +77,3 @@
     #[serde(rename = "run")]
     pub incarnation: u64,
 }
-
-/// A set of small numbers that knows how many it has.
-#[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct TaskBitmap {
-    bytes: Vec<u8>,
-    count: u32,
-}
-
-impl TaskBitmap {
-    /// Whether `index` is in the set.
-    pub fn contains(&self, index: u32) -> bool {
-        self.bytes.get(index as usize / 8).is_some_and(|byte| byte >> (index % 8) & 1 == 1)
-    }
-
-    /// Adds `index`; tells whether it is new.
-    pub fn insert(&mut self, index: u32) -> bool {
-        let at = index as usize / 8;
-        if self.bytes.len() <= at {
-            self.bytes.resize(at + 1, 0);
-        }
-        let new = !self.contains(index);
-        self.bytes[at] |= 1 << (index % 8);
-        self.count += u32::from(new);
-        new
-    }
-
-    /// How many numbers are in the set.
-    pub fn count(&self) -> u32 {
-        self.count
-    }
-
-    /// The part for one chunk of progress, without trailing zeros.
-    pub fn page(&self, chunk: u32) -> &[u8] {
-        let size = TASKS_PER_PAGE as usize / 8;
-        let from = (chunk as usize * size).min(self.bytes.len());
-        let part = &self.bytes[from..(from + size).min(self.bytes.len())];
-        let used = part.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
-        &part[..used]
-    }
-
-    /// Adds what a chunk holds, below `limit`.
-    pub fn insert_page(&mut self, chunk: u32, bytes: &[u8], limit: u32) {
-        for (at, byte) in bytes.iter().enumerate().take(TASKS_PER_PAGE as usize / 8) {
-            for bit in (0..8).filter(|bit| byte >> bit & 1 == 1) {
-                let index =
-                    chunk.saturating_mul(TASKS_PER_PAGE).saturating_add(at as u32 * 8 + bit);
-                if index < limit {
-                    self.insert(index);
-                }
-            }
-        }
-    }
-}
--- a/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
@@ -3,7 +3,7 @@
 use crate::leader::{
     AssignmentPhase, Attempt, AttemptId, AttemptOutcome, Job, Leader, Machine, StopReason,
 };
-use crate::{assignment_log, keys::TASKS_PER_PAGE};
+use crate::{assignment_log, task_bitmap::page_of};
 use gladekeel_sched::{DenseIndex, JobIdx};
 use gladekeel_wire::JobId;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -58,7 +58,7 @@
             };
             if released.index < job.spec.tasks {
                 bits.insert(released.index);
-                chunks.push((ix, released.index / TASKS_PER_PAGE));
+                chunks.push((ix, page_of(released.index)));
             }
         }
         self.log_writer.add_segment(slot, version, segment.sequence, attempts, chunks);
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/write_batch.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/write_batch.rs
@@ -2,10 +2,11 @@
 
 use super::{AttemptId, InFlightTransaction, RELEASED_BYTES, SentSegment};
 use crate::{
-    assignment_log::{self, SegmentWriter},
+    assignment_log::{self, AssignmentRef, SegmentWriter},
     keys,
     leader::{AssignmentPhase, Leader},
     stored_types,
+    task_bitmap::page_of,
 };
 use gladekeel_sched::JobIdx;
 use gladekeel_wire::{
@@ -142,9 +143,9 @@
             else {
                 return false;
             };
-            writer.release(job, attempt.task_index, id.logged(), end);
+            writer.push_release(job, attempt.task_index, id.logged(), end);
             if end != assignment_log::AttemptOutcome::Requeued {
-                let chunk = (attempt.job, attempt.task_index / keys::TASKS_PER_PAGE);
+                let chunk = (attempt.job, page_of(attempt.task_index));
                 if segment.chunks.last() != Some(&chunk) {
                     segment.chunks.push(chunk);
                 }
@@ -191,7 +192,13 @@
         else {
             return false;
         };
-        writer.assign(job, attempt.task_index, machine, attempt.incarnation, id.logged());
+        writer.push_assignment(AssignmentRef {
+            job,
+            index: attempt.task_index,
+            machine,
+            incarnation: attempt.incarnation,
+            attempt: id.logged(),
+        });
         segment.attempts.push(id);
         true
     }
@@ -225,12 +232,13 @@
                     continue;
                 }
                 let Some(job) = self.jobs.get(ix) else { continue };
-                let Some((writer, segment)) = draft.segment(assignment_log::MAX_PROGRESS_ROW_BYTES)
+                let Some((writer, segment)) =
+                    draft.segment(assignment_log::MAX_PROGRESS_PAGE_BYTES)
                 else {
                     return;
                 };
                 let (done, restarted) = (job.done.page(*chunk), job.restarted.page(*chunk));
-                writer.progress(&job.id, *chunk, done, restarted);
+                writer.push_progress_page(&job.id, *chunk, done, restarted);
                 segment.chunks.push((*ix, *chunk));
                 segment.whole.push((*ix, *chunk));
             }
--- a/crates/gladekeel-controller/src/leader/job/mod.rs
+++ b/crates/gladekeel-controller/src/leader/job/mod.rs
@@ -14,7 +14,7 @@
     attempt::{AttemptOutcome, StopReason},
     catalog::Catalog,
 };
-use crate::{keys::TaskBitmap, store_view::StoredJob};
+use crate::{store_view::StoredJob, task_bitmap::TaskBitmap};
 pub use failure_backoff::FailureBackoff;
 use gladekeel_sched::ZoneIdx;
 use gladekeel_sched::{ImageIdx, MachineTypeIdx, Resources, TeamIdx};
--- a/crates/gladekeel-controller/src/lib.rs
+++ b/crates/gladekeel-controller/src/lib.rs
@@ -15,5 +15,6 @@
 pub mod socket_budget;
 pub mod store_view;
 pub mod stored_types;
+pub mod task_bitmap;
 
 mod prometheus;
--- a/crates/gladekeel-controller/tests/assignment_log.rs
+++ b/crates/gladekeel-controller/tests/assignment_log.rs
@@ -1,66 +1,54 @@
 //! Segments of the log: written, read back, damaged.
 
+mod common;
+
 use base64::{Engine, engine::general_purpose::STANDARD_NO_PAD};
+use common::write;
 use gladekeel_controller::assignment_log::{
-    Assignment, AttemptOutcome, ProgressPage, Release, Segment, SegmentWriter, UnreadableSegment,
-    decode, segment_capacity,
+    Assignment, AttemptOutcome, ProgressPage, Release, Segment, SegmentPart, UnknownOutcome,
+    UnreadableSegment, decode, segment_capacity,
 };
 use gladekeel_wire::JobId;
-
 use proptest::prelude::*;
 
 fn id(number: u32) -> JobId {
     format!("job-{number:06}").parse().unwrap()
 }
 
-fn write(segment: &Segment) -> SegmentWriter {
-    let mut writer = SegmentWriter::default();
-    for a in &segment.assignments {
-        writer.assign(&a.job, a.index, &a.machine, a.incarnation, a.attempt);
-    }
-    for r in &segment.releases {
-        writer.release(&r.job, r.index, r.attempt, r.outcome);
-    }
-    for p in &segment.progress_pages {
-        writer.progress(&p.job, p.page, &p.done, &p.restarted);
-    }
-    writer
-}
-
 fn segments() -> impl Strategy<Value = Segment> {
-    let assigned = (0u32..9, 0u32..100_000, 0u32..9, 1u64..4, any::<u64>()).prop_map(
-        |(job, index, machine, session, attempt)| Assignment {
+    let assignment = (0u32..9, 0u32..100_000, 0u32..9, 1u64..4, any::<u64>()).prop_map(
+        |(job, index, machine, incarnation, attempt)| Assignment {
             job: id(job),
             index,
             machine: format!("n-{machine}"),
-            incarnation: session,
+            incarnation,
             attempt,
         },
     );
-    let ends = prop::sample::select(vec![
+    let outcomes = prop::sample::select(vec![
         AttemptOutcome::Done,
         AttemptOutcome::Restarted,
         AttemptOutcome::Requeued,
     ]);
-    let released =
-        (0u32..9, 0u32..100_000, any::<u64>(), ends).prop_map(|(job, index, attempt, end)| {
-            Release { job: id(job), index, attempt, outcome: end }
+    let release = (0u32..9, 0u32..100_000, any::<u64>(), outcomes).prop_map(
+        |(job, index, attempt, outcome)| Release { job: id(job), index, attempt, outcome },
+    );
+    let bitmap = || prop::collection::vec(any::<u8>(), 0..40);
+    let progress_page =
+        (0u32..9, 0u32..25, bitmap(), bitmap()).prop_map(|(job, page, done, restarted)| {
+            ProgressPage { job: id(job), page, done, restarted }
         });
-    let bits = || prop::collection::vec(any::<u8>(), 0..40);
-    let progress = (0u32..9, 0u32..25, bits(), bits()).prop_map(|(job, chunk, done, restarted)| {
-        ProgressPage { job: id(job), page: chunk, done, restarted }
-    });
     (
         any::<u64>(),
-        prop::collection::vec(assigned, 0..20),
-        prop::collection::vec(released, 0..20),
-        prop::collection::vec(progress, 0..5),
+        prop::collection::vec(assignment, 0..20),
+        prop::collection::vec(release, 0..20),
+        prop::collection::vec(progress_page, 0..5),
     )
-        .prop_map(|(seq, assigned, released, progress)| Segment {
-            sequence: seq,
-            assignments: assigned,
-            releases: released,
-            progress_pages: progress,
+        .prop_map(|(sequence, assignments, releases, progress_pages)| Segment {
+            sequence,
+            assignments,
+            releases,
+            progress_pages,
         })
 }
 
@@ -79,10 +67,14 @@
     fn damage_does_no_harm(segment in segments(), at in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let raw = STANDARD_NO_PAD.decode(write(&segment).encode(segment.sequence)).unwrap();
         let cut = &raw[..at.index(raw.len())];
-        prop_assert_eq!(decode(&STANDARD_NO_PAD.encode(cut)), Err(UnreadableSegment));
+        let cut = decode(&STANDARD_NO_PAD.encode(cut));
+        prop_assert!(matches!(cut, Err(UnreadableSegment::Truncated(_))), "{cut:?}");
         let mut longer = raw.clone();
         longer.push(byte);
-        prop_assert_eq!(decode(&STANDARD_NO_PAD.encode(longer)), Err(UnreadableSegment));
+        prop_assert_eq!(
+            decode(&STANDARD_NO_PAD.encode(longer)),
+            Err(UnreadableSegment::TrailingBytes(1))
+        );
         let mut changed = raw.clone();
         changed[at.index(raw.len())] = byte;
         let _ = decode(&STANDARD_NO_PAD.encode(changed));
@@ -94,8 +86,32 @@
     let text = write(&Segment::default()).encode(1);
     let mut raw = STANDARD_NO_PAD.decode(text).unwrap();
     raw[0] ^= 1;
-    assert_eq!(decode(&STANDARD_NO_PAD.encode(raw)), Err(UnreadableSegment));
-    assert_eq!(decode("{}"), Err(UnreadableSegment));
-    assert_eq!(decode(""), Err(UnreadableSegment));
+    assert_eq!(
+        decode(&STANDARD_NO_PAD.encode(raw)),
+        Err(UnreadableSegment::WrongMagic { found: 0x676b_6c30 })
+    );
+    assert!(matches!(decode("{}"), Err(UnreadableSegment::NotBase64(_))));
+    assert_eq!(decode(""), Err(UnreadableSegment::Truncated(SegmentPart::Header)));
     assert!(segment_capacity(4096) * 4 / 3 + 2 <= 4096);
 }
+
+/// Guards against damage inside of a segment that passes for a row of its own.
+#[test]
+fn references_and_outcomes_are_checked() {
+    const HEADER_BYTES: usize = 24;
+    const JOB_ROW_BYTES: usize = 2;
+    let release = Release { job: id(1), index: 0, attempt: 7, outcome: AttemptOutcome::Restarted };
+    let segment = Segment { releases: vec![release], ..Segment::default() };
+    let raw = STANDARD_NO_PAD.decode(write(&segment).encode(1)).unwrap();
+    let changed = |at: usize, byte: u8| {
+        let mut raw = raw.clone();
+        raw[at] = byte;
+        decode(&STANDARD_NO_PAD.encode(raw))
+    };
+    let row = HEADER_BYTES + JOB_ROW_BYTES;
+    assert_eq!(changed(row + 12, 1), Err(UnreadableSegment::UnknownJob(1)));
+    assert_eq!(changed(row + 14, 4), Err(UnreadableSegment::UnknownOutcome(UnknownOutcome(4))));
+    let name = row + 16;
+    assert!(matches!(changed(name, b'k'), Err(UnreadableSegment::InvalidJobId(_))));
+    assert!(matches!(changed(name, 0xff), Err(UnreadableSegment::NameNotText(_))));
+}
--- a/crates/gladekeel-controller/tests/formats_37c5e95.rs
+++ b/crates/gladekeel-controller/tests/formats_37c5e95.rs
@@ -6,17 +6,17 @@
 //! log's writer. What it stored must stay readable, so these files never change with the
 //! code.
 
+mod common;
+
+use common::{StoredValues, assigned, encode, job, released};
 use gladekeel_controller::{
-    assignment_log::{
-        Assignment, AttemptOutcome, ProgressPage, Release, Segment, SegmentWriter, decode,
-        segment_capacity,
-    },
+    assignment_log::{Assignment, AttemptOutcome, ProgressPage, Segment, decode, segment_capacity},
     keys::{self, LeaderRecord},
     store_view::{ChangeKind, StoreView},
+    task_bitmap::TASKS_PER_PAGE,
 };
 use gladekeel_store::Change;
 use gladekeel_wire::{
-    JobId,
     cloud::{MachineType, MachineTypes},
     job::{JobKind, JobSpec, JobState, Priority},
 };
@@ -25,63 +25,19 @@
 
 const TOKEN: u64 = 41 << 32;
 
-fn job(id: &str) -> JobId {
-    id.parse().unwrap()
-}
-
-/// The values that production committed, in order.
-fn stored() -> Vec<(String, Value)> {
-    let lines = include_str!("fixtures/37c5e95_values.jsonl").lines();
-    lines
-        .map(|line| {
-            let row: Value = serde_json::from_str(line).unwrap();
-            (row["key"].as_str().unwrap().to_owned(), row["value"].clone())
-        })
-        .collect()
-}
-
-fn value(key: &str) -> Value {
-    stored().into_iter().find(|(k, _)| k == key).expect("the fixture has this key").1
-}
+/// The values that production committed.
+const STORED: StoredValues = StoredValues::new(include_str!("fixtures/37c5e95_values.jsonl"));
 
 fn put(key: &str, value: Value, version: u64) -> Change {
     Change { key: key.to_owned(), current: Some((value, version)) }
 }
 
-/// The same segment by this version's writer.
-fn encode(segment: &Segment) -> String {
-    let mut writer = SegmentWriter::default();
-    for row in &segment.assignments {
-        writer.assign(&row.job, row.index, &row.machine, row.incarnation, row.attempt);
-    }
-    for row in &segment.releases {
-        writer.release(&row.job, row.index, row.attempt, row.outcome);
-    }
-    for row in &segment.progress_pages {
-        writer.progress(&row.job, row.page, &row.done, &row.restarted);
-    }
-    writer.encode(segment.sequence)
-}
-
 /// Guards against a segment that means something else to the other version: a leader
 /// that misreads one starts tasks twice or loses finished ones.
 #[test]
 fn segments_are_read_and_written_as_production_s() {
     let text = include_str!("fixtures/37c5e95_segment.txt").trim_end();
     let (a, b) = (job("job-000412"), job("job-a_b.c-9"));
-    let assigned = |job: &JobId, index, machine: &str, session, attempt| Assignment {
-        job: job.clone(),
-        index,
-        machine: machine.into(),
-        incarnation: session,
-        attempt,
-    };
-    let released = |job: &JobId, index, attempt, end| Release {
-        job: job.clone(),
-        index,
-        attempt,
-        outcome: end,
-    };
     let before = 40 << 32;
     let expected = Segment {
         sequence: 258,
@@ -115,7 +71,7 @@
         ],
         [1, 2, 3]
     );
-    assert_eq!(keys::TASKS_PER_PAGE, 4096);
+    assert_eq!(TASKS_PER_PAGE, 4096);
 }
 
 /// Guards against a bound on what is read: production filled segments up to 4 KB, and
@@ -146,7 +102,7 @@
 fn a_committed_log_is_read() {
     let log = |slot| {
         let key = keys::log(slot);
-        decode(value(&key).as_str().unwrap()).expect("production's segment")
+        decode(STORED.value(&key).as_str().unwrap()).expect("production's segment")
     };
     let (first, second) = (log(0), log(1));
     assert_eq!((first.sequence, second.sequence), (0, 1));
@@ -196,11 +152,11 @@
 /// Guards against stored values that are read otherwise than production meant them, and
 /// against rows that are silently passed over.
 #[test]
-fn the_stored_world_is_read() {
-    let mut world = StoreView::default();
+fn stored_values_are_read() {
+    let mut store = StoreView::default();
     let (a, b) = (job("job-000412"), job("job-a_b.c-9"));
-    for (version, (key, value)) in (10..).zip(stored()) {
-        let topic = world.apply(&put(&key, value, version), 5.0);
+    for (version, (key, value)) in (10..).zip(STORED.all()) {
+        let kind = store.apply(&put(&key, value, version), 5.0);
         let expected = match key.as_str() {
             "gk/job/job-000412" => ChangeKind::Job(a.clone()),
             "gk/job/job-a_b.c-9" => ChangeKind::Job(b.clone()),
@@ -210,12 +166,12 @@
             "gk/drain/n-000007" => ChangeKind::Drain("n-000007".into()),
             _ => ChangeKind::Other,
         };
-        assert_eq!(topic, expected, "{key}");
+        assert_eq!(kind, expected, "{key}");
     }
 
     let record = LeaderRecord { node: "node-0".into(), incarnation: 559_256_596_868_823_998 };
-    assert_eq!(world.leader, Some((record, 10)));
-    assert_eq!(world.highest_token, 10);
+    assert_eq!(store.leader, Some((record, 10)));
+    assert_eq!(store.highest_token, 10);
     let types = vec![MachineType {
         name: "m32".into(),
         cpus: 32.0,
@@ -228,8 +184,8 @@
         boot_s: 20.0,
         zones: vec!["a".into(), "b".into()],
     }];
-    assert_eq!(world.machine_types.all(), Some(&MachineTypes { types }));
-    assert_eq!(world.machine_types.versions(), BTreeMap::from([(0, 11)]));
+    assert_eq!(store.machine_types.all(), Some(&MachineTypes { types }));
+    assert_eq!(store.machine_types.versions(), BTreeMap::from([(0, 11)]));
 
     let spec = JobSpec {
         id: a.clone(),
@@ -261,25 +217,25 @@
         deadline_s: None,
         ..spec.clone()
     };
-    assert_eq!(world.jobs.len(), 2);
+    assert_eq!(store.jobs.len(), 2);
     for (spec, version) in [(spec, 12), (other, 13)] {
-        let stored = &world.jobs[&spec.id];
+        let stored = &store.jobs[&spec.id];
         assert_eq!(*stored.spec, spec);
         assert_eq!(stored.version, version);
         assert_eq!(stored.accepted_at, Some(1_790_000_010.25));
         // What this version stores of the same job is what production stored.
         let mut ours = serde_json::to_value(&spec).unwrap();
         ours[keys::ACCEPTED_AT] = 1_790_000_010.25.into();
-        assert_eq!(ours, value(&keys::job(&spec.id)));
+        assert_eq!(ours, STORED.value(&keys::job(&spec.id)));
     }
 
-    assert_eq!(world.final_states.len(), 2);
-    assert_eq!(world.final_states[&a], JobState::Done);
-    assert_eq!(world.final_states[&b], JobState::Cancelled);
-    assert!(world.is_cancelled(&b) && !world.is_cancelled(&a));
+    assert_eq!(store.final_states.len(), 2);
+    assert_eq!(store.final_states[&a], JobState::Done);
+    assert_eq!(store.final_states[&b], JobState::Cancelled);
+    assert!(store.is_cancelled(&b) && !store.is_cancelled(&a));
     // The time is this node's own: production stores none.
-    assert_eq!(world.cancelled_no_earlier_than.get(&b), Some(&5.0));
-    assert_eq!(world.cancelled_no_earlier_than.get(&a), None);
+    assert_eq!(store.cancelled_no_earlier_than.get(&b), Some(&5.0));
+    assert_eq!(store.cancelled_no_earlier_than.get(&a), None);
 
     let options = BTreeMap::from(
         [
@@ -297,22 +253,22 @@
         ]
         .map(|(name, value)| (name.to_owned(), value)),
     );
-    assert_eq!((&world.options, world.options_version), (&options, 16));
-    assert_eq!(world.drain_orders, BTreeMap::from([("n-000007".to_owned(), 17)]));
-    assert!(!world.has_legacy_assignments, "production keeps no assignments in pages");
+    assert_eq!((&store.options, store.options_version), (&options, 16));
+    assert_eq!(store.drain_orders, BTreeMap::from([("n-000007".to_owned(), 17)]));
+    assert!(!store.has_legacy_assignments, "production keeps no assignments in pages");
 }
 
 /// Guards against options that are dropped whole for one that this version does not
 /// know. The name is put to production's value by hand: production has none such.
 #[test]
 fn an_option_without_a_place_costs_no_other() {
-    let mut stored = value(keys::OPTIONS);
+    let mut stored = STORED.value(keys::OPTIONS);
     stored["of_another_version"] = json!(7.5);
-    let mut world = StoreView::default();
-    assert_eq!(world.apply(&put(keys::OPTIONS, stored, 4), 0.0), ChangeKind::Options);
-    assert_eq!(world.options.len(), 12);
-    assert_eq!(world.options["of_another_version"], 7.5);
-    assert_eq!((world.options["beta"], world.options["round_s"]), (1.5, 2.0));
+    let mut store = StoreView::default();
+    assert_eq!(store.apply(&put(keys::OPTIONS, stored, 4), 0.0), ChangeKind::Options);
+    assert_eq!(store.options.len(), 12);
+    assert_eq!(store.options["of_another_version"], 7.5);
+    assert_eq!((store.options["beta"], store.options["round_s"]), (1.5, 2.0));
 }
 
 /// Guards against final states and leader records that production could not read back:
@@ -320,10 +276,10 @@
 #[test]
 fn values_are_written_as_production_s() {
     let written = |state: JobState| serde_json::to_value(state).unwrap();
-    assert_eq!(written(JobState::Done), value("gk/fate/job-000412"));
-    assert_eq!(written(JobState::Cancelled), value("gk/fate/job-a_b.c-9"));
+    assert_eq!(written(JobState::Done), STORED.value("gk/fate/job-000412"));
+    assert_eq!(written(JobState::Cancelled), STORED.value("gk/fate/job-a_b.c-9"));
     let record = LeaderRecord { node: "node-0".into(), incarnation: 559_256_596_868_823_998 };
-    assert_eq!(serde_json::to_value(record).unwrap(), value(keys::LEADER));
-    let types: MachineTypes = serde_json::from_value(value(keys::MACHINE_TYPES)).unwrap();
-    assert_eq!(serde_json::to_value(types).unwrap(), value(keys::MACHINE_TYPES));
+    assert_eq!(serde_json::to_value(record).unwrap(), STORED.value(keys::LEADER));
+    let types: MachineTypes = serde_json::from_value(STORED.value(keys::MACHINE_TYPES)).unwrap();
+    assert_eq!(serde_json::to_value(types).unwrap(), STORED.value(keys::MACHINE_TYPES));
 }
--- a/crates/gladekeel-controller/tests/formats_fe9a16c.rs
+++ b/crates/gladekeel-controller/tests/formats_fe9a16c.rs
@@ -7,11 +7,11 @@
 //! on such data, and nodes of both versions go on with each other's, so these files never
 //! change with the code.
 
+mod common;
+
+use common::{StoredValues, assigned, encode, job, released};
 use gladekeel_controller::{
-    assignment_log::{
-        Assignment, AttemptOutcome, ProgressPage, Release, Segment, SegmentWriter, decode,
-        segment_capacity,
-    },
+    assignment_log::{AttemptOutcome, ProgressPage, Segment, decode, segment_capacity},
     keys::{self, LeaderRecord},
     store_view::StoreView,
 };
@@ -21,54 +21,14 @@
     cloud::MachineTypes,
     job::{JobKind, JobSpec, JobState},
 };
-use serde_json::Value;
 
 const TOKEN: u64 = 41 << 32;
 /// The tokens under which the leaders of the fixture led, as numbers of attempts.
 const FIRST_LEADER: u64 = 2 << 24;
 const SECOND_LEADER: u64 = 29 << 24;
 
-fn job(id: &str) -> JobId {
-    id.parse().unwrap()
-}
-
-/// The values that fe9a16c committed, in order.
-fn stored() -> Vec<(String, Value)> {
-    let lines = include_str!("fixtures/fe9a16c_values.jsonl").lines();
-    lines
-        .map(|line| {
-            let row: Value = serde_json::from_str(line).unwrap();
-            (row["key"].as_str().unwrap().to_owned(), row["value"].clone())
-        })
-        .collect()
-}
-
-fn value(key: &str) -> Value {
-    stored().into_iter().find(|(k, _)| k == key).expect("the fixture has this key").1
-}
-
-/// The same segment by this version's writer.
-fn encode(segment: &Segment) -> String {
-    let mut writer = SegmentWriter::default();
-    for row in &segment.assignments {
-        writer.assign(&row.job, row.index, &row.machine, row.incarnation, row.attempt);
-    }
-    for row in &segment.releases {
-        writer.release(&row.job, row.index, row.attempt, row.outcome);
-    }
-    for row in &segment.progress_pages {
-        writer.progress(&row.job, row.page, &row.done, &row.restarted);
-    }
-    writer.encode(segment.sequence)
-}
-
-fn assigned(job: &JobId, index: u32, machine: &str, session: u64, attempt: u64) -> Assignment {
-    Assignment { job: job.clone(), index, machine: machine.into(), incarnation: session, attempt }
-}
-
-fn released(job: &JobId, index: u32, attempt: u64, end: AttemptOutcome) -> Release {
-    Release { job: job.clone(), index, attempt, outcome: end }
-}
+/// The values that fe9a16c committed.
+const STORED: StoredValues = StoredValues::new(include_str!("fixtures/fe9a16c_values.jsonl"));
 
 /// Guards against a gang that is told otherwise: each task has the id that its gang's
 /// number and its own make.
@@ -120,7 +80,8 @@
 /// it writes otherwise: every segment of the fixture becomes the same text again.
 #[test]
 fn a_committed_log_is_read_and_written() {
-    let texts: Vec<(String, String)> = stored()
+    let texts: Vec<(String, String)> = STORED
+        .all()
         .into_iter()
         .filter(|(key, _)| key.starts_with(keys::ASSIGNMENT_LOG_PREFIX))
         .map(|(key, value)| (key, value.as_str().unwrap().to_owned()))
@@ -186,23 +147,23 @@
 
 /// Guards against stored values that are read otherwise than fe9a16c meant them.
 #[test]
-fn the_stored_world_is_read() {
-    let mut world = StoreView::default();
-    let rows = stored();
+fn stored_values_are_read() {
+    let mut store = StoreView::default();
+    let rows = STORED.all();
     for (version, (key, value)) in (10..).zip(rows.clone()) {
-        world.apply(&Change { key, current: Some((value, version)) }, 5.0);
+        store.apply(&Change { key, current: Some((value, version)) }, 5.0);
     }
     let record = LeaderRecord { node: "node-2".into(), incarnation: 4_463_397_701_659_385_190 };
-    assert_eq!(world.leader.as_ref().map(|(record, _)| record), Some(&record));
-    assert_eq!(world.machine_types.all().map(|types| types.types.len()), Some(1));
+    assert_eq!(store.leader.as_ref().map(|(record, _)| record), Some(&record));
+    assert_eq!(store.machine_types.all().map(|types| types.types.len()), Some(1));
     assert_eq!(
-        (world.options.len(), world.options["beta"], world.options["idle_s"]),
+        (store.options.len(), store.options["beta"], store.options["idle_s"]),
         (11, 1.5, 200.0)
     );
-    assert_eq!(world.drain_orders.keys().collect::<Vec<_>>(), ["n-000001"]);
+    assert_eq!(store.drain_orders.keys().collect::<Vec<_>>(), ["n-000001"]);
 
     let shapes = ["job-a-3", "job-g.1", "job-g.5", "job-g_2", "job-s.4"].map(|id| {
-        let spec = &world.jobs[&job(id)].spec;
+        let spec = &store.jobs[&job(id)].spec;
         (spec.kind, spec.tasks, spec.single_zone, spec.zone.as_deref())
     });
     let expected = [
@@ -212,13 +173,13 @@
         (JobKind::Gang, 2, false, Some("b")),
         (JobKind::Service, 2, false, None),
     ];
-    assert_eq!((world.jobs.len(), shapes), (5, expected));
-    let gang = &world.jobs[&job("job-g.1")].spec;
+    assert_eq!((store.jobs.len(), shapes), (5, expected));
+    let gang = &store.jobs[&job("job-g.1")].spec;
     assert_eq!((gang.checkpoint_interval_s, gang.checkpoint_write_s), (5.0, 2.0));
-    assert_eq!(world.jobs[&job("job-g.1")].accepted_at, Some(3.305527));
+    assert_eq!(store.jobs[&job("job-g.1")].accepted_at, Some(3.305527));
 
     let final_states = ["job-a-3", "job-g.1", "job-g.5", "job-g_2", "job-s.4"]
-        .map(|id| world.final_states[&job(id)]);
+        .map(|id| store.final_states[&job(id)]);
     let (done, cancelled) = (JobState::Done, JobState::Cancelled);
     assert_eq!(final_states, [done, done, done, cancelled, cancelled]);
 }
@@ -227,7 +188,7 @@
 #[test]
 fn values_are_written_as_by_fe9a16c() {
     let mut jobs = 0;
-    for (key, stored) in stored() {
+    for (key, stored) in STORED.all() {
         let written = if key.starts_with(keys::JOB_PREFIX) {
             jobs += 1;
             let spec: JobSpec = serde_json::from_value(stored.clone()).unwrap();
@@ -249,7 +210,7 @@
         assert_eq!(written, stored, "{key}");
     }
     assert_eq!(jobs, 5);
-    assert_eq!(value(&keys::final_state(&job("job-g.1"))), "done");
-    assert_eq!(value(&keys::final_state(&job("job-g_2"))), "aborted");
-    assert_eq!(value(&keys::drain("n-000001")), true);
+    assert_eq!(STORED.value(&keys::final_state(&job("job-g.1"))), "done");
+    assert_eq!(STORED.value(&keys::final_state(&job("job-g_2"))), "aborted");
+    assert_eq!(STORED.value(&keys::drain("n-000001")), true);
 }
