--- a/crates/gladekeel-controller/src/node/admin_requests.rs
+++ b/crates/gladekeel-controller/src/node/admin_requests.rs
@@ -1,203 +1,258 @@
-//! The administration API: settings, status, draining.
+//! Operators' requests to the administration API: runtime settings, status, draining.
 //!
-//! It has no authentication of its own and must be kept inside the operators' network.
+//! A change is a transaction that requires the version which the operator has read, so that two
+//! operators cannot overwrite each other's changes.
 
-use super::{Continuation, Node, RequestId};
+use super::{Node, RequestId, outgoing_calls::StoreCallPurpose, user_requests::Continuation};
 use crate::{
     http_api::{AdminRoute, Reply},
     keys,
     leader::Leader,
     store_view::JobProgress,
 };
-use gladekeel_store::StoreOutcome;
+use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_wire::{
     admin::{
         DrainStatus, Machines, NodeStatus, SettingsChange, Status, TeamStatus, VersionedSettings,
     },
+    settings::Team,
     store::{Precondition, Transaction, Write},
 };
 use std::collections::BTreeMap;
 
-/// Answer to a change of something that is no longer as the operator has read it.
+/// Reply to a change of something that is no longer as the operator has read it.
 const CHANGED_MEANWHILE: &str = "changed by somebody else meanwhile: read it again";
 
-/// A change that waits for the state service.
+/// An operator's change that is being written to the store.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum AdminChange {
-    /// All settings as they are from then on.
-    Settings(BTreeMap<String, f64>),
-    /// Whether a machine is drained from then on.
-    Drain { machine: String, draining: bool },
+pub(super) enum AdminChange {
+    /// The runtime settings.
+    Settings {
+        /// All settings with their values after the change.
+        values: BTreeMap<String, f64>,
+    },
+    /// Whether a machine is drained.
+    Drain {
+        /// The machine's name.
+        machine: String,
+        /// Whether it is drained after the change.
+        draining: bool,
+    },
+}
+
+impl AdminChange {
+    /// Logs the change, which was committed at this revision, and builds the reply.
+    fn committed_reply(self, revision: u64) -> Reply {
+        match self {
+            AdminChange::Settings { values } => {
+                tracing::info!(version = revision, settings = ?values, "runtime settings changed");
+                Reply::json(200, &VersionedSettings { version: revision, settings: values })
+            }
+            AdminChange::Drain { machine, draining } => {
+                tracing::info!(machine, draining, "drain order changed");
+                Reply::json(200, &DrainStatus { machine, draining })
+            }
+        }
+    }
 }
 
 impl Node {
-    pub(crate) fn on_admin(&mut self, now: f64, id: RequestId, route: AdminRoute, body: &[u8]) {
+    /// Handles a request to the administration API.
+    pub(super) fn on_admin_request(
+        &mut self,
+        now: f64,
+        request: RequestId,
+        route: AdminRoute,
+        body: &[u8],
+    ) {
         match route {
-            AdminRoute::GetSettings => {
-                // What another node has just stored must show here as well.
-                if !self.overloaded(now, id) {
-                    self.wait(now, id, None, Continuation::Settings);
-                }
-            }
-            AdminRoute::SetSettings => self.on_set_settings(now, id, body),
+            AdminRoute::GetSettings => self.on_get_settings(now, request),
+            AdminRoute::SetSettings => self.on_set_settings(now, request, body),
             AdminRoute::Status => {
                 let status = self.status(now);
-                self.reply(now, id, Reply::json(200, &status));
+                self.reply(now, request, Reply::json(200, &status));
             }
             AdminRoute::Machines => {
                 let reply = self.machines(now);
-                self.reply(now, id, reply);
+                self.reply(now, request, reply);
+            }
+            AdminRoute::Drain { machine, draining } => {
+                self.on_drain(now, request, machine, draining);
             }
-            AdminRoute::Drain { machine, draining } => self.on_drain(now, id, machine, draining),
-        }
-    }
-
-    fn machines(&self, now: f64) -> Reply {
-        if let Some(leader) = &self.leader {
-            return Reply::json(200, &Machines { machines: leader.machine_status(now) });
         }
-        let leader = self.store.leader.as_ref().map(|(record, _)| record.node.as_str());
-        let leader = leader.unwrap_or("nobody at the moment");
-        Reply::error(421, format!("only the leader knows; that is {leader}"))
     }
 
-    fn on_drain(&mut self, now: f64, id: RequestId, machine: String, draining: bool) {
-        let known =
-            |leader: &Leader| leader.machine_status(now).iter().any(|m| m.machine == machine);
-        if draining && self.leader.as_ref().is_some_and(|leader| !known(leader)) {
-            return self.reply(now, id, Reply::error(404, format!("{machine}: no such machine")));
+    /// Replies after a read: a change that another node has just made must be visible.
+    fn on_get_settings(&mut self, now: f64, request: RequestId) {
+        if !self.rejects_for_overload(now, request) {
+            self.enqueue_for_read(now, request, Continuation::ReplySettings);
         }
-        let key = keys::drain(&machine);
-        let version = self.replica.version(&key);
-        let write = if draining {
-            Write::Put { key: key.clone(), value: true.into(), lease: None }
-        } else {
-            Write::Delete { key: key.clone() }
-        };
-        let txn =
-            Transaction { preconditions: vec![Precondition { key, version }], writes: vec![write] };
-        self.admin_write(now, id, txn, AdminChange::Drain { machine, draining });
     }
 
-    pub(crate) fn answer_settings(&mut self, now: f64, id: RequestId) {
+    /// Replies with the runtime settings in force.
+    pub(super) fn reply_settings(&mut self, now: f64, request: RequestId) {
         let settings = VersionedSettings {
-            version: self.store.options_version,
+            version: self.store.view.options_version,
             settings: self.runtime_settings.values(),
         };
-        self.reply(now, id, Reply::json(200, &settings));
+        self.reply(now, request, Reply::json(200, &settings));
     }
 
-    fn on_set_settings(&mut self, now: f64, id: RequestId, body: &[u8]) {
-        let wanted: SettingsChange = match serde_json::from_slice(body) {
-            Ok(wanted) => wanted,
-            Err(error) => return self.reply(now, id, Reply::error(400, error.to_string())),
+    fn on_set_settings(&mut self, now: f64, request: RequestId, body: &[u8]) {
+        let change: SettingsChange = match serde_json::from_slice(body) {
+            Ok(change) => change,
+            Err(error) => return self.reply(now, request, Reply::error(400, error.to_string())),
         };
-        let options = match self.runtime_settings.with_json(&wanted.settings) {
-            Ok(options) => options,
-            Err(error) => return self.reply(now, id, Reply::error(400, error.to_string())),
+        let changed = match self.runtime_settings.with_json(&change.settings) {
+            Ok(changed) => changed,
+            Err(error) => return self.reply(now, request, Reply::error(400, error.to_string())),
         };
-        // The settings that are not named stay as they are in this node's copy, so that has
-        // to be the version which the operator has read.
-        if wanted.version != self.store.options_version {
-            self.store_reads.wanted = true;
-            return self.reply(now, id, Reply::error(409, CHANGED_MEANWHILE));
+        // Settings that the change does not name keep the values of this node's view, so the
+        // view must be the version that the operator has read.
+        if change.version != self.store.view.options_version {
+            self.store.request_read();
+            return self.reply(now, request, Reply::error(409, CHANGED_MEANWHILE));
         }
-        let values = options.values();
+        let values = changed.values();
         let value = serde_json::to_value(&values).expect("numbers always serialise");
         let key = keys::OPTIONS.to_owned();
-        let txn = Transaction {
-            preconditions: vec![Precondition { key: key.clone(), version: wanted.version }],
+        let transaction = Transaction {
+            preconditions: vec![Precondition { key: key.clone(), version: change.version }],
             writes: vec![Write::Put { key, value, lease: None }],
         };
-        self.admin_write(now, id, txn, AdminChange::Settings(values));
+        self.write_admin_change(now, request, transaction, AdminChange::Settings { values });
     }
 
-    /// Answers an operator whose change has been made or not.
-    pub(crate) fn admin_written(
+    fn on_drain(&mut self, now: f64, request: RequestId, machine: String, draining: bool) {
+        let is_known =
+            |leader: &Leader| leader.machine_status(now).iter().any(|m| m.machine == machine);
+        if draining && self.leadership.leader().is_some_and(|leader| !is_known(leader)) {
+            let message = format!("{machine}: no such machine");
+            return self.reply(now, request, Reply::error(404, message));
+        }
+        let key = keys::drain(&machine);
+        let version = self.store.version(&key);
+        let write = if draining {
+            Write::Put { key: key.clone(), value: true.into(), lease: None }
+        } else {
+            Write::Delete { key: key.clone() }
+        };
+        let transaction =
+            Transaction { preconditions: vec![Precondition { key, version }], writes: vec![write] };
+        self.write_admin_change(
+            now,
+            request,
+            transaction,
+            AdminChange::Drain { machine, draining },
+        );
+    }
+
+    /// Writes a change to the store; the operator gets a reply once the outcome is known.
+    fn write_admin_change(
+        &mut self,
+        now: f64,
+        request: RequestId,
+        transaction: Transaction,
+        change: AdminChange,
+    ) {
+        if self.rejects_for_overload(now, request) {
+            return;
+        }
+        // Operators' changes are few and never wait for the rate limit, but count towards it.
+        self.rate_limits.user_writes.try_take(now, 1.0);
+        let purpose = StoreCallPurpose::AdminWrite { request, change };
+        self.call_store(now, purpose, StoreRequest::Commit(transaction));
+    }
+
+    /// Replies to the operator whose change was written, or was not.
+    pub(super) fn on_admin_write_outcome(
         &mut self,
         now: f64,
-        id: RequestId,
+        request: RequestId,
         change: AdminChange,
         outcome: &StoreOutcome,
     ) {
         let reply = match outcome {
-            StoreOutcome::Committed(revision) => change_made(*revision, change),
+            StoreOutcome::Committed(revision) => change.committed_reply(*revision),
             StoreOutcome::Conflict(_) => Reply::error(409, CHANGED_MEANWHILE),
             StoreOutcome::Unknown => {
                 Reply::retry_later(1, "no answer: it may or may not be made; read it again")
             }
             _ => Reply::retry_later(1, "the state service refuses"),
         };
-        self.store_reads.wanted = true;
-        self.reply(now, id, reply);
+        self.store.request_read();
+        self.reply(now, request, reply);
+    }
+
+    fn machines(&self, now: f64) -> Reply {
+        if let Some(leader) = self.leadership.leader() {
+            return Reply::json(200, &Machines { machines: leader.machine_status(now) });
+        }
+        let leader = self.store.view.leader.as_ref().map(|(record, _)| record.node.as_str());
+        let leader = leader.unwrap_or("nobody at the moment");
+        Reply::error(421, format!("only the leader knows; that is {leader}"))
     }
 
     fn status(&self, now: f64) -> Status {
-        let mut teams: Vec<TeamStatus> = self
-            .deployment
-            .teams
-            .iter()
-            .map(|team| TeamStatus {
-                team: team.name.clone(),
-                cpus: 0.0,
-                gpus: 0.0,
-                guaranteed_cpus: team.cpus,
-                limit_cpus: team.cpus_max,
-                jobs: 0,
-                waiting: 0,
-            })
-            .collect();
-        for (id, job) in &self.store.jobs {
+        let view = &self.store.view;
+        Status {
+            node: self.settings.node.clone(),
+            leader: view.leader.as_ref().map(|(record, _)| record.node.clone()),
+            token: view.highest_token,
+            contact_s: self.store.last_contact().map(|contact| now - contact),
+            nodes: self.node_status(now),
+            teams: self.team_status(),
+            machines: self.leadership.leader().map(|leader| machines_by_state(leader, now)),
+        }
+    }
+
+    fn node_status(&self, now: f64) -> Vec<NodeStatus> {
+        let status = self.peers.iter().map(|peer| NodeStatus {
+            node: peer.name.clone(),
+            heard_s: peer.last_seen.map(|last_seen| now - last_seen),
+            contact_s: peer.store_contact_age_s(),
+        });
+        status.collect()
+    }
+
+    fn team_status(&self) -> Vec<TeamStatus> {
+        let view = &self.store.view;
+        let mut teams: Vec<TeamStatus> = self.deployment.teams.iter().map(idle_team).collect();
+        for (id, job) in &view.jobs {
             let Some(team) = teams.iter_mut().find(|team| team.team == job.spec.team) else {
                 continue;
             };
             let JobProgress { done, running } =
-                self.store.job_progress.get(id).copied().unwrap_or_default();
+                view.job_progress.get(id).copied().unwrap_or_default();
             team.cpus += job.spec.cpus * f64::from(running);
             team.gpus += job.spec.gpus * f64::from(running);
-            if !self.store.final_states.contains_key(id) {
+            if !view.final_states.contains_key(id) {
                 team.jobs += 1;
                 team.waiting += u64::from(job.spec.tasks.saturating_sub(done + running));
             }
         }
-        let machines = self.leader.as_ref().map(|leader| {
-            let mut counts = BTreeMap::new();
-            for machine in leader.machine_status(now) {
-                *counts.entry(machine.state).or_default() += 1;
-            }
-            counts
-        });
-        Status {
-            node: self.settings.node.clone(),
-            leader: self.store.leader.as_ref().map(|(record, _)| record.node.clone()),
-            token: self.store.highest_token,
-            contact_s: self.last_store_contact.map(|at| now - at),
-            nodes: self
-                .peers
-                .iter()
-                .map(|peer| NodeStatus {
-                    node: peer.name.clone(),
-                    heard_s: peer.last_seen.map(|at| now - at),
-                    contact_s: (peer.store_contact_age_ms != u32::MAX && peer.last_seen.is_some())
-                        .then(|| f64::from(peer.store_contact_age_ms) / 1000.0),
-                })
-                .collect(),
-            teams,
-            machines,
-        }
+        teams
     }
 }
 
-/// Logs a change that was committed at this revision, and the answer to the operator.
-fn change_made(revision: u64, change: AdminChange) -> Reply {
-    match change {
-        AdminChange::Settings(settings) => {
-            tracing::info!(version = revision, ?settings, "settings changed");
-            Reply::json(200, &VersionedSettings { version: revision, settings })
-        }
-        AdminChange::Drain { machine, draining } => {
-            tracing::info!(machine, draining, "an operator drains a machine or takes that back");
-            Reply::json(200, &DrainStatus { machine, draining })
-        }
+/// The status of a team without any job.
+fn idle_team(team: &Team) -> TeamStatus {
+    TeamStatus {
+        team: team.name.clone(),
+        cpus: 0.0,
+        gpus: 0.0,
+        guaranteed_cpus: team.cpus,
+        limit_cpus: team.cpus_max,
+        jobs: 0,
+        waiting: 0,
+    }
+}
+
+/// Counts the leader's machines by state.
+pub(super) fn machines_by_state(leader: &Leader, now: f64) -> BTreeMap<String, u32> {
+    let mut counts = BTreeMap::new();
+    for machine in leader.machine_status(now) {
+        *counts.entry(machine.state).or_default() += 1;
     }
+    counts
 }
--- a/crates/gladekeel-controller/src/node/event.rs
+++ b/crates/gladekeel-controller/src/node/event.rs
@@ -1,5 +1,6 @@
-//! What goes into a node and what comes out of it.
+//! The events that a node handles and the actions that it asks for.
 
+use super::outgoing_calls::CallId;
 use crate::{
     cloud_api::{CloudOutcome, CloudRequest},
     http_api::Reply,
@@ -8,101 +9,99 @@
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_wire::mesh::{FrameHeader, FrameKind};
 
-/// Names a request of a user or worker until it is answered.
+/// Identifies an HTTP request until it has been answered.
 pub type RequestId = u64;
-/// Names a call of this node until its answer is there.
-pub type CallId = u64;
 
 /// Something that happened.
 #[derive(Debug)]
 pub enum Event {
-    /// A request arrived.
+    /// An HTTP request arrived.
     Http {
-        /// To be named in the reply.
+        /// Chosen by the caller; the reply brings it back.
         id: RequestId,
-        /// Its method.
+        /// The HTTP method.
         method: String,
-        /// Its path.
+        /// The path without a query.
         path: String,
-        /// Its body.
+        /// The request body.
         body: Vec<u8>,
     },
-    /// A call to the state service ended.
+    /// A call to the store has ended.
     Store {
-        /// The call.
+        /// The id from [`Action::CallStore`].
         call: CallId,
-        /// What came of it.
+        /// How it ended.
         outcome: StoreOutcome,
     },
-    /// A call to the cloud ended.
+    /// A call to the cloud has ended.
     Cloud {
-        /// The call.
+        /// The id from [`Action::CallCloud`].
         call: CallId,
-        /// What came of it.
+        /// How it ended.
         outcome: CloudOutcome,
     },
-    /// A direct command to a worker ended.
+    /// A call to a worker has ended.
     Worker {
-        /// The call.
+        /// The id from [`Action::CallWorker`].
         call: CallId,
-        /// What came of it.
+        /// How it ended.
         outcome: WorkerOutcome,
     },
-    /// A frame from another controller.
+    /// A frame arrived from another controller.
     Peer {
-        /// Its head.
+        /// The frame's header, which names the sender.
         header: FrameHeader,
-        /// What it is for.
+        /// The kind that the header names.
         kind: FrameKind,
-        /// Its payload.
+        /// The frame's payload.
         payload: Vec<u8>,
     },
-    /// Time has passed.
+    /// Time has passed. Due several times a second.
     Tick,
 }
 
-/// Something to be done.
+/// Something that the caller must do for the node.
 #[derive(Debug)]
 pub enum Action {
-    /// Answer a request.
+    /// Answer an HTTP request.
     Reply {
-        /// The request.
+        /// The id from [`Event::Http`].
         id: RequestId,
         /// The answer.
         reply: Reply,
     },
-    /// Call the state service.
+    /// Call the store, and report the outcome with [`Event::Store`].
     CallStore {
-        /// To be named in the event.
+        /// Identifies the call in the event.
         call: CallId,
-        /// The call.
+        /// What to send.
         request: StoreRequest,
-        /// How long to wait.
+        /// After this many seconds without an answer the outcome is unknown.
         timeout_s: f64,
     },
-    /// Call the cloud.
+    /// Call the cloud, and report the outcome with [`Event::Cloud`].
     CallCloud {
-        /// To be named in the event.
+        /// Identifies the call in the event.
         call: CallId,
-        /// The call.
+        /// What to send.
         request: CloudRequest,
-        /// How long to wait.
+        /// After this many seconds without an answer the outcome is unknown.
         timeout_s: f64,
     },
-    /// Send commands to a worker.
+    /// Call a worker, and report the outcome with [`Event::Worker`].
     CallWorker {
-        /// To be named in the event.
+        /// Identifies the call in the event.
         call: CallId,
-        /// Where to and what.
+        /// The worker's address and what to send.
         request: WorkerRequest,
-        /// How long to wait.
+        /// After this many seconds without an answer the outcome is unknown.
         timeout_s: f64,
     },
-    /// Send a frame to another controller: its place among the settings' peers.
+    /// Send a frame to another controller. It may be lost.
     SendToPeer {
-        /// The peer.
+        /// The peer's index in the settings.
         peer: usize,
-        /// The frame.
+        /// The frame with its header.
         frame: Vec<u8>,
     },
 }
--- a/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
@@ -1,33 +1,31 @@
-//! Which controller each worker reports to.
+//! Load balancing of workers' heartbeats over the controllers.
 //!
-//! Most of what a report costs is that a message of its own arrives. The leader decides by
-//! every report but need not hear each worker itself: other controllers hear them, and pass
-//! their reports on many at a time. The leader sends workers to the controllers that have
-//! fewest, itself last of all.
+//! Most of what a heartbeat costs is the message itself. The leader needs the contents of each
+//! heartbeat but need not receive it from the worker: other controllers receive heartbeats and
+//! relay many at a time. The leader redirects workers to the controllers that have fewest, and
+//! to itself last of all.
 
 use gladekeel_wire::settings::Deployment;
 use std::collections::HashMap;
 
-/// Reports a second that a whole core serves, about.
-const REPORTS_A_CORE: f64 = 1000.0;
-/// A leader whose workers send more than this part of what it could serve has others hear
-/// them.
-const OWN_PART: f64 = 0.5;
-/// What the leader hears itself if there is a single other controller.
-const OWN_PART_OF_TWO: f64 = 0.3;
-/// A worker that was sent to another controller is not sent on for this long: it may have
-/// come back because it could not reach that one.
-const STAYS_S: f64 = 45.0;
-/// A controller may have this many times its part of the workers, and a few more, before
-/// some are sent on.
-const UNEVEN: f64 = 1.25;
-/// See [`UNEVEN`].
-const UNEVEN_SPARE: f64 = 8.0;
-/// A worker that has not reported for this many times as long as its reports take counts no
-/// more.
-const FORGOTTEN_REPORTS: f64 = 5.0;
+/// Heartbeats a second that a whole core serves, approximately.
+const HEARTBEATS_PER_CORE_PER_S: f64 = 1000.0;
+/// The part of its capacity that a leader spends on receiving heartbeats before it has others
+/// receive them.
+const MAX_LEADER_LOAD: f64 = 0.5;
+/// The leader's share of the workers if there is a single other controller.
+const LEADER_SHARE_OF_TWO: f64 = 0.3;
+/// A worker that was redirected stays for this long: it may have come back because it could
+/// not reach the other controller.
+const MIN_STAY_S: f64 = 45.0;
+/// A controller is overloaded beyond this many times its share of the workers...
+const OVERLOAD_FACTOR: f64 = 1.25;
+/// ...and this many more.
+const OVERLOAD_ALLOWANCE: f64 = 8.0;
+/// A worker without a heartbeat for this many intervals is no longer counted.
+const EXPIRE_AFTER_HEARTBEATS: f64 = 5.0;
 
-/// Who hears a worker's reports.
+/// The controller that receives a worker's heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatReceiver {
     /// This node, which leads.
@@ -43,137 +41,148 @@
     redirected_at: f64,
 }
 
-/// The workers that report, by who hears them.
+/// Counts workers by receiver and decides which of them are redirected.
 #[derive(Debug)]
 pub struct HeartbeatBalancer {
     workers: HashMap<String, ReportingWorker>,
-    /// How many workers each peer hears, and last the leader.
+    /// Workers of each peer, and last of the leader.
     workers_per_receiver: Vec<usize>,
-    /// Workers that the leader can hear itself.
-    own_limit: f64,
+    /// Workers whose heartbeats the leader can receive itself.
+    max_leader_workers: f64,
     expire_after_s: f64,
-    expired_at: f64,
+    last_expiry_at: f64,
 }
 
 impl HeartbeatBalancer {
-    /// Nobody has reported yet, to any of so many peers.
+    /// A balancer for a leader with this many peers that has not seen any worker.
     pub fn new(deployment: &Deployment, peers: usize) -> HeartbeatBalancer {
-        let report_s = deployment.workers.heartbeat_interval_s;
+        let interval_s = deployment.workers.heartbeat_interval_s;
+        let capacity = deployment.limits.cpu_share * HEARTBEATS_PER_CORE_PER_S;
         HeartbeatBalancer {
             workers: HashMap::new(),
             workers_per_receiver: vec![0; peers + 1],
-            own_limit: deployment.limits.cpu_share * REPORTS_A_CORE * OWN_PART * report_s,
-            expire_after_s: FORGOTTEN_REPORTS * report_s,
-            expired_at: 0.0,
+            max_leader_workers: capacity * MAX_LEADER_LOAD * interval_s,
+            expire_after_s: EXPIRE_AFTER_HEARTBEATS * interval_s,
+            last_expiry_at: 0.0,
         }
     }
 
-    /// Takes note of a report, and tells where the worker should report to instead, if
-    /// anywhere. `usable` are the peers that pass reports on.
+    /// Records a heartbeat that arrived at `receiver`, and returns the receiver to which the
+    /// worker should be redirected, if any. `usable` says of each peer whether it can relay
+    /// heartbeats.
     pub fn rebalance(
         &mut self,
         now: f64,
         machine: &str,
-        listener: HeartbeatReceiver,
+        receiver: HeartbeatReceiver,
         usable: &[bool],
     ) -> Option<HeartbeatReceiver> {
         self.expire_silent(now);
-        self.record(now, machine, listener);
-        if now - self.workers[machine].redirected_at < STAYS_S {
+        self.record(now, machine, receiver);
+        if now - self.workers[machine].redirected_at < MIN_STAY_S {
             return None;
         }
-        let target = self.underloaded_receiver(listener, usable)?;
+        let target = self.underloaded_receiver(receiver, usable)?;
         self.record(now, machine, target);
-        if let Some(reporter) = self.workers.get_mut(machine) {
-            reporter.redirected_at = now;
+        if let Some(worker) = self.workers.get_mut(machine) {
+            worker.redirected_at = now;
         }
         Some(target)
     }
 
-    /// How many workers each peer hears, and last the leader.
+    /// How many workers each peer receives heartbeats of, and last the leader.
     pub fn workers_per_receiver(&self) -> &[usize] {
         &self.workers_per_receiver
     }
 
-    /// Who has too few workers, if this listener has too many.
+    /// The receiver that lacks most of its share, if this one is overloaded.
     fn underloaded_receiver(
         &self,
-        listener: HeartbeatReceiver,
+        receiver: HeartbeatReceiver,
         usable: &[bool],
     ) -> Option<HeartbeatReceiver> {
-        let all = self.workers.len() as f64;
-        if all <= self.own_limit || !usable.contains(&true) {
+        let total = self.workers.len() as f64;
+        if total <= self.max_leader_workers || !usable.contains(&true) {
             return None;
         }
-        let fair: Vec<f64> = target_shares(usable).into_iter().map(|part| part * all).collect();
-        let at = self.index(listener);
-        if self.workers_per_receiver[at] as f64 <= fair[at] * UNEVEN + UNEVEN_SPARE {
+        let targets: Vec<f64> =
+            target_shares(usable).into_iter().map(|share| share * total).collect();
+        let current = |index: usize| self.workers_per_receiver[index] as f64;
+        let own_index = self.index_of(receiver);
+        if current(own_index) <= targets[own_index] * OVERLOAD_FACTOR + OVERLOAD_ALLOWANCE {
             return None;
         }
-        let lacks = |at: &usize| (fair[*at] - self.workers_per_receiver[*at] as f64) / fair[*at];
-        let target = (0..fair.len())
-            .filter(|other| *other != at && fair[*other] > 0.0 && lacks(other) > 0.0)
-            .max_by(|a, b| lacks(a).total_cmp(&lacks(b)))?;
-        Some(if target < usable.len() {
-            HeartbeatReceiver::Peer(target)
-        } else {
-            HeartbeatReceiver::Leader
-        })
+        let lacking_share = |index: &usize| (targets[*index] - current(*index)) / targets[*index];
+        (0..targets.len())
+            .filter(|index| *index != own_index)
+            .filter(|index| targets[*index] > 0.0 && lacking_share(index) > 0.0)
+            .max_by(|a, b| lacking_share(a).total_cmp(&lacking_share(b)))
+            .map(|index| self.receiver_at(index))
     }
 
-    fn index(&self, listener: HeartbeatReceiver) -> usize {
-        match listener {
+    /// The index of a receiver in `workers_per_receiver`.
+    fn index_of(&self, receiver: HeartbeatReceiver) -> usize {
+        match receiver {
             HeartbeatReceiver::Peer(peer) => peer,
             HeartbeatReceiver::Leader => self.workers_per_receiver.len() - 1,
         }
     }
 
-    fn record(&mut self, now: f64, machine: &str, listener: HeartbeatReceiver) {
-        let before = if let Some(reporter) = self.workers.get_mut(machine) {
-            reporter.last_heartbeat_at = now;
-            Some(std::mem::replace(&mut reporter.receiver, listener))
+    fn receiver_at(&self, index: usize) -> HeartbeatReceiver {
+        if index + 1 < self.workers_per_receiver.len() {
+            HeartbeatReceiver::Peer(index)
+        } else {
+            HeartbeatReceiver::Leader
+        }
+    }
+
+    fn record(&mut self, now: f64, machine: &str, receiver: HeartbeatReceiver) {
+        let previous = if let Some(worker) = self.workers.get_mut(machine) {
+            worker.last_heartbeat_at = now;
+            Some(std::mem::replace(&mut worker.receiver, receiver))
         } else {
-            let reporter = ReportingWorker {
-                receiver: listener,
+            let worker = ReportingWorker {
+                receiver,
                 last_heartbeat_at: now,
                 redirected_at: f64::NEG_INFINITY,
             };
-            self.workers.insert(machine.to_owned(), reporter);
+            self.workers.insert(machine.to_owned(), worker);
             None
         };
-        if let Some(before) = before {
-            let at = self.index(before);
-            self.workers_per_receiver[at] -= 1;
+        if let Some(previous) = previous {
+            let index = self.index_of(previous);
+            self.workers_per_receiver[index] -= 1;
         }
-        let at = self.index(listener);
-        self.workers_per_receiver[at] += 1;
+        let index = self.index_of(receiver);
+        self.workers_per_receiver[index] += 1;
     }
 
-    /// Forgets workers that no longer report.
+    /// Removes workers that have stopped sending heartbeats, to any receiver.
     fn expire_silent(&mut self, now: f64) {
-        if now - self.expired_at < self.expire_after_s {
+        if now - self.last_expiry_at < self.expire_after_s {
             return;
         }
-        self.expired_at = now;
-        let after_s = self.expire_after_s;
-        let mut reporters = std::mem::take(&mut self.workers);
-        reporters.retain(|_, reporter| {
-            let stays = now - reporter.last_heartbeat_at < after_s;
-            if !stays {
-                let at = self.index(reporter.receiver);
-                self.workers_per_receiver[at] -= 1;
+        self.last_expiry_at = now;
+        let expire_after_s = self.expire_after_s;
+        let mut workers = std::mem::take(&mut self.workers);
+        workers.retain(|_, worker| {
+            let is_alive = now - worker.last_heartbeat_at < expire_after_s;
+            if !is_alive {
+                let index = self.index_of(worker.receiver);
+                self.workers_per_receiver[index] -= 1;
             }
-            stays
+            is_alive
         });
-        self.workers = reporters;
+        self.workers = workers;
     }
 }
 
-/// The part of all workers that each peer should hear, and last the leader. The leader has the
-/// deciding to do: it hears some only if a single other controller is left.
+/// Each peer's share of all workers, and last the leader's. The leader has the scheduling to
+/// do, so it takes a share only if a single other controller is left.
 fn target_shares(usable: &[bool]) -> Vec<f64> {
-    let others = usable.iter().filter(|usable| **usable).count().max(1);
-    let own = if others == 1 { OWN_PART_OF_TWO } else { 0.0 };
-    let each = (1.0 - own) / others as f64;
-    usable.iter().map(|usable| if *usable { each } else { 0.0 }).chain([own]).collect()
+    let usable_peers = usable.iter().filter(|usable| **usable).count().max(1);
+    let leader_share = if usable_peers == 1 { LEADER_SHARE_OF_TWO } else { 0.0 };
+    let peer_share = (1.0 - leader_share) / usable_peers as f64;
+    let peer_shares = usable.iter().map(|usable| if *usable { peer_share } else { 0.0 });
+    peer_shares.chain([leader_share]).collect()
 }
--- a/crates/gladekeel-controller/src/node/heartbeats/mod.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/mod.rs
@@ -1,9 +1,17 @@
-//! Workers' reports: answered here, passed on to the leader, or sent elsewhere.
+//! Workers' heartbeats: answered here, relayed to the leader, or redirected to another node.
+//!
+//! Whoever answers a heartbeat renews the worker's lease, so `docs/safety.md`, "Keeping leases
+//! alive", decides who may: the leader, or another node while its last contact with the store is
+//! recent enough that a cancellation it has not seen ends in time.
 
 pub mod balancing;
+mod relays;
 mod routing;
 
-use super::{CallId, HELLO_S, Node, RELAY_S, RequestId};
+use super::{
+    Node, RequestId,
+    peers::{Peer, PeerMessage},
+};
 use crate::http_api::Reply;
 use balancing::{HeartbeatBalancer, HeartbeatReceiver};
 use gladekeel_wire::{
@@ -11,123 +19,111 @@
     settings::Deployment,
     worker::{Heartbeat, HeartbeatResponse, Redirect},
 };
-use routing::{HeartbeatContext, HeartbeatRoute, HeartbeatRouter};
-use std::collections::BTreeMap;
+use relays::{HeartbeatRelays, QueuedRelay};
+use routing::{HeartbeatContext, HeartbeatRoute, HeartbeatRouter, LeaderPeer};
 
-/// HeartbeatRelays that come within this time are passed on together: each message that arrives on
-/// its own costs the leader more than what it says.
-const BATCH_S: f64 = 0.05;
-/// A peer that was in contact with the state service within this time knows who leads.
-const CONTACT_MS: u32 = 2500;
+/// A peer whose contact with the store is more recent than this knows who leads.
+const MAX_RELAY_CONTACT_AGE_MS: u32 = 2500;
+/// HTTP status of a response to a worker.
+const STATUS_OK: u16 = 200;
+/// HTTP status that redirects a worker to another node.
+const STATUS_MISDIRECTED: u16 = 421;
 
-/// A report that was passed on to the leader.
+/// What a node remembers of workers' heartbeats.
 #[derive(Debug)]
-struct Relay {
-    request: RequestId,
-    since: f64,
-    /// What keeps the worker's lease if the leader does not answer.
-    fallback: Option<HeartbeatResponse>,
-}
-
-/// HeartbeatRelays on their way between controllers.
-#[derive(Debug)]
-pub(super) struct HeartbeatRelays {
+pub(super) struct WorkerHeartbeats {
     router: HeartbeatRouter,
-    sharing: HeartbeatBalancer,
-    /// Passed on to the leader, not answered yet.
-    relays: BTreeMap<CallId, Relay>,
-    /// To be passed on with the next batch: the peer, the call and the report.
-    batch: Vec<(usize, CallId, Vec<u8>)>,
-    batch_at: f64,
+    balancer: HeartbeatBalancer,
+    relays: HeartbeatRelays,
 }
 
-impl HeartbeatRelays {
-    pub fn new(deployment: &Deployment, peers: usize) -> HeartbeatRelays {
-        HeartbeatRelays {
+impl WorkerHeartbeats {
+    /// No heartbeat has arrived yet, at this node or any of its peers.
+    pub fn new(deployment: &Deployment, peers: usize) -> WorkerHeartbeats {
+        WorkerHeartbeats {
             router: HeartbeatRouter::default(),
-            sharing: HeartbeatBalancer::new(deployment, peers),
-            relays: BTreeMap::new(),
-            batch: Vec::new(),
-            batch_at: f64::NEG_INFINITY,
+            balancer: HeartbeatBalancer::new(deployment, peers),
+            relays: HeartbeatRelays::default(),
         }
     }
 }
 
 impl Node {
-    /// Answers a worker's report, now or when the leader has.
-    pub(super) fn on_checkin(&mut self, now: f64, id: RequestId, body: &[u8]) {
-        let report: Heartbeat = match serde_json::from_slice(body) {
-            Ok(report) => report,
-            Err(error) => return self.reply(now, id, Reply::error(400, error.to_string())),
+    /// Handles a worker's heartbeat. The reply may have to wait for the leader's response.
+    pub(super) fn on_heartbeat(&mut self, now: f64, request: RequestId, body: &[u8]) {
+        let heartbeat: Heartbeat = match serde_json::from_slice(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => return self.reply(now, request, Reply::error(400, error.to_string())),
         };
-        if let Some(leader) = &mut self.leader {
-            leader.record_heartbeat(now, &report);
-            if let Some(elsewhere) = self.listener_for(now, &report, HeartbeatReceiver::Leader) {
-                return self.reply(now, id, Reply::json(421, &elsewhere));
+        if let Some(leader) = self.leadership.leader_mut() {
+            leader.record_heartbeat(now, &heartbeat);
+            if let Some(redirect) = self.rebalance(now, &heartbeat, HeartbeatReceiver::Leader) {
+                return self.reply(now, request, Reply::json(STATUS_MISDIRECTED, &redirect));
             }
         }
-        let elsewhere = self.leader_elsewhere(now).map(str::to_owned);
-        let leader_peer = self.peers.iter().position(|peer| {
-            Some(&peer.name) == elsewhere.as_ref()
-                && peer.last_seen.is_some_and(|at| now - at < HELLO_S)
-        });
-        let leader_shares =
-            leader_peer.is_some_and(|at| self.peers[at].protocol_level >= HEARTBEAT_RELAY_LEVEL);
+        match self.route_heartbeat(now, &heartbeat) {
+            HeartbeatRoute::Respond(response) => {
+                self.reply(now, request, Reply::json(STATUS_OK, &response));
+            }
+            HeartbeatRoute::Relay { peer, fallback } => {
+                self.relay_heartbeat(now, peer, request, body, fallback);
+            }
+            HeartbeatRoute::Redirect(redirect) => {
+                self.reply(now, request, Reply::json(STATUS_MISDIRECTED, &redirect));
+            }
+            HeartbeatRoute::NotEntitled => self.reply(now, request, not_entitled()),
+        }
+    }
+
+    fn route_heartbeat(&mut self, now: f64, heartbeat: &Heartbeat) -> HeartbeatRoute {
+        let other_leader = self.other_leader(now).map(str::to_owned);
+        let leader_peer = other_leader.as_ref().and_then(|name| self.reachable_peer(now, name));
         let context = HeartbeatContext {
             now,
-            store: &self.store,
-            leader_elsewhere: elsewhere.as_deref(),
+            store: &self.store.view,
+            other_leader: other_leader.as_deref(),
             may_renew_leases: self.may_renew_leases(now),
-            store_contact_fresh: self.has_fresh_store_contact(now),
-            may_relay: leader_peer.is_some(),
-            leader_expects_relays: leader_shares,
-        };
-        let reply = match self.heartbeats.router.route(&context, self.leader.as_mut(), &report) {
-            HeartbeatRoute::Respond(answer) => Reply::json(200, &answer),
-            HeartbeatRoute::RelayWithFallback(answer) => {
-                if let Some(peer) = leader_peer {
-                    return self.pass_on(now, peer, id, body, Some(answer));
-                }
-                Reply::json(200, &answer)
-            }
-            HeartbeatRoute::Relay(fallback) => {
-                if let Some(peer) = leader_peer {
-                    return self.pass_on(now, peer, id, body, fallback);
-                }
-                not_entitled()
-            }
-            HeartbeatRoute::Redirect(redirect) => Reply::json(421, &redirect),
-            HeartbeatRoute::NotEntitled => not_entitled(),
+            has_fresh_store_contact: self.store.has_fresh_contact(now),
+            leader_peer,
         };
-        self.reply(now, id, reply);
+        self.heartbeats.router.route(&context, self.leadership.leader_mut(), heartbeat)
     }
 
-    /// Where a worker should report instead of where it does, if anywhere. For a leader only.
-    fn listener_for(
+    /// The peer with this name, if it is reachable.
+    fn reachable_peer(&self, now: f64, name: &str) -> Option<LeaderPeer> {
+        let index = self.peers.index_of(name)?;
+        let peer = self.peers.get(index);
+        let expects_relays = peer.has_level(HEARTBEAT_RELAY_LEVEL);
+        peer.is_reachable(now).then_some(LeaderPeer { index, expects_relays })
+    }
+
+    /// Where a worker should send its heartbeats instead of to `receiver`, if anywhere. Must
+    /// only be called while this node leads.
+    fn rebalance(
         &mut self,
         now: f64,
-        report: &Heartbeat,
-        listener: HeartbeatReceiver,
+        heartbeat: &Heartbeat,
+        receiver: HeartbeatReceiver,
     ) -> Option<Redirect> {
         if !self.may_renew_leases(now) {
             return None;
         }
-        let passes_on = |peer: &super::Peer| {
-            peer.protocol_level >= HEARTBEAT_RELAY_LEVEL
-                && peer.last_seen.is_some_and(|at| now - at < HELLO_S)
-                && peer.store_contact_age_ms < CONTACT_MS
+        let can_relay = |peer: &Peer| {
+            peer.has_level(HEARTBEAT_RELAY_LEVEL)
+                && peer.is_reachable(now)
+                && peer.store_contact_age_ms < MAX_RELAY_CONTACT_AGE_MS
+        };
+        let usable: Vec<bool> = self.peers.iter().map(can_relay).collect();
+        let balancer = &mut self.heartbeats.balancer;
+        let name = match balancer.rebalance(now, &heartbeat.machine, receiver, &usable)? {
+            HeartbeatReceiver::Peer(peer) => &self.peers.get(peer).name,
+            HeartbeatReceiver::Leader => &self.settings.node,
         };
-        let usable: Vec<bool> = self.peers.iter().map(passes_on).collect();
-        let name =
-            match self.heartbeats.sharing.rebalance(now, &report.machine, listener, &usable)? {
-                HeartbeatReceiver::Peer(peer) => &self.peers[peer].name,
-                HeartbeatReceiver::Leader => &self.settings.node,
-            };
         Some(Redirect { report_to: Some(name.clone()) })
     }
 
-    /// Passes a report on to the leader, with others that come within a moment.
-    fn pass_on(
+    /// Relays a heartbeat to the leader, together with others that arrive within a moment.
+    fn relay_heartbeat(
         &mut self,
         now: f64,
         peer: usize,
@@ -135,71 +131,79 @@
         body: &[u8],
         fallback: Option<HeartbeatResponse>,
     ) {
-        let call = self.next_call;
-        self.next_call += 1;
-        self.heartbeats.relays.insert(call, Relay { request, since: now, fallback });
-        self.heartbeats.batch.push((peer, call, body.to_vec()));
-        self.send_passed_on(now);
+        let call = self.calls.allocate_id();
+        let queued = QueuedRelay { peer, call, body: body.to_vec() };
+        self.heartbeats.relays.push(now, queued, request, fallback);
+        self.send_heartbeat_relays(now);
     }
 
-    /// Sends the reports that are to be passed on, if the last ones are long enough ago.
-    pub(super) fn send_passed_on(&mut self, now: f64) {
-        if self.heartbeats.batch.is_empty() || now - self.heartbeats.batch_at < BATCH_S {
-            return;
-        }
-        self.heartbeats.batch_at = now;
-        for (peer, call, body) in std::mem::take(&mut self.heartbeats.batch) {
-            self.send(peer, FrameKind::RelayedHeartbeat, 0, call, &body);
+    /// Sends the heartbeats that are to be relayed, if the last batch is long enough ago.
+    pub(super) fn send_heartbeat_relays(&mut self, now: f64) {
+        for QueuedRelay { peer, call, body } in self.heartbeats.relays.take_batch(now) {
+            let message = PeerMessage {
+                kind: FrameKind::RelayedHeartbeat,
+                status: 0,
+                correlation_id: call,
+                payload: &body,
+            };
+            self.send_to_peer(peer, message);
         }
     }
 
-    /// Answers workers whose reports the leader has not answered in time.
-    pub(super) fn answer_overdue_relays(&mut self, now: f64) {
-        while let Some(first) = self.heartbeats.relays.first_entry() {
-            if now - first.get().since < RELAY_S {
-                return;
-            }
-            let Relay { request, fallback, .. } = first.remove();
-            let reply = match fallback.filter(|_| self.may_renew_leases(now)) {
-                Some(answer) => Reply::json(200, &answer),
+    /// Replies to workers whose heartbeats the leader has not responded to in time.
+    pub(super) fn expire_heartbeat_relays(&mut self, now: f64) {
+        while let Some(relay) = self.heartbeats.relays.take_overdue(now) {
+            let reply = match relay.fallback.filter(|_| self.may_renew_leases(now)) {
+                Some(response) => Reply::json(STATUS_OK, &response),
                 None => not_entitled(),
             };
-            self.reply(now, request, reply);
+            self.reply(now, relay.request, reply);
         }
     }
 
-    /// Answers a worker's report that another node has passed on. Only a leader with
-    /// something to say does; the other node keeps the worker's lease otherwise.
-    pub(super) fn on_relay(&mut self, now: f64, peer: usize, header: &FrameHeader, payload: &[u8]) {
-        let Ok(report) = serde_json::from_slice::<Heartbeat>(payload) else { return };
-        let (may_renew_leases, fresh) =
-            (self.may_renew_leases(now), self.has_fresh_store_contact(now));
-        let call = header.correlation_id.get();
-        let Some(leader) = &mut self.leader else { return };
-        if !may_renew_leases || report.token > leader.token {
+    /// Handles a heartbeat that a peer has relayed. Without a response the peer renews the
+    /// worker's lease itself, so this node stays silent unless it leads.
+    pub(super) fn on_relayed_heartbeat(
+        &mut self,
+        now: f64,
+        peer: usize,
+        header: &FrameHeader,
+        payload: &[u8],
+    ) {
+        let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(payload) else { return };
+        let may_renew_leases = self.may_renew_leases(now);
+        let has_fresh_contact = self.store.has_fresh_contact(now);
+        let Some(leader) = self.leadership.leader_mut() else { return };
+        if !may_renew_leases || heartbeat.token > leader.token {
             return;
         }
-        let answer = leader.on_heartbeat(now, &report, fresh);
-        // An answer that brings something about must reach the worker: the next report is
-        // to show it.
-        let is_needed = report.token != answer.token || !answer.commands.is_empty();
-        if !is_needed
-            && let Some(elsewhere) = self.listener_for(now, &report, HeartbeatReceiver::Peer(peer))
-        {
-            let body = serde_json::to_vec(&elsewhere).expect("wire types always serialise");
-            return self.send(peer, FrameKind::RelayedResponse, 421, call, &body);
-        }
-        let body = serde_json::to_vec(&answer).expect("wire types always serialise");
-        self.send(peer, FrameKind::RelayedResponse, 200, call, &body);
+        let response = leader.on_heartbeat(now, &heartbeat, has_fresh_contact);
+        // A response that changes something must reach the worker: its next heartbeat is
+        // expected to show the effect.
+        let has_effect = heartbeat.token != response.token || !response.commands.is_empty();
+        let redirect = if has_effect {
+            None
+        } else {
+            self.rebalance(now, &heartbeat, HeartbeatReceiver::Peer(peer))
+        };
+        let (status, body) = match redirect {
+            Some(redirect) => (STATUS_MISDIRECTED, serde_json::to_vec(&redirect)),
+            None => (STATUS_OK, serde_json::to_vec(&response)),
+        };
+        let message = PeerMessage {
+            kind: FrameKind::RelayedResponse,
+            status,
+            correlation_id: header.correlation_id.get(),
+            payload: &body.expect("wire types always serialise"),
+        };
+        self.send_to_peer(peer, message);
     }
 
-    /// Passes the leader's answer to a worker's report on to the worker.
-    pub(super) fn on_relayed(&mut self, now: f64, header: &FrameHeader, payload: &[u8]) {
-        let Some(relay) = self.heartbeats.relays.remove(&header.correlation_id.get()) else {
-            return;
-        };
-        let status = header.status.get();
-        let reply = Reply::from_json_bytes(status, payload.to_vec());
+    /// Passes the leader's response to a relayed heartbeat on to the worker.
+    pub(super) fn on_relayed_response(&mut self, now: f64, header: &FrameHeader, payload: &[u8]) {
+        let call = header.correlation_id.get();
+        let Some(relay) = self.heartbeats.relays.finish(call) else { return };
+        let reply = Reply::from_json_bytes(header.status.get(), payload.to_vec());
         self.reply(now, relay.request, reply);
     }
 }
--- a/crates/gladekeel-controller/src/node/heartbeats/routing.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/routing.rs
@@ -1,124 +1,163 @@
-//! Reports that reach a node: the leader's own, and those that must be sent on.
+//! Where a heartbeat goes: answered by this node, relayed to the leader, or redirected there.
 
 use crate::{leader::Leader, store_view::StoreView};
 use gladekeel_wire::worker::{Command, Heartbeat, HeartbeatResponse, Redirect, TaskState};
 use std::collections::{HashMap, VecDeque};
 
-/// A worker that comes back within this time after being sent to the leader
-/// could not reach it.
-const TRY_LEADER_S: f64 = 12.0;
-/// The same while its reports are passed on to the leader, so that nothing is
-/// lost by not trying.
-const TRY_RELAYED_S: f64 = 45.0;
+/// A worker that comes back within this time after it was redirected to the leader could not
+/// reach it.
+const REDIRECT_AGAIN_AFTER_S: f64 = 12.0;
+/// The same while heartbeats can be relayed, so that nothing is lost by waiting longer.
+const REDIRECT_AGAIN_WITH_RELAY_AFTER_S: f64 = 45.0;
+/// How long a redirection is remembered.
+const REDIRECTION_TTL_S: f64 = 10.0 * REDIRECT_AGAIN_AFTER_S;
 
-/// How a report is answered.
+/// What is done with a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
-pub enum HeartbeatRoute {
-    /// 200.
+pub(super) enum HeartbeatRoute {
+    /// 200 with this response.
     Respond(HeartbeatResponse),
-    /// The worker cannot reach the leader: pass its report on, and answer with
-    /// this, which keeps its lease, if the leader cannot be reached either.
-    RelayWithFallback(HeartbeatResponse),
-    /// The leader shares the work of hearing workers: pass the report on. If the leader does
-    /// not answer, this keeps the worker's lease; without it this node may not keep it.
-    Relay(Option<HeartbeatResponse>),
-    /// 421: report to that node.
+    /// Relay the heartbeat to the leader.
+    Relay {
+        /// The index of the peer that leads.
+        peer: usize,
+        /// Renews the worker's lease if the leader does not respond; without it this node may
+        /// not renew the lease.
+        fallback: Option<HeartbeatResponse>,
+    },
+    /// 421: the worker should send its heartbeats to another node.
     Redirect(Redirect),
-    /// 503: this node is not entitled to act.
+    /// 503: this node may neither renew the worker's lease nor say who may.
     NotEntitled,
 }
 
-/// The state of a node as a report arrives.
-pub struct HeartbeatContext<'a> {
+/// The leader as a peer that is reachable.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct LeaderPeer {
+    /// Its index among the peers.
+    pub index: usize,
+    /// Whether it wants other nodes to keep their workers and relay heartbeats.
+    pub expects_relays: bool,
+}
+
+/// The state of the node when a heartbeat arrives.
+pub(super) struct HeartbeatContext<'a> {
     /// The time.
     pub now: f64,
-    /// The store as last seen.
+    /// The view of the store.
     pub store: &'a StoreView,
     /// Another node that leads, and is known to do so now.
-    pub leader_elsewhere: Option<&'a str>,
-    /// Whether tasks may be kept alive: the store was heard of recently enough
-    /// for a cancellation that this node has not heard of to end in time.
+    pub other_leader: Option<&'a str>,
+    /// Whether leases may be renewed: the last contact with the store is recent enough for a
+    /// cancellation that this node has not seen to end in time.
     pub may_renew_leases: bool,
-    /// Whether the store was heard of just now.
-    pub store_contact_fresh: bool,
-    /// Whether reports can be passed on to the leader.
-    pub may_relay: bool,
-    /// Whether the leader expects other nodes to keep their workers and pass reports on.
-    pub leader_expects_relays: bool,
+    /// Whether the view of the store is fresh.
+    pub has_fresh_store_contact: bool,
+    /// The other leader, if heartbeats can be relayed to it.
+    pub leader_peer: Option<LeaderPeer>,
 }
 
-/// A worker that was redirected to the leader.
+/// A worker's redirection to the leader.
 #[derive(Debug, Clone, Copy)]
-struct Redirected {
-    at: f64,
+struct Redirection {
+    redirected_at: f64,
+    /// The leader's token.
     token: u64,
 }
 
-/// Answers reports, and remembers which workers were redirected to the leader.
+/// Routes heartbeats, and remembers which workers were redirected to the leader.
 #[derive(Debug, Default)]
-pub struct HeartbeatRouter {
-    redirected: HashMap<String, Redirected>,
-    /// The same in order, to forget the oldest ones.
-    order: VecDeque<(f64, String)>,
+pub(super) struct HeartbeatRouter {
+    /// The last redirection of each machine.
+    redirections: HashMap<String, Redirection>,
+    /// All redirections by time, to expire the oldest ones.
+    by_time: VecDeque<(f64, String)>,
 }
 
 impl HeartbeatRouter {
-    fn forget_old(&mut self, now: f64) {
-        while self.order.front().is_some_and(|(at, _)| now - at >= 10.0 * TRY_LEADER_S) {
-            let Some((at, machine)) = self.order.pop_front() else { return };
-            // It may have been redirected once more since.
-            if self.redirected.get(&machine).is_some_and(|last| last.at <= at) {
-                self.redirected.remove(&machine);
-            }
-        }
-    }
-
-    /// Answers a report.
+    /// Decides what to do with a heartbeat. `leader` is this node's, if it leads.
     pub fn route(
         &mut self,
         context: &HeartbeatContext<'_>,
         leader: Option<&mut Leader>,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
     ) -> HeartbeatRoute {
-        let now = context.now;
         if let Some(leader) = leader {
-            // A worker that has seen a higher token would drop the answer.
-            if !context.may_renew_leases || report.token > leader.token {
-                return HeartbeatRoute::NotEntitled;
-            }
-            return HeartbeatRoute::Respond(leader.on_heartbeat(
-                now,
-                report,
-                context.store_contact_fresh,
-            ));
+            return respond_as_leader(context, leader, heartbeat);
+        }
+        if let Some(LeaderPeer { index, expects_relays: true }) = context.leader_peer {
+            let fallback = lease_renewal(context, heartbeat);
+            return HeartbeatRoute::Relay { peer: index, fallback };
+        }
+        if let Some(name) = context.other_leader
+            && self.should_redirect(context, &heartbeat.machine)
+        {
+            return HeartbeatRoute::Redirect(Redirect { report_to: Some(name.to_owned()) });
         }
-        if context.leader_expects_relays {
-            return HeartbeatRoute::Relay(lease_renewal(context, report));
+        // The worker cannot reach the leader.
+        match (lease_renewal(context, heartbeat), context.leader_peer) {
+            (None, _) => HeartbeatRoute::NotEntitled,
+            (Some(response), None) => HeartbeatRoute::Respond(response),
+            (fallback, Some(peer)) => HeartbeatRoute::Relay { peer: peer.index, fallback },
         }
-        let token = context.store.highest_token;
-        if let Some(name) = context.leader_elsewhere {
-            self.forget_old(now);
-            let last = self.redirected.get(&report.machine);
-            let again_s = if context.may_relay { TRY_RELAYED_S } else { TRY_LEADER_S };
-            if last.is_none_or(|last| now - last.at >= again_s || last.token != token) {
-                self.redirected.insert(report.machine.clone(), Redirected { at: now, token });
-                self.order.push_back((now, report.machine.clone()));
-                return HeartbeatRoute::Redirect(Redirect { report_to: Some(name.to_owned()) });
+    }
+
+    /// Whether a worker should try to reach the leader, and notes that it will.
+    fn should_redirect(&mut self, context: &HeartbeatContext<'_>, machine: &str) -> bool {
+        let (now, token) = (context.now, context.store.highest_token);
+        self.expire(now);
+        let again_after_s = if context.leader_peer.is_some() {
+            REDIRECT_AGAIN_WITH_RELAY_AFTER_S
+        } else {
+            REDIRECT_AGAIN_AFTER_S
+        };
+        let was_tried = self
+            .redirections
+            .get(machine)
+            .is_some_and(|last| now - last.redirected_at < again_after_s && last.token == token);
+        if !was_tried {
+            let redirection = Redirection { redirected_at: now, token };
+            self.redirections.insert(machine.to_owned(), redirection);
+            self.by_time.push_back((now, machine.to_owned()));
+        }
+        !was_tried
+    }
+
+    fn expire(&mut self, now: f64) {
+        while self.by_time.front().is_some_and(|(time, _)| now - time >= REDIRECTION_TTL_S) {
+            let Some((time, machine)) = self.by_time.pop_front() else { return };
+            // The machine may have been redirected once more since.
+            if self.redirections.get(&machine).is_some_and(|last| last.redirected_at <= time) {
+                self.redirections.remove(&machine);
             }
         }
-        lease_renewal(context, report)
-            .map_or(HeartbeatRoute::NotEntitled, HeartbeatRoute::RelayWithFallback)
     }
 }
 
-/// The answer of a node that does not lead and cannot ask the leader, if it is entitled to
+fn respond_as_leader(
+    context: &HeartbeatContext<'_>,
+    leader: &mut Leader,
+    heartbeat: &Heartbeat,
+) -> HeartbeatRoute {
+    // A worker that has seen a higher token would discard the response.
+    if !context.may_renew_leases || heartbeat.token > leader.token {
+        return HeartbeatRoute::NotEntitled;
+    }
+    let has_fresh_contact = context.has_fresh_store_contact;
+    HeartbeatRoute::Respond(leader.on_heartbeat(context.now, heartbeat, has_fresh_contact))
+}
+
+/// The response of a node that does not lead and cannot ask the leader, if it is entitled to
 /// one: it keeps the worker's tasks alive, except those that were cancelled.
-fn lease_renewal(context: &HeartbeatContext<'_>, report: &Heartbeat) -> Option<HeartbeatResponse> {
+fn lease_renewal(
+    context: &HeartbeatContext<'_>,
+    heartbeat: &Heartbeat,
+) -> Option<HeartbeatResponse> {
     let token = context.store.highest_token;
-    if !context.may_renew_leases || token == 0 || report.token > token {
+    if !context.may_renew_leases || token == 0 || heartbeat.token > token {
         return None;
     }
-    let cancelled = report.tasks.iter().filter(|task| {
+    let cancelled = heartbeat.tasks.iter().filter(|task| {
         task.state != TaskState::Exited && context.store.is_cancelled(&task.task.job)
     });
     let commands = cancelled
--- a/crates/gladekeel-controller/src/node/leadership/election.rs
+++ b/crates/gladekeel-controller/src/node/leadership/election.rs
@@ -1,98 +1,127 @@
-//! Who leads: a key under a lease, whose version is the fencing token.
+//! Election of the leader: a key under a lease, whose version is the fencing token.
+//!
+//! [`Election`] decides which request to the store is due; it never decides that this node
+//! leads. The key disappears with its lease, so a leader that ends without notice is
+//! replaced after the lease's time to live.
 
 use crate::keys::{self, LeaderRecord};
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_wire::store::{Precondition, Transaction, Write};
 
-/// How long the leader's key outlives its last renewal.
-const TTL_MS: u64 = 3000;
-/// How often the lease is renewed.
+/// Time to live of the lease: the leader key outlives its last renewal by this much.
+const LEASE_TTL_MS: u64 = 3000;
+/// Time between renewals of the lease.
 const RENEWAL_INTERVAL_S: f64 = 0.8;
+/// Pause after a request that changed the key, or was refused.
+const RETRY_S: f64 = 0.2;
+/// Pause after a request whose outcome is in doubt, and after the token was renewed.
+const RETRY_IN_DOUBT_S: f64 = 0.3;
 
-/// A node's part in the election.
+/// This node's part in the election.
 #[derive(Debug, Default)]
-pub struct Election {
+pub(super) struct Election {
+    /// The lease that this process holds, with or without the key.
     lease: Option<LeadershipLease>,
     in_flight: bool,
+    /// No request is sent before this time.
     not_before: f64,
-    /// Not a candidate before this time: it resigned.
-    pub candidate_after: f64,
+    /// This node is no candidate before this time, since it has resigned.
+    candidate_after: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct LeadershipLease {
     id: u64,
+    /// When the last successful renewal was sent.
     renewed_at: f64,
 }
 
-/// What the node sees of the leader's key, as of a recent contact.
+/// Whom the leader key names, as of the last read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ObservedLeader {
-    /// Nobody leads.
+pub(super) enum ObservedLeader {
+    /// There is no leader key.
     Vacant,
-    /// This incarnation leads.
+    /// This incarnation.
     ThisIncarnation,
-    /// An earlier incarnation of this node, which is dead, under this version.
-    StaleIncarnation(u64),
-    /// Another node leads.
+    /// An earlier incarnation of this node, which has ended.
+    StaleIncarnation {
+        /// The version of the leader key.
+        version: u64,
+    },
+    /// Another node.
     OtherNode,
 }
 
+impl ObservedLeader {
+    /// Compares the stored leader key, if there is one, with this incarnation's record.
+    pub fn of(stored: Option<&(LeaderRecord, u64)>, own: &LeaderRecord) -> ObservedLeader {
+        match stored {
+            None => ObservedLeader::Vacant,
+            Some((record, _)) if record == own => ObservedLeader::ThisIncarnation,
+            Some((record, version)) if record.node == own.node => {
+                ObservedLeader::StaleIncarnation { version: *version }
+            }
+            Some(_) => ObservedLeader::OtherNode,
+        }
+    }
+}
+
 impl Election {
-    /// The next request, if one is due.
-    pub fn next(
+    /// The next request, if one is due. `token_to_renew` is the current token if it must be
+    /// replaced by a higher one.
+    pub fn next_request(
         &mut self,
         now: f64,
-        seen: ObservedLeader,
+        observed: ObservedLeader,
         record: &LeaderRecord,
-        renew_token: Option<u64>,
+        token_to_renew: Option<u64>,
     ) -> Option<StoreRequest> {
         if self.in_flight || now < self.not_before {
             return None;
         }
-        let call = match (seen, self.lease) {
-            (ObservedLeader::ThisIncarnation, Some(lease)) => match renew_token {
-                // The same leader under a higher token.
+        let request = match (observed, self.lease) {
+            (ObservedLeader::ThisIncarnation, Some(lease)) => match token_to_renew {
+                // Writing the key again gives the same leader a higher token.
                 Some(token) => {
-                    self.not_before = now + 0.3;
-                    commit(record, token, lease.id)
+                    self.not_before = now + RETRY_IN_DOUBT_S;
+                    put_leader_key(record, token, lease.id)
                 }
                 None if now - lease.renewed_at >= RENEWAL_INTERVAL_S => {
                     StoreRequest::RenewLease(lease.id)
                 }
                 None => return None,
             },
-            // The key hangs on a lease that this incarnation does not know: it runs out.
+            // The key is attached to a lease that this process does not hold: it expires.
             (ObservedLeader::ThisIncarnation | ObservedLeader::OtherNode, None) => return None,
             (ObservedLeader::OtherNode, Some(lease)) => StoreRequest::RevokeLease(lease.id),
-            (ObservedLeader::Vacant | ObservedLeader::StaleIncarnation(_), _)
+            (ObservedLeader::Vacant | ObservedLeader::StaleIncarnation { .. }, _)
                 if now < self.candidate_after =>
             {
                 return None;
             }
-            (ObservedLeader::Vacant | ObservedLeader::StaleIncarnation(_), None) => {
-                StoreRequest::GrantLease { ttl_ms: TTL_MS }
+            (ObservedLeader::Vacant | ObservedLeader::StaleIncarnation { .. }, None) => {
+                StoreRequest::GrantLease { ttl_ms: LEASE_TTL_MS }
             }
-            (ObservedLeader::Vacant, Some(lease)) => commit(record, 0, lease.id),
-            (ObservedLeader::StaleIncarnation(version), Some(lease)) => {
-                commit(record, version, lease.id)
+            (ObservedLeader::Vacant, Some(lease)) => put_leader_key(record, 0, lease.id),
+            (ObservedLeader::StaleIncarnation { version }, Some(lease)) => {
+                put_leader_key(record, version, lease.id)
             }
         };
         self.in_flight = true;
-        Some(call)
+        Some(request)
     }
 
-    /// Takes in what came of a request that was sent at `sent_at`. Tells whether
-    /// the store should be looked at at once.
-    pub fn answered(
+    /// Applies the outcome of a request that was sent at `sent_at`. Returns whether the store
+    /// should be read at once.
+    pub fn on_outcome(
         &mut self,
         now: f64,
         sent_at: f64,
-        call: &StoreRequest,
+        request: &StoreRequest,
         outcome: &StoreOutcome,
     ) -> bool {
         self.in_flight = false;
-        match (call, outcome) {
+        match (request, outcome) {
             (StoreRequest::GrantLease { .. }, StoreOutcome::LeaseGranted(id)) => {
                 self.lease = Some(LeadershipLease { id: *id, renewed_at: sent_at });
                 false
@@ -104,8 +133,8 @@
                 false
             }
             (StoreRequest::Commit(_), StoreOutcome::Committed(_)) => {
-                // Whether this node leads is read from the store, not from this answer.
-                self.not_before = now + 0.2;
+                // Whether this node leads is decided by a read of the store, not by this answer.
+                self.not_before = now + RETRY_S;
                 true
             }
             (StoreRequest::RevokeLease(_), _) | (_, StoreOutcome::LeaseNotFound) => {
@@ -113,17 +142,18 @@
                 true
             }
             (_, StoreOutcome::RateLimited | StoreOutcome::Unavailable) => {
-                self.not_before = now + 0.2;
+                self.not_before = now + RETRY_S;
                 false
             }
             _ => {
-                self.not_before = now + 0.3;
+                self.not_before = now + RETRY_IN_DOUBT_S;
                 true
             }
         }
     }
 
-    /// Gives up the lease: the key goes with it, and another node can lead at once.
+    /// Gives up the lease and is no candidate for `pause_s`. The key goes with the lease, so
+    /// another node can lead at once. Returns nothing if this process holds no lease.
     pub fn resign(&mut self, now: f64, pause_s: f64) -> Option<StoreRequest> {
         self.candidate_after = now + pause_s;
         let lease = self.lease.take()?;
@@ -131,7 +161,8 @@
     }
 }
 
-fn commit(record: &LeaderRecord, version: u64, lease: u64) -> StoreRequest {
+/// Writes the leader key, if it still has this version; 0 if it must not exist.
+fn put_leader_key(record: &LeaderRecord, version: u64, lease: u64) -> StoreRequest {
     let value = serde_json::to_value(record).expect("stored types always serialise");
     StoreRequest::Commit(Transaction {
         preconditions: vec![Precondition { key: keys::LEADER.into(), version }],
--- a/crates/gladekeel-controller/src/node/leadership/mod.rs
+++ b/crates/gladekeel-controller/src/node/leadership/mod.rs
@@ -1,3 +1,302 @@
-//! Who leads.
+//! Whether this node leads, and the steps by which it begins and ends to.
+//!
+//! Leadership is decided by the store alone: a node leads when a read shows its own incarnation
+//! in the leader key, and stops when a read does not (`docs/safety.md`, "Who may decide"). The
+//! version of the key is the fencing token. The answers to a node's own election requests decide
+//! nothing. A peer that reports leading under a higher token makes this node step down early,
+//! which is always safe.
 
 pub(super) mod election;
+mod resignation;
+mod takeover;
+
+use super::{
+    Node,
+    outgoing_calls::{CloudCall, StoreCallPurpose},
+};
+use crate::{cloud_api::CloudOutcome, keys::LeaderRecord, leader::Leader, store_view::StoreView};
+use election::{Election, ObservedLeader};
+use gladekeel_store::{StoreOutcome, StoreRequest};
+use resignation::ResignationBackoff;
+use takeover::{PreviousTerm, Takeover};
+
+/// A leader's commit without an answer for this long is looked up in the store, and again each
+/// time this has passed.
+const CONFIRM_COMMIT_AFTER_S: f64 = 0.5;
+
+/// What this node does under the leader key's current version.
+enum Role {
+    /// Another node leads, or none.
+    Follower,
+    /// The key names this incarnation; the assignment log is being read.
+    TakingOver(Box<Takeover>),
+    /// This node decides.
+    Leading(Box<Leader>),
+}
+
+/// This node's part in leadership.
+pub(super) struct Leadership {
+    /// What this incarnation writes into the leader key.
+    record: LeaderRecord,
+    election: Election,
+    role: Role,
+    /// The last token under which this process led. Attempts are numbered by token, so it
+    /// never leads under the same one again.
+    last_used_token: u64,
+    count: u64,
+    resignations: ResignationBackoff,
+    /// When a commit in doubt was last looked up.
+    confirmation_sent_at: f64,
+}
+
+impl Leadership {
+    /// A follower whose incarnation is named by `record`.
+    pub fn new(record: LeaderRecord) -> Leadership {
+        Leadership {
+            record,
+            election: Election::default(),
+            role: Role::Follower,
+            last_used_token: 0,
+            count: 0,
+            resignations: ResignationBackoff::default(),
+            confirmation_sent_at: 0.0,
+        }
+    }
+
+    /// The leader's state, while this node leads.
+    pub fn leader(&self) -> Option<&Leader> {
+        match &self.role {
+            Role::Leading(leader) => Some(leader),
+            Role::Follower | Role::TakingOver(_) => None,
+        }
+    }
+
+    /// The leader's state, while this node leads.
+    pub fn leader_mut(&mut self) -> Option<&mut Leader> {
+        match &mut self.role {
+            Role::Leading(leader) => Some(leader),
+            Role::Follower | Role::TakingOver(_) => None,
+        }
+    }
+
+    /// The leader's state, if this node still leads under this token.
+    pub fn leader_under_mut(&mut self, token: u64) -> Option<&mut Leader> {
+        self.leader_mut().filter(|leader| leader.token == token)
+    }
+
+    /// Whether this node leads.
+    pub fn is_leading(&self) -> bool {
+        matches!(self.role, Role::Leading(_))
+    }
+
+    /// How often this process has begun to lead. Consecutive tokens of one leadership count
+    /// once, since the leader's knowledge of the cluster outlives the token.
+    pub fn count(&self) -> u64 {
+        self.count
+    }
+
+    /// The number that this process drew at its start.
+    pub fn incarnation(&self) -> u64 {
+        self.record.incarnation
+    }
+
+    /// Steps down if a peer leads under a higher token. Returns whether this node did lead.
+    ///
+    /// A leader that the store no longer answers learns of its successor in this way.
+    pub fn step_down_if_superseded(&mut self, peer: &str, peer_token: u64) -> bool {
+        let Some(leader) = self.leader().filter(|leader| leader.token < peer_token) else {
+            return false;
+        };
+        tracing::warn!(token = leader.token, peer, peer_token, "stepped down: another node leads");
+        self.role = Role::Follower;
+        true
+    }
+
+    /// Applies the leader key as a read has just shown it: begins a takeover, goes on under a
+    /// new token, or stops.
+    pub fn follow_leader_key(&mut self, now: f64, stored: Option<&(LeaderRecord, u64)>) {
+        let Some((_, token)) = stored.filter(|(record, _)| *record == self.record) else {
+            if let Role::Leading(leader) = std::mem::replace(&mut self.role, Role::Follower) {
+                tracing::warn!(token = leader.token, "stepped down: the leader key has changed");
+            }
+            return;
+        };
+        let is_current = match &self.role {
+            Role::Follower => false,
+            Role::TakingOver(takeover) => takeover.token() == *token,
+            Role::Leading(leader) => leader.token == *token,
+        };
+        if !is_current && *token > self.last_used_token {
+            self.begin_takeover(now, *token);
+        }
+    }
+
+    /// Begins to read the log under a token. What this incarnation knows of the cluster from
+    /// leading under a lower token still holds.
+    fn begin_takeover(&mut self, now: f64, token: u64) {
+        let previous = match std::mem::replace(&mut self.role, Role::Follower) {
+            Role::Leading(leader) => Some(PreviousTerm::new(leader.into_cluster_state())),
+            Role::TakingOver(takeover) => takeover.into_previous_term(),
+            Role::Follower => None,
+        };
+        self.count += u64::from(previous.is_none());
+        self.role = Role::TakingOver(Box::new(Takeover::new(token, now, previous)));
+    }
+
+    fn takeover_under_mut(&mut self, token: u64) -> Option<&mut Takeover> {
+        match &mut self.role {
+            Role::TakingOver(takeover) if takeover.token() == token => Some(takeover),
+            _ => None,
+        }
+    }
+
+    fn begin_to_lead(&mut self, leader: Leader) {
+        self.last_used_token = leader.token;
+        self.role = Role::Leading(Box::new(leader));
+    }
+
+    /// Applies the outcome of a call to the cloud.
+    pub fn on_cloud_outcome(&mut self, now: f64, call: CloudCall, outcome: CloudOutcome) {
+        if call.leadership != self.count {
+            return;
+        }
+        match &mut self.role {
+            Role::Leading(leader) => leader.cloud_answered(now, &call.request, outcome),
+            Role::TakingOver(takeover) => takeover.hold_cloud_outcome(call.request, outcome),
+            Role::Follower => {}
+        }
+    }
+
+    /// The election request that is due, if there is one. Must only be called while the view
+    /// of the store is fresh.
+    fn next_election_request(&mut self, now: f64, view: &StoreView) -> Option<StoreRequest> {
+        let observed = ObservedLeader::of(view.leader.as_ref(), &self.record);
+        let token_to_renew = self.token_to_renew(view.highest_token);
+        self.election.next_request(now, observed, &self.record, token_to_renew)
+    }
+
+    /// The token that must be replaced by a higher one before this node can lead on: the
+    /// leader has asked for it, or this node stepped down while the key still names it.
+    fn token_to_renew(&self, highest_token: u64) -> Option<u64> {
+        match &self.role {
+            Role::Leading(leader) => leader.needs_new_token().then_some(leader.token),
+            Role::Follower => {
+                (highest_token == self.last_used_token).then_some(self.last_used_token)
+            }
+            Role::TakingOver(_) => None,
+        }
+    }
+}
+
+impl Node {
+    /// Sends the election request that is due, if there is one.
+    pub(super) fn send_election_request(&mut self, now: f64) {
+        if !self.store.has_fresh_contact(now) {
+            return;
+        }
+        if let Some(request) = self.leadership.next_election_request(now, &self.store.view) {
+            self.call_store(now, StoreCallPurpose::Election, request);
+        }
+    }
+
+    /// Applies the outcome of an election request.
+    pub(super) fn on_election_outcome(
+        &mut self,
+        now: f64,
+        sent_at: f64,
+        request: &StoreRequest,
+        outcome: &StoreOutcome,
+    ) {
+        if self.leadership.election.on_outcome(now, sent_at, request, outcome) {
+            self.store.request_read();
+        }
+    }
+
+    /// Sends the leader's next commit, if one is due.
+    pub(super) fn send_leader_commit(&mut self, now: f64) {
+        let Some(leader) = self.leadership.leader_mut() else { return };
+        let token = leader.token;
+        let bucket = self.rate_limits.leader_writes.bucket_at(now);
+        if let Some(transaction) = leader.next_commit(now, bucket) {
+            let purpose = StoreCallPurpose::LeaderCommit { token };
+            self.call_store(now, purpose, StoreRequest::Commit(transaction));
+        }
+    }
+
+    /// Applies the outcome of a leader's commit.
+    pub(super) fn on_leader_commit_outcome(
+        &mut self,
+        now: f64,
+        token: u64,
+        outcome: &StoreOutcome,
+    ) {
+        let Some(leader) = self.leadership.leader_under_mut(token) else { return };
+        if *outcome == StoreOutcome::RateLimited {
+            self.rate_limits.leader_writes.on_refused(now);
+        }
+        if leader.commit_answered(now, outcome) {
+            self.store.request_read();
+        }
+    }
+
+    /// Looks up a commit in the store whose answer is slow to arrive.
+    pub(super) fn send_commit_confirmation(&mut self, now: f64) {
+        let Some(leader) = self.leadership.leader() else { return };
+        let (token, marker) = (leader.token, leader.commit_marker());
+        let is_slow = self
+            .calls
+            .leader_commit(token)
+            .is_some_and(|(_, commit)| now - commit.sent_at >= CONFIRM_COMMIT_AFTER_S);
+        if let Some((key, _)) = marker
+            && is_slow
+            && now - self.leadership.confirmation_sent_at >= CONFIRM_COMMIT_AFTER_S
+        {
+            let request = StoreRequest::List { prefix: key.clone(), after: None };
+            self.leadership.confirmation_sent_at = now;
+            self.call_store(now, StoreCallPurpose::ConfirmCommit { token }, request);
+        }
+    }
+
+    /// Settles a commit in doubt if the lookup shows that it was made.
+    ///
+    /// The whole commit was made if and only if its marker stands under its key: nobody else
+    /// writes there under the token.
+    pub(super) fn on_commit_confirmation(&mut self, now: f64, token: u64, outcome: StoreOutcome) {
+        let StoreOutcome::Page(page) = outcome else { return };
+        let Some((commit, _)) = self.calls.leader_commit(token) else { return };
+        let Some(leader) = self.leadership.leader_under_mut(token) else { return };
+        let Some((key, marker)) = leader.commit_marker() else { return };
+        let is_marker = |row: &&gladekeel_wire::store::KeyValue| {
+            row.key == *key && row.value == marker.as_str()
+        };
+        if let Some(version) = page.entries.iter().find(is_marker).map(|row| row.version) {
+            self.calls.finish_store_call(commit);
+            if leader.commit_answered(now, &StoreOutcome::Committed(version)) {
+                self.store.request_read();
+            }
+        }
+    }
+
+    /// Sends the leader's requests to the cloud as far as the rate limit allows.
+    pub(super) fn send_cloud_requests(&mut self, now: f64) {
+        let leadership = self.leadership.count();
+        while let Some(leader) = self.leadership.leader_mut()
+            && self.rate_limits.cloud.can_take(now, 1.0)
+        {
+            let Some(request) = leader.next_cloud(now) else { break };
+            self.rate_limits.cloud.try_take(now, 1.0);
+            self.actions.push(self.calls.call_cloud(leadership, request));
+        }
+    }
+
+    /// Sends the leader's commands and probes to workers. Tasks are started only while the
+    /// view of the store is fresh.
+    pub(super) fn send_worker_requests(&mut self, now: f64) {
+        let may_start = self.store.has_fresh_contact(now);
+        let Some(leader) = self.leadership.leader_mut() else { return };
+        for _ in 0..self.calls.worker_call_budget(now) {
+            let Some(request) = leader.next_worker_request(now, may_start) else { return };
+            self.actions.push(self.calls.call_worker(now, request));
+        }
+    }
+}
--- a/crates/gladekeel-controller/src/node/metrics.rs
+++ b/crates/gladekeel-controller/src/node/metrics.rs
@@ -1,148 +1,175 @@
-//! Metrics in the Prometheus text format.
+//! What a node exposes to Prometheus.
+//!
+//! Names and help texts are part of the operators' interface and stay as they are, also where
+//! the code uses other terms by now.
 
-use super::Node;
+use super::{Node, RequestId, admin_requests::machines_by_state};
 use crate::{
+    http_api::Route,
     leader::Leader,
     prometheus::{DurationHistogram, Exposition, MetricType},
     socket_budget::SocketUse,
 };
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, HashMap};
 
-/// How long requests took, by what they asked for.
+/// Measures how long requests take, by the label of their route.
 #[derive(Debug, Default)]
-pub(crate) struct Latencies(BTreeMap<&'static str, DurationHistogram>);
+pub(super) struct RequestTimers {
+    /// The label and the start of each request that has not been answered yet.
+    started: HashMap<RequestId, (&'static str, f64)>,
+    latencies: BTreeMap<&'static str, DurationHistogram>,
+}
+
+impl RequestTimers {
+    /// A request has arrived.
+    pub fn start(&mut self, now: f64, id: RequestId, route: &Route) {
+        if let Some(label) = route.metric_label() {
+            self.started.insert(id, (label, now));
+        }
+    }
+
+    /// A request has been answered.
+    pub fn finish(&mut self, now: f64, id: RequestId) {
+        if let Some((label, started_at)) = self.started.remove(&id) {
+            self.latencies.entry(label).or_default().record(now - started_at);
+        }
+    }
 
-impl Latencies {
-    /// Notes a request that took so long.
-    pub(crate) fn note(&mut self, what: &'static str, seconds: f64) {
-        self.0.entry(what).or_default().record(seconds);
+    fn expose(&self, out: &mut Exposition) {
+        out.header(MetricType::Gauge, "request_seconds", "Time to answer, by quantile.");
+        for (label, durations) in &self.latencies {
+            for (quantile, seconds) in durations.quantiles() {
+                let quantile = quantile.to_string();
+                let labels = [("request", *label), ("quantile", quantile.as_str())];
+                out.sample("request_seconds", &labels, seconds);
+            }
+        }
+        let counts = self.latencies.iter().map(|(label, durations)| (label, durations.count()));
+        let help = "Requests answered.";
+        out.family(MetricType::Counter, "requests_total", help, "request", counts);
     }
 }
 
 /// What only the process around a node can measure: the node has no clock and no sockets.
 #[derive(Debug, Default)]
-pub(crate) struct ProcessMetrics {
-    rounds: DurationHistogram,
+pub(super) struct ProcessMetrics {
+    scheduling_cycles: DurationHistogram,
     sockets: SocketUse,
 }
 
+impl ProcessMetrics {
+    fn expose(&self, max_sockets: usize, out: &mut Exposition) {
+        expose_scheduling_cycles(&self.scheduling_cycles, out);
+        let SocketUse { users, workers, unknown, calls, mesh } = self.sockets;
+        let uses = [
+            ("users", users),
+            ("workers", workers),
+            ("unknown", unknown),
+            ("calls", calls),
+            ("mesh", mesh),
+        ];
+        let samples = uses.map(|(name, count)| (name, count as f64));
+        out.family(MetricType::Gauge, "sockets", "Connections held, by use.", "use", samples);
+        let help = "Connections that the process may hold.";
+        out.gauge("sockets_limit", help, max_sockets as f64);
+    }
+}
+
+fn expose_scheduling_cycles(cycles: &DurationHistogram, out: &mut Exposition) {
+    out.header(MetricType::Summary, "round_seconds", "Time that a round of decisions takes.");
+    for (quantile, seconds) in cycles.quantiles() {
+        out.sample("round_seconds", &[("quantile", &quantile.to_string())], seconds);
+    }
+    out.sample("round_seconds_sum", &[], cycles.sum_s());
+    out.sample("round_seconds_count", &[], cycles.count());
+    let help = "Longest round since the process began.";
+    out.gauge("round_seconds_max", help, cycles.max_s());
+}
+
 impl Node {
-    /// Notes how long a round of decisions took.
-    pub fn record_round(&mut self, seconds: f64) {
-        self.process.rounds.record(seconds);
+    /// Records how long a scheduling cycle took, in seconds.
+    pub fn record_scheduling_cycle(&mut self, seconds: f64) {
+        self.process_metrics.scheduling_cycles.record(seconds);
     }
 
-    /// Notes how many connections the process holds.
+    /// Records how many connections the process holds.
     pub fn record_sockets(&mut self, sockets: SocketUse) {
-        self.process.sockets = sockets;
+        self.process_metrics.sockets = sockets;
     }
 
-    /// Metrics in the Prometheus text format.
-    pub(crate) fn metrics(&self, now: f64) -> String {
+    /// All metrics in the Prometheus text format.
+    pub(super) fn render_metrics(&self, now: f64) -> String {
         let mut out = Exposition::default();
-        self.request_metrics(&mut out);
-        self.node_metrics(now, &mut out);
-        self.process_metrics(&mut out);
-        if let Some(leader) = &self.leader {
-            leader_metrics(leader, now, &mut out);
+        self.request_timers.expose(&mut out);
+        self.expose_node(now, &mut out);
+        self.process_metrics.expose(self.deployment.limits.max_connections, &mut out);
+        if let Some(leader) = self.leadership.leader() {
+            expose_leader(leader, now, &mut out);
         }
         out.into_text()
     }
 
-    fn request_metrics(&self, out: &mut Exposition) {
-        out.header(MetricType::Gauge, "request_seconds", "Time to answer, by quantile.");
-        for (what, durations) in &self.latencies.0 {
-            for (quantile, seconds) in durations.quantiles() {
-                let quantile = quantile.to_string();
-                let labels = [("request", *what), ("quantile", quantile.as_str())];
-                out.sample("request_seconds", &labels, seconds);
-            }
-        }
-        let counts = self.latencies.0.iter().map(|(what, durations)| (what, durations.count()));
-        out.family(MetricType::Counter, "requests_total", "Requests answered.", "request", counts);
-    }
-
-    fn node_metrics(&self, now: f64, out: &mut Exposition) {
-        let leading = f64::from(u8::from(self.leader.is_some()));
-        out.gauge("leading", "Whether this node leads.", leading);
-        out.gauge("token", "The fencing token.", self.store.highest_token as f64);
-        let takeovers = self.leadership as f64;
+    fn expose_node(&self, now: f64, out: &mut Exposition) {
+        let is_leading = f64::from(u8::from(self.leadership.is_leading()));
+        out.gauge("leading", "Whether this node leads.", is_leading);
+        out.gauge("token", "The fencing token.", self.store.view.highest_token as f64);
+        let takeovers = self.leadership.count() as f64;
         out.counter("takeovers_total", "Times that this node began to lead.", takeovers);
-        if let Some(contact) = self.last_store_contact {
+        if let Some(contact) = self.store.last_contact() {
             let help = "Age of the last contact to the state service.";
             out.gauge("state_contact_seconds", help, now - contact);
         }
-        let requests = self.store_requests as f64;
+        let requests = self.calls.store_requests() as f64;
         out.counter("state_requests_total", "Requests to the state service.", requests);
-        let writes = self.store_writes as f64;
+        let writes = self.calls.store_writes() as f64;
         out.counter("state_writes_total", "Puts and deletes asked for.", writes);
-        let waiting = self.user_queue.len() as f64;
-        out.gauge("waiting_requests", "Requests that wait for the store.", waiting);
-    }
-
-    fn process_metrics(&self, out: &mut Exposition) {
-        let ProcessMetrics { rounds, sockets } = &self.process;
-        out.header(MetricType::Summary, "round_seconds", "Time that a round of decisions takes.");
-        for (quantile, seconds) in rounds.quantiles() {
-            out.sample("round_seconds", &[("quantile", &quantile.to_string())], seconds);
-        }
-        out.sample("round_seconds_sum", &[], rounds.sum_s());
-        out.sample("round_seconds_count", &[], rounds.count());
-        out.gauge("round_seconds_max", "Longest round since the process began.", rounds.max_s());
-        let uses = [
-            ("users", sockets.users),
-            ("workers", sockets.workers),
-            ("unknown", sockets.unknown),
-            ("calls", sockets.calls),
-            ("mesh", sockets.mesh),
-        ];
-        let uses = uses.map(|(name, count)| (name, count as f64));
-        out.family(MetricType::Gauge, "sockets", "Connections held, by use.", "use", uses);
-        let limit = self.deployment.limits.max_connections as f64;
-        out.gauge("sockets_limit", "Connections that the process may hold.", limit);
+        let queued = self.user_requests.len() as f64;
+        out.gauge("waiting_requests", "Requests that wait for the store.", queued);
     }
 }
 
 /// What only a leader knows.
-fn leader_metrics(leader: &Leader, now: f64, out: &mut Exposition) {
-    let counts = leader.counters();
+fn expose_leader(leader: &Leader, now: f64, out: &mut Exposition) {
+    expose_leader_counters(leader, out);
+    let states = machines_by_state(leader, now);
+    let states = states.into_iter().map(|(state, count)| (state, f64::from(count)));
+    out.family(MetricType::Gauge, "machines", "Machines by state.", "state", states);
+    let oldest_s = leader.oldest_job_s(now).unwrap_or(0.0);
+    out.gauge("oldest_job_seconds", "Age of the oldest unfinished job.", oldest_s);
+    let segments = leader.log_segments() as f64;
+    out.gauge("log_segments", "Segments of the leader's log in use.", segments);
+    let backlog = leader.backlog();
+    out.gauge("open_jobs", "Unfinished jobs.", backlog.jobs as f64);
+    out.gauge("waiting_tasks", "Tasks on no machine.", backlog.pending_tasks as f64);
+}
+
+fn expose_leader_counters(leader: &Leader, out: &mut Exposition) {
+    let counters = leader.counters();
     for (name, help, value) in [
-        ("rounds_total", "Rounds of decisions.", counts.scheduling_cycles),
+        ("rounds_total", "Rounds of decisions.", counters.scheduling_cycles),
         (
             "machines_looked_at_total",
             "Times that placing looked at a machine.",
-            counts.machines_examined,
+            counters.machines_examined,
         ),
-        ("commits_total", "Commits of the leader.", counts.commits),
-        ("commit_writes_total", "Writes in them; by commits, the batch size.", counts.writes),
-        ("task_starts_total", "Task starts committed.", counts.starts),
-        ("task_restarts_total", "Tasks started anew for slowness.", counts.restarts),
-        ("preemptions_total", "Tasks stopped to make room.", counts.preemptions),
-        ("task_failures_total", "Tasks that failed.", counts.failures),
-        ("machines_rented_total", "Machines rented.", counts.rented),
-        ("machines_deleted_total", "Machines deleted.", counts.deleted),
+        ("commits_total", "Commits of the leader.", counters.commits),
+        ("commit_writes_total", "Writes in them; by commits, the batch size.", counters.writes),
+        ("task_starts_total", "Task starts committed.", counters.starts),
+        ("task_restarts_total", "Tasks started anew for slowness.", counters.restarts),
+        ("preemptions_total", "Tasks stopped to make room.", counters.preemptions),
+        ("task_failures_total", "Tasks that failed.", counters.failures),
+        ("machines_rented_total", "Machines rented.", counters.rented),
+        ("machines_deleted_total", "Machines deleted.", counters.deleted),
     ] {
         out.counter(name, help, value as f64);
     }
-    let spend = [
-        ("boot", counts.cost.boot),
-        ("idle", counts.cost.idle),
-        ("gaps", counts.cost.gaps),
-        ("waiting", counts.cost.waiting),
-        ("running", counts.cost.running),
+    let cost = [
+        ("boot", counters.cost.boot),
+        ("idle", counters.cost.idle),
+        ("gaps", counters.cost.gaps),
+        ("waiting", counters.cost.waiting),
+        ("running", counters.cost.running),
     ];
     let help = "Estimate of the money spent since this node leads.";
-    out.family(MetricType::Counter, "spend_estimate", help, "on", spend);
-    let mut states: BTreeMap<String, f64> = BTreeMap::new();
-    for machine in leader.machine_status(now) {
-        *states.entry(machine.state).or_default() += 1.0;
-    }
-    out.family(MetricType::Gauge, "machines", "Machines by state.", "state", states);
-    let oldest_s = leader.oldest_job_s(now).unwrap_or(0.0);
-    out.gauge("oldest_job_seconds", "Age of the oldest unfinished job.", oldest_s);
-    let segments = leader.log_segments() as f64;
-    out.gauge("log_segments", "Segments of the leader's log in use.", segments);
-    let backlog = leader.backlog();
-    out.gauge("open_jobs", "Unfinished jobs.", backlog.jobs as f64);
-    out.gauge("waiting_tasks", "Tasks on no machine.", backlog.pending_tasks as f64);
+    out.family(MetricType::Counter, "spend_estimate", help, "on", cost);
 }
--- a/crates/gladekeel-controller/src/node/peers.rs
+++ b/crates/gladekeel-controller/src/node/peers.rs
@@ -1,174 +1,369 @@
-//! What controllers tell one another.
+//! The other controllers: what is known of them, and the frames that are exchanged with them.
+//!
+//! Peers tell one another about once a second how they are, and pass on what should not wait for
+//! the next read of the store. Everything here is a hint that makes reactions faster; no rule of
+//! `docs/safety.md` depends on that a frame arrives.
 
-use super::{Action, COUNTS_S, HELLO_S, Node, Peer};
+use super::{Action, Node};
 use crate::store_view::JobProgress;
 use gladekeel_wire::{
     JobId,
-    mesh::{self, FrameHeader, FrameKind, PeerHeartbeat},
+    mesh::{self, FrameHeader, FrameKind, PROTOCOL_LEVEL, PeerHeartbeat},
+    settings::Settings,
 };
 use zerocopy::{FromBytes, IntoBytes};
 
-impl Node {
-    /// Another node that leads: as the store says, or, when it cannot be asked, as the
-    /// other controllers do.
-    pub(super) fn leader_elsewhere(&self, now: f64) -> Option<&str> {
-        let heard = |peer: &&Peer| peer.last_seen.is_some_and(|at| now - at < HELLO_S);
-        let told = self
+/// Time between heartbeats to each peer.
+const HEARTBEAT_INTERVAL_S: f64 = 1.0;
+/// A peer is reachable for this long after its last heartbeat.
+const REACHABLE_AFTER_HEARTBEAT_S: f64 = 3.0;
+/// Time between publications of job progress.
+const PROGRESS_INTERVAL_S: f64 = 1.0;
+/// How long a cancellation that a peer has reported is kept. By then its tasks are gone, or the
+/// store has shown it; one that the store never shows was no job of this deployment.
+const PENDING_CANCELLATION_TTL_S: f64 = 300.0;
+/// The protocol level from which peers accept [`FrameKind::Cancellations`].
+const CANCELLATIONS_LEVEL: u16 = 1;
+/// The age of a contact with the store that never happened.
+const NO_STORE_CONTACT_MS: u32 = u32::MAX;
+
+/// What this node knows of another controller.
+#[derive(Debug, Clone, Default)]
+pub(super) struct Peer {
+    pub name: String,
+    /// The zone of the controller, from the settings.
+    pub zone: String,
+    /// When its last heartbeat arrived.
+    pub last_seen: Option<f64>,
+    /// Age of its last contact with the store at its last heartbeat.
+    pub store_contact_age_ms: u32,
+    /// The token under which it leads, or 0.
+    leader_token: u64,
+    /// What its version understands; see [`PROTOCOL_LEVEL`].
+    protocol_level: u16,
+    /// The number that its process drew at its start, or 0 from versions without it.
+    incarnation: u64,
+}
+
+impl Peer {
+    /// Whether its last heartbeat arrived less than `age_s` ago.
+    pub fn was_seen_within(&self, now: f64, age_s: f64) -> bool {
+        self.last_seen.is_some_and(|last_seen| now - last_seen < age_s)
+    }
+
+    /// Whether it is reachable, as far as heartbeats show.
+    pub fn is_reachable(&self, now: f64) -> bool {
+        self.was_seen_within(now, REACHABLE_AFTER_HEARTBEAT_S)
+    }
+
+    /// Whether its version understands what was introduced with a protocol level.
+    pub fn has_level(&self, level: u16) -> bool {
+        self.protocol_level >= level
+    }
+
+    /// Age of its last contact with the store at its last heartbeat, in seconds; `None` if
+    /// there was no contact or no heartbeat.
+    pub fn store_contact_age_s(&self) -> Option<f64> {
+        let has_contact =
+            self.store_contact_age_ms != NO_STORE_CONTACT_MS && self.last_seen.is_some();
+        has_contact.then(|| f64::from(self.store_contact_age_ms) / 1000.0)
+    }
+}
+
+/// All other controllers of the deployment. Peers are numbered as in the settings.
+#[derive(Debug)]
+pub(super) struct Peers {
+    peers: Vec<Peer>,
+    /// The names of all nodes, sorted: frames name their sender by its index here.
+    node_names: Vec<String>,
+    /// This node's index in `node_names`.
+    node_index: u32,
+    last_heartbeat_at: f64,
+    last_progress_at: f64,
+    /// A peer has restarted since progress was last published.
+    has_restarted_peer: bool,
+}
+
+impl Peers {
+    /// The peers of the settings, none of which has been seen yet.
+    pub fn new(settings: &Settings) -> Peers {
+        let peers = settings.peers.iter().map(|peer| Peer {
+            name: peer.node.clone(),
+            zone: peer.zone.clone(),
+            ..Peer::default()
+        });
+        let mut node_names: Vec<String> =
+            settings.peers.iter().map(|peer| peer.node.clone()).collect();
+        node_names.push(settings.node.clone());
+        node_names.sort_unstable();
+        let node_index = node_names.iter().position(|name| *name == settings.node);
+        Peers {
+            peers: peers.collect(),
+            node_index: node_index.unwrap_or(0) as u32,
+            node_names,
+            last_heartbeat_at: 0.0,
+            last_progress_at: 0.0,
+            has_restarted_peer: false,
+        }
+    }
+
+    /// Whether this node is the only controller.
+    pub fn is_empty(&self) -> bool {
+        self.peers.is_empty()
+    }
+
+    /// All peers in the order of the settings.
+    pub fn iter(&self) -> impl Iterator<Item = &Peer> {
+        self.peers.iter()
+    }
+
+    /// A peer by its index.
+    pub fn get(&self, peer: usize) -> &Peer {
+        &self.peers[peer]
+    }
+
+    /// The index of the peer with this name.
+    pub fn index_of(&self, name: &str) -> Option<usize> {
+        self.peers.iter().position(|peer| peer.name == name)
+    }
+
+    /// The index of the peer that sent a frame; `None` if the sender is no peer.
+    fn sender_of(&self, header: &FrameHeader) -> Option<usize> {
+        self.index_of(self.node_names.get(header.sender.get() as usize)?)
+    }
+
+    /// The reachable peer that leads under the highest token above this one, if any does.
+    fn leader_above(&self, now: f64, token: u64) -> Option<&str> {
+        let leaders = self
             .peers
             .iter()
-            .filter(heard)
-            .filter(|peer| peer.leader_token > self.store.highest_token);
-        let told = told.max_by_key(|peer| peer.leader_token).map(|peer| peer.name.as_str());
-        let stored = self.store.leader.as_ref().map(|(record, _)| record.node.as_str());
-        told.or(
-            stored.filter(|node| self.has_fresh_store_contact(now) && *node != self.settings.node)
-        )
+            .filter(|peer| peer.is_reachable(now))
+            .filter(|peer| peer.leader_token > token);
+        leaders.max_by_key(|peer| peer.leader_token).map(|peer| peer.name.as_str())
     }
 
-    pub(super) fn send(
+    /// The zones of all reachable peers.
+    pub fn reachable_zones(&self, now: f64) -> Vec<&str> {
+        let reachable = self.peers.iter().filter(|peer| peer.is_reachable(now));
+        reachable.map(|peer| peer.zone.as_str()).collect()
+    }
+
+    fn record_heartbeat(
         &mut self,
+        now: f64,
         peer: usize,
-        kind: FrameKind,
-        status: u16,
-        call: u64,
-        payload: &[u8],
+        header: &FrameHeader,
+        heartbeat: &PeerHeartbeat,
     ) {
-        let header = FrameHeader::new(kind, status, call, self.node_index, payload.len());
+        let peer = &mut self.peers[peer];
+        let incarnation = header.correlation_id.get();
+        // A new process knows no progress, and would show a running job as queued until the
+        // job's next change.
+        self.has_restarted_peer |= peer.incarnation != incarnation;
+        peer.last_seen = Some(now);
+        peer.store_contact_age_ms = heartbeat.store_contact_age_ms.get();
+        peer.leader_token = heartbeat.leader_token.get();
+        peer.protocol_level = header.status.get();
+        peer.incarnation = incarnation;
+    }
+}
+
+/// A message to a peer, before it is framed.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PeerMessage<'a> {
+    pub kind: FrameKind,
+    /// The status of a response, or the protocol level of a heartbeat.
+    pub status: u16,
+    /// Pairs a response with its request, or names the incarnation in a heartbeat.
+    pub correlation_id: u64,
+    pub payload: &'a [u8],
+}
+
+impl<'a> PeerMessage<'a> {
+    /// A message that needs no response.
+    pub fn one_way(kind: FrameKind, payload: &'a [u8]) -> PeerMessage<'a> {
+        PeerMessage { kind, status: 0, correlation_id: 0, payload }
+    }
+}
+
+impl Node {
+    /// Another node that leads: as the store shows, or, while it is out of reach, as the peers
+    /// report.
+    pub(super) fn other_leader(&self, now: f64) -> Option<&str> {
+        let view = &self.store.view;
+        let reported = self.peers.leader_above(now, view.highest_token);
+        let stored = view.leader.as_ref().map(|(record, _)| record.node.as_str());
+        reported
+            .or(stored
+                .filter(|name| self.store.has_fresh_contact(now) && *name != self.settings.node))
+    }
+
+    /// Sends a message to a peer.
+    pub(super) fn send_to_peer(&mut self, peer: usize, message: PeerMessage<'_>) {
+        let PeerMessage { kind, status, correlation_id, payload } = message;
+        let sender = self.peers.node_index;
+        let header = FrameHeader::new(kind, status, correlation_id, sender, payload.len());
         let mut frame = header.as_bytes().to_vec();
         frame.extend_from_slice(payload);
         self.actions.push(Action::SendToPeer { peer, frame });
     }
 
-    pub(super) fn nudge(&mut self) {
-        let leader = self.store.leader.as_ref().map(|(record, _)| record.node.clone());
-        let peer = leader.and_then(|name| self.peers.iter().position(|peer| peer.name == name));
-        if let Some(peer) = peer {
-            self.send(peer, FrameKind::StoreChanged, 0, 0, &[]);
+    fn send_to_all_peers(&mut self, message: PeerMessage<'_>) {
+        for peer in 0..self.peers.peers.len() {
+            self.send_to_peer(peer, message);
+        }
+    }
+
+    /// Tells the leader, if that is another node, that it should read the store soon.
+    pub(super) fn notify_leader_of_store_change(&mut self) {
+        let leader = self.store.view.leader.as_ref();
+        if let Some(peer) = leader.and_then(|(record, _)| self.peers.index_of(&record.node)) {
+            self.send_to_peer(peer, PeerMessage::one_way(FrameKind::StoreChanged, &[]));
         }
     }
 
     /// Applies a frame that another controller has sent.
-    pub(super) fn on_mesh(
+    pub(super) fn on_peer_frame(
         &mut self,
         now: f64,
         header: &FrameHeader,
         kind: FrameKind,
         payload: &[u8],
     ) {
-        let Some(name) = self.node_at(header.sender.get()) else { return };
-        let Some(peer) = self.peers.iter().position(|peer| peer.name == name) else { return };
+        let Some(peer) = self.peers.sender_of(header) else { return };
         match kind {
-            FrameKind::StoreChanged => self.store_reads.wanted = true,
-            FrameKind::PeerHeartbeat => self.on_hello(now, peer, header, payload),
-            FrameKind::RelayedHeartbeat => self.on_relay(now, peer, header, payload),
-            FrameKind::RelayedResponse => self.on_relayed(now, header, payload),
-            FrameKind::JobProgress => self.on_counts(&name, payload),
-            FrameKind::Cancellations => self.on_cancellations(payload),
+            FrameKind::StoreChanged => self.store.request_read(),
+            FrameKind::PeerHeartbeat => self.on_peer_heartbeat(now, peer, header, payload),
+            FrameKind::RelayedHeartbeat => self.on_relayed_heartbeat(now, peer, header, payload),
+            FrameKind::RelayedResponse => self.on_relayed_response(now, header, payload),
+            FrameKind::JobProgress => self.on_job_progress(peer, payload),
+            FrameKind::Cancellations => self.on_peer_cancellations(payload),
         }
     }
 
-    /// The name of the node that has an index among all of them, by the order of names.
-    fn node_at(&self, index: u32) -> Option<String> {
-        let mut names: Vec<&str> = self.settings.peers.iter().map(|p| p.node.as_str()).collect();
-        names.push(&self.settings.node);
-        names.sort_unstable();
-        names.get(index as usize).map(|name| (*name).to_owned())
+    fn on_peer_heartbeat(&mut self, now: f64, peer: usize, header: &FrameHeader, payload: &[u8]) {
+        let Ok(heartbeat) = PeerHeartbeat::read_from_bytes(payload) else { return };
+        self.peers.record_heartbeat(now, peer, header, &heartbeat);
+        let peer = self.peers.get(peer);
+        if self.leadership.step_down_if_superseded(&peer.name, peer.leader_token) {
+            self.store.request_read();
+        }
     }
 
-    fn on_hello(&mut self, now: f64, peer: usize, header: &FrameHeader, payload: &[u8]) {
-        let Ok(hello) = PeerHeartbeat::read_from_bytes(payload) else { return };
-        let peer = &mut self.peers[peer];
-        peer.last_seen = Some(now);
-        peer.store_contact_age_ms = hello.store_contact_age_ms.get();
-        peer.leader_token = hello.leader_token.get();
-        peer.protocol_level = header.status.get();
-        // It knows no counts, and would show a running job as queued until the job's next
-        // change.
-        self.peer_restarted |= peer.incarnation != header.correlation_id.get();
-        peer.incarnation = header.correlation_id.get();
-        // A leader that the state service no longer answers learns here that another one
-        // leads; to stop early is always safe.
-        if self.leader.as_ref().is_some_and(|leader| leader.token < hello.leader_token.get()) {
-            tracing::warn!(by = peer.name, "another node leads: no longer leading");
-            self.leader = None;
-            self.store_reads.wanted = true;
-        }
-    }
-
-    fn on_counts(&mut self, sender: &str, payload: &[u8]) {
-        let leader = self.store.leader.as_ref();
-        if leader.is_none_or(|(record, _)| record.node != sender) {
+    fn on_job_progress(&mut self, sender: usize, payload: &[u8]) {
+        let sender = &self.peers.get(sender).name;
+        let view = &mut self.store.view;
+        if view.leader.as_ref().is_none_or(|(record, _)| record.node != *sender) {
             return;
         }
         for (id, done, running) in mesh::decode_job_progress(payload).unwrap_or_default() {
-            // Jobs that this node has not heard of yet are told again.
-            if self.store.jobs.contains_key(&id) {
-                self.store.job_progress.insert(id, JobProgress { done, running });
+            // The leader publishes again the progress of jobs that are not in this view yet.
+            if view.jobs.contains_key(&id) {
+                view.job_progress.insert(id, JobProgress { done, running });
             }
         }
     }
 
-    fn on_cancellations(&mut self, payload: &[u8]) {
-        // The frame may have been held back, but the last reading that was answered did not
-        // tell of it.
-        let after = self.last_store_contact.unwrap_or(f64::NEG_INFINITY);
+    fn on_peer_cancellations(&mut self, payload: &[u8]) {
+        // The frame may have been delayed, but the last read did not show the cancellation, so
+        // it was committed after that read was sent.
+        let not_before = self.store.last_contact_or_never();
         for id in mesh::decode_job_ids(payload).unwrap_or_default() {
-            self.call_off(&id, after);
+            self.apply_pending_cancellation(&id, not_before);
         }
-        self.store_reads.wanted = true;
+        self.store.request_read();
     }
 
-    /// A job's cancellation is committed, some time after `after`; the store has not told
-    /// of it yet, and may not for long.
-    pub(super) fn call_off(&mut self, id: &JobId, after: f64) {
-        if self.store.final_states.contains_key(id) {
+    /// Notes that a job's cancellation has been committed, no earlier than `not_before`. The
+    /// store has not shown it yet, and may not for long.
+    pub(super) fn apply_pending_cancellation(&mut self, id: &JobId, not_before: f64) {
+        let view = &mut self.store.view;
+        if view.final_states.contains_key(id) {
             return;
         }
-        self.store.pending_cancellations.insert(id.clone(), after);
-        if let Some(leader) = &mut self.leader {
-            leader.apply_pending_cancellation(id, after);
+        view.pending_cancellations.insert(id.clone(), not_before);
+        if let Some(leader) = self.leadership.leader_mut() {
+            leader.apply_pending_cancellation(id, not_before);
         }
     }
 
-    /// Tells the other controllers of cancellations that were committed here. A leader
-    /// that the state service refuses stops the jobs' tasks at once instead of letting
-    /// them run out with their leases; no bound depends on that it hears.
+    /// Forgets cancellations that the store has never shown.
+    fn expire_pending_cancellations(&mut self, now: f64) {
+        let pending = &mut self.store.view.pending_cancellations;
+        pending.retain(|_, not_before| now - *not_before < PENDING_CANCELLATION_TTL_S);
+    }
+
+    /// Sends the cancellations that were committed here to all peers.
+    ///
+    /// A leader that the store refuses then stops the jobs' tasks at once, rather than letting
+    /// them end with their leases.
     pub(super) fn publish_cancellations(&mut self, now: f64, ids: &[JobId]) {
         if ids.is_empty() {
             return;
         }
         let payload = mesh::encode_job_ids(ids.iter());
-        for peer in 0..self.peers.len() {
-            // One that has not been heard of late may come back as the version before.
-            let heard = self.peers[peer].last_seen.is_some_and(|at| now - at < HELLO_S);
-            if heard && self.peers[peer].protocol_level >= 1 {
-                self.send(peer, FrameKind::Cancellations, 0, 0, &payload);
+        for index in 0..self.peers.peers.len() {
+            // A peer that has not been seen of late may come back as an earlier version, which
+            // would end the connection over the unknown frame.
+            let peer = self.peers.get(index);
+            if peer.is_reachable(now) && peer.has_level(CANCELLATIONS_LEVEL) {
+                let message = PeerMessage::one_way(FrameKind::Cancellations, &payload);
+                self.send_to_peer(index, message);
             }
         }
     }
 
-    /// Tells the other controllers how far jobs are, for display.
-    pub(super) fn publish_counts(&mut self, now: f64) {
-        if now - self.counts_at < COUNTS_S {
+    /// Sends the progress of jobs to all peers, for display. Only a leader knows it.
+    pub(super) fn publish_job_progress(&mut self, now: f64) {
+        if now - self.peers.last_progress_at < PROGRESS_INTERVAL_S {
             return;
         }
-        self.counts_at = now;
-        let peer_restarted = std::mem::take(&mut self.peer_restarted);
-        let Some(leader) = &mut self.leader else { return };
+        self.peers.last_progress_at = now;
+        let has_restarted_peer = std::mem::take(&mut self.peers.has_restarted_peer);
+        let Some(leader) = self.leadership.leader_mut() else { return };
         let changed = leader.take_changed_progress();
-        for (id, counts) in &changed {
-            self.store.job_progress.insert(id.clone(), *counts);
+        let all = &mut self.store.view.job_progress;
+        for (id, progress) in &changed {
+            all.insert(id.clone(), *progress);
         }
-        let told: Vec<(&JobId, &JobProgress)> = if peer_restarted {
-            self.store.job_progress.iter().collect()
+        let published: Vec<(&JobId, &JobProgress)> = if has_restarted_peer {
+            all.iter().collect()
         } else {
-            changed.iter().map(|(id, counts)| (id, counts)).collect()
+            changed.iter().map(|(id, progress)| (id, progress)).collect()
         };
-        let rows = told.into_iter().map(|(id, counts)| (id, counts.done, counts.running));
+        let rows =
+            published.into_iter().map(|(id, progress)| (id, progress.done, progress.running));
         for payload in mesh::encode_job_progress(rows) {
-            for peer in 0..self.peers.len() {
-                self.send(peer, FrameKind::JobProgress, 0, 0, &payload);
-            }
+            self.send_to_all_peers(PeerMessage::one_way(FrameKind::JobProgress, &payload));
+        }
+    }
+
+    /// Sends a heartbeat to all peers, if it is due.
+    pub(super) fn send_peer_heartbeats(&mut self, now: f64) {
+        if now - self.peers.last_heartbeat_at < HEARTBEAT_INTERVAL_S {
+            return;
+        }
+        self.peers.last_heartbeat_at = now;
+        let contact_age_ms = self
+            .store
+            .last_contact()
+            .map_or(NO_STORE_CONTACT_MS, |contact| ((now - contact) * 1000.0) as u32);
+        let leader_token = self.leadership.leader().map_or(0, |leader| leader.token);
+        let heartbeat = PeerHeartbeat {
+            store_contact_age_ms: contact_age_ms.into(),
+            leader_token: leader_token.into(),
+        };
+        for peer in 0..self.peers.peers.len() {
+            // Versions without a protocol level get no incarnation either.
+            let has_level = self.peers.get(peer).has_level(1);
+            let message = PeerMessage {
+                kind: FrameKind::PeerHeartbeat,
+                status: PROTOCOL_LEVEL,
+                correlation_id: if has_level { self.leadership.incarnation() } else { 0 },
+                payload: heartbeat.as_bytes(),
+            };
+            self.send_to_peer(peer, message);
         }
+        self.expire_pending_cancellations(now);
     }
 }
--- a/crates/gladekeel-controller/src/node/store_reads/mod.rs
+++ b/crates/gladekeel-controller/src/node/store_reads/mod.rs
@@ -1,3 +1,222 @@
-//! Reads of the store.
+//! Linearizable reads of the store, and the view that they keep up to date.
+//!
+//! A read brings the local replica up to some revision after the read was sent. It therefore
+//! serves as the read barrier of every request that arrived before it was sent, and the time at
+//! which it was sent counts as the last contact with the store. `docs/safety.md` bounds by that
+//! time for how long this node may renew workers' leases: the time of the answer would be too
+//! late, since a slow answer does not show what has happened since the read.
 
-pub(super) mod scheduler;
+mod scheduler;
+
+pub(super) use scheduler::OVERTAKE_AFTER_S;
+
+use super::{Node, jittered_backoff_until, outgoing_calls::StoreCallPurpose};
+use crate::{
+    keys,
+    runtime_settings::RuntimeSettings,
+    store_view::{ChangeKind, StoreView},
+};
+use gladekeel_store::{Change, Replica, StoreOutcome, StoreRequest};
+use gladekeel_wire::{
+    settings::WorkerTimings,
+    store::{KeyValuePage, WatchResponse},
+};
+use scheduler::{ReadDemand, ReadScheduler};
+
+/// Time between reads of a leader that nobody asked for.
+const LEADER_READ_INTERVAL_S: f64 = 0.25;
+/// Time between reads of a follower that nobody asked for.
+const FOLLOWER_READ_INTERVAL_S: f64 = 0.4;
+/// Without contact for this long, the view of the store is stale.
+const FRESH_CONTACT_S: f64 = 2.5;
+/// Kept back from the deadline of cancellations, for clocks that drift and for answers in
+/// flight.
+const LEASE_SAFETY_MARGIN_S: f64 = 3.0;
+/// Pause after reads have failed.
+const FAILURE_BACKOFF_S: f64 = 0.25;
+
+/// The local copy of the store and the contact that keeps it fresh.
+#[derive(Debug, Default)]
+pub(super) struct StoreReads {
+    replica: Replica,
+    /// The typed view of the replica.
+    pub view: StoreView,
+    scheduler: ReadScheduler,
+    /// When the last read that was answered was sent.
+    last_contact: Option<f64>,
+    is_unreachable: bool,
+}
+
+impl StoreReads {
+    /// Asks for a read soon: something may have changed, or somebody waits for it.
+    pub fn request_read(&mut self) {
+        self.scheduler.request();
+    }
+
+    /// Whether the replica is complete as of some revision.
+    pub fn is_loaded(&self) -> bool {
+        self.replica.revision().is_some()
+    }
+
+    /// Whether requests that need the store can be served at the moment.
+    pub fn is_available(&self) -> bool {
+        !self.is_unreachable && self.is_loaded()
+    }
+
+    /// The version of a key in the replica; 0 if it does not exist.
+    pub fn version(&self, key: &str) -> u64 {
+        self.replica.version(key)
+    }
+
+    /// When the last read that was answered was sent.
+    pub fn last_contact(&self) -> Option<f64> {
+        self.last_contact
+    }
+
+    /// The last contact, or a time before every other one if there was none.
+    pub fn last_contact_or_never(&self) -> f64 {
+        self.last_contact.unwrap_or(f64::NEG_INFINITY)
+    }
+
+    /// Whether the view is recent enough to act on.
+    pub fn has_fresh_contact(&self, now: f64) -> bool {
+        self.last_contact.is_some_and(|contact| now - contact < FRESH_CONTACT_S)
+    }
+
+    /// Whether workers' leases may be renewed: see `docs/safety.md`, "Keeping leases alive".
+    pub fn may_renew_leases(&self, now: f64, workers: &WorkerTimings) -> bool {
+        let max_age_s = workers.cancellation_deadline_s - workers.lease_s - LEASE_SAFETY_MARGIN_S;
+        self.last_contact.is_some_and(|contact| now - contact < max_age_s)
+    }
+
+    fn record_contact(&mut self, sent_at: f64) {
+        // A read that was overtaken may be answered after a later one.
+        self.last_contact = Some(self.last_contact.map_or(sent_at, |contact| contact.max(sent_at)));
+        self.is_unreachable = false;
+        self.scheduler.on_success();
+    }
+
+    /// The request that continues a load, or follows the store's changes once it is loaded.
+    fn next_request(&self) -> StoreRequest {
+        let prefix = keys::REPLICATED_PREFIX.to_owned();
+        match self.replica.revision() {
+            Some(since) => StoreRequest::Watch { prefix, since },
+            None => StoreRequest::List { prefix, after: self.replica.next_page_after() },
+        }
+    }
+}
+
+impl Node {
+    /// Sends a read if one is due.
+    pub(super) fn send_store_read(&mut self, now: f64) {
+        let demand = ReadDemand {
+            has_pending_requests: self.user_requests.has_pending_reads(),
+            is_loaded: self.store.is_loaded(),
+            idle_interval_s: if self.leadership.is_leading() {
+                LEADER_READ_INTERVAL_S
+            } else {
+                FOLLOWER_READ_INTERVAL_S
+            },
+        };
+        if !self.store.scheduler.is_due(now, demand)
+            || !self.rate_limits.requests.try_take(now, 1.0)
+        {
+            return;
+        }
+        self.store.scheduler.on_sent(now);
+        let request = self.store.next_request();
+        self.call_store(now, StoreCallPurpose::Read, request);
+    }
+
+    /// Applies the outcome of a read that was sent at `sent_at`.
+    pub(super) fn on_read_outcome(&mut self, now: f64, sent_at: f64, outcome: StoreOutcome) {
+        self.store.scheduler.on_finished();
+        match outcome {
+            StoreOutcome::Page(page) => self.on_snapshot_page(now, page),
+            StoreOutcome::Watched(events) => self.on_watch_response(now, sent_at, events),
+            StoreOutcome::Compacted => self.on_compacted(),
+            StoreOutcome::RateLimited => {
+                self.store.scheduler.back_off_until(jittered_backoff_until(now, &mut self.rng));
+                self.store.request_read();
+            }
+            outcome => self.on_read_failure(now, &outcome),
+        }
+    }
+
+    fn on_snapshot_page(&mut self, now: f64, page: KeyValuePage) {
+        let changes = self.store.replica.apply_page(page);
+        self.apply_store_changes(now, &changes);
+        self.store.request_read();
+    }
+
+    fn on_watch_response(&mut self, now: f64, sent_at: f64, events: WatchResponse) {
+        let changes = self.store.replica.apply_watch(events);
+        self.apply_store_changes(now, &changes);
+        if let Some(leader) = self.leadership.leader_mut() {
+            leader.suspend_scheduling(!self.store.view.unreadable.is_empty());
+        }
+        self.store.record_contact(sent_at);
+        self.leadership.follow_leader_key(now, self.store.view.leader.as_ref());
+        self.serve_pending_reads(now, sent_at);
+        self.answer_visible_writes(now);
+    }
+
+    /// The replica's revision is too old to follow from: it must be loaded again.
+    fn on_compacted(&mut self) {
+        // A second answer of this sort must not interrupt a load that is in progress.
+        if self.store.is_loaded() {
+            self.store.replica.invalidate();
+        }
+        self.store.request_read();
+    }
+
+    fn on_read_failure(&mut self, now: f64, outcome: &StoreOutcome) {
+        // A slow answer is no outage; a refusal is, and so are several without an answer.
+        let is_outage = self.store.scheduler.on_failure();
+        if *outcome == StoreOutcome::Unknown && !is_outage {
+            return;
+        }
+        self.store.is_unreachable = true;
+        self.store.scheduler.back_off_until(now + FAILURE_BACKOFF_S);
+        for request in self.user_requests.take_all() {
+            self.reply_retry_later(now, request, "the state service cannot be reached");
+        }
+    }
+
+    fn apply_store_changes(&mut self, now: f64, changes: &[Change]) {
+        // The previous read did not show these changes, so they were made after it was sent.
+        let not_before = self.store.last_contact_or_never();
+        for change in changes {
+            let changed = self.store.view.apply(change, not_before);
+            self.on_store_change(now, change, changed);
+        }
+    }
+
+    fn on_store_change(&mut self, now: f64, change: &Change, changed: ChangeKind) {
+        if changed == ChangeKind::Options {
+            self.runtime_settings = self.stored_runtime_settings();
+        }
+        let view = &self.store.view;
+        let Some(leader) = self.leadership.leader_mut() else { return };
+        match changed {
+            ChangeKind::Job(id) if change.current.is_some() => leader.add_job(view, &id, now),
+            ChangeKind::Job(id) => leader.forget_job(&id),
+            ChangeKind::FinalState(id) => leader.apply_final_state(view, &id),
+            ChangeKind::Drain(machine) => leader.apply_drain(view, &machine),
+            ChangeKind::Options | ChangeKind::Other => {}
+        }
+    }
+
+    /// The runtime settings as stored, or the defaults if they are out of range. Settings that
+    /// only a later version knows are left out.
+    fn stored_runtime_settings(&self) -> RuntimeSettings {
+        let defaults = RuntimeSettings::new(&self.deployment.workers);
+        let known = defaults.values();
+        let stored = self.store.view.options.iter();
+        let stored = stored
+            .filter(|(name, _)| known.contains_key(*name))
+            .map(|(name, value)| (name.clone(), *value))
+            .collect();
+        defaults.with(&stored).unwrap_or(defaults)
+    }
+}
--- a/crates/gladekeel-controller/src/node/user_requests/mod.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/mod.rs
@@ -1,446 +1,215 @@
-//! What users ask for: accepted, cancelled, told.
-
-pub(super) mod queue;
-
-use super::admin_requests::AdminChange;
-use super::{
-    Continuation, MAX_USER_COMMITS, Node, OVERTAKE_S, PendingRequest, RequestId, StoreCallPurpose,
-    UserWrite, WAIT_S,
-};
+//! Users' requests: submissions, polls and cancellations.
+//!
+//! The way of a submission:
+//!
+//! 1. [`Node::on_submit`] parses it. A job that the store has a final state of is answered at
+//!    once, since final states never change.
+//! 2. A job that is known is answered after a read. Any other passes admission control and is
+//!    queued as a write.
+//! 3. [`Node::send_user_writes`] puts queued writes into one transaction, which creates each job
+//!    only if it neither exists nor has a final state.
+//! 4. [`Node::on_user_writes_outcome`] replies 201. After a conflict, or without an answer, the
+//!    request waits for a read, and [`Node::serve_pending_reads`] goes on by what the store shows.
+//! 5. The leader reads the new job from the store and schedules it.
+//!
+//! An answer about a job is only given after a read that was sent after the request arrived
+//! (the read barrier of `docs/safety.md`), or if the job's state is final.
+
+mod batch;
+mod pending_reads;
+mod queue;
+mod writes;
+
+pub(super) use queue::{Continuation, UserRequests};
+pub(super) use writes::{UserChange, UserWrite};
+
+use super::{Node, RequestId};
 use crate::{
     http_api::{Admission, Reply, check_admission},
-    keys,
     store_view::{JobProgress, StoreView},
 };
-use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_wire::{
     JobId,
     job::{JobSpec, JobState, JobStatus},
-    store::{Precondition, Transaction, Write},
 };
-use rand::Rng;
-use std::{collections::VecDeque, rc::Rc};
-
-/// How often a change is written before its user is told to come back.
-const MAX_TRIES: u32 = 3;
-/// Most bytes of users' changes in one transaction.
-const MAX_BATCH_BYTES: usize = 48 * 1024;
-/// What a change takes beside a job's description: keys, guards and punctuation.
-const CHANGE_BYTES: usize = 400;
+use queue::{JobContinuation, PendingRead};
+use std::rc::Rc;
+
+/// How long a user's request may wait for the store; users give up on a poll after 2 s.
+const REQUEST_TIMEOUT_S: f64 = 1.5;
+/// What the stored value of a job takes besides its specification, in bytes.
+const STORED_JOB_OVERHEAD_BYTES: usize = 100;
+/// A node whose last contact with the store is more recent than this is healthy.
+const HEALTHY_CONTACT_S: f64 = 3.0;
+/// Only peers that were seen within this time can excuse a node without contact.
+const HEALTH_PEER_SEEN_S: f64 = 2.5;
+/// A peer whose last contact is this old is no better off.
+const HEALTH_PEER_CONTACT_MS: u32 = 2500;
 
 impl Node {
-    /// Whether users should be sent here. Without contact to the state service this
-    /// node is of use only if the others are known to be no better off; one that hears
-    /// none of them cannot know.
-    pub(super) fn ready(&self, now: f64) -> bool {
-        if self.replica.revision().is_none() {
+    /// Whether users should be sent here. A node without contact to the store is of use only
+    /// if all peers that it hears from are no better off; one that hears from none of them
+    /// cannot know.
+    pub(super) fn is_healthy(&self, now: f64) -> bool {
+        if !self.store.is_loaded() {
             return false;
         }
-        if self.last_store_contact.is_some_and(|at| now - at < 3.0) || self.peers.is_empty() {
+        let has_contact =
+            self.store.last_contact().is_some_and(|contact| now - contact < HEALTHY_CONTACT_S);
+        if has_contact || self.peers.is_empty() {
             return true;
         }
-        let mut heard =
-            self.peers.iter().filter(|p| p.last_seen.is_some_and(|at| now - at < 2.5)).peekable();
-        heard.peek().is_some() && heard.all(|peer| peer.store_contact_age_ms >= 2500)
-    }
-
-    /// Makes a change for an operator, who is answered once it is made or not.
-    pub(crate) fn admin_write(
-        &mut self,
-        now: f64,
-        id: RequestId,
-        txn: Transaction,
-        change: AdminChange,
-    ) {
-        if self.overloaded(now, id) {
-            return;
-        }
-        self.rate_limits.user_writes.try_take(now, 1.0);
-        self.call_state(now, StoreCallPurpose::Admin(id, change), StoreRequest::Commit(txn));
+        let mut reachable =
+            self.peers.iter().filter(|peer| peer.was_seen_within(now, HEALTH_PEER_SEEN_S));
+        let mut reachable = reachable.by_ref().peekable();
+        reachable.peek().is_some()
+            && reachable.all(|peer| peer.store_contact_age_ms >= HEALTH_PEER_CONTACT_MS)
     }
 
-    pub(super) fn later(&mut self, now: f64, id: RequestId, what: &str) {
-        tracing::debug!(id, what, "told to come back");
-        self.reply(now, id, Reply::retry_later(1, what));
+    /// Asks a client to come back in a second.
+    pub(super) fn reply_retry_later(&mut self, now: f64, request: RequestId, reason: &str) {
+        tracing::debug!(request, reason, "request deferred");
+        self.reply(now, request, Reply::retry_later(1, reason));
     }
 
-    pub(crate) fn overloaded(&mut self, now: f64, id: RequestId) -> bool {
-        let over = self.user_queue.is_full();
-        if over {
-            tracing::debug!(id, "told to come back: too many requests are waiting");
-            self.reply(now, id, Reply::retry_later(2, "too many requests are waiting"));
-        } else if self.store_unreachable || self.replica.revision().is_none() {
-            // Known to be out of reach: said at once, rather than after a wait.
-            self.later(now, id, "the state service cannot be reached");
+    /// Asks the client to come back later if this request cannot be queued. Returns whether it
+    /// did.
+    pub(super) fn rejects_for_overload(&mut self, now: f64, request: RequestId) -> bool {
+        if self.user_requests.is_full() {
+            let reason = "too many requests are waiting";
+            tracing::debug!(request, reason, "request deferred");
+            self.reply(now, request, Reply::retry_later(2, reason));
+            return true;
+        }
+        // While an outage lasts, an immediate answer is better than one after a timeout.
+        if !self.store.is_available() {
+            self.reply_retry_later(now, request, "the state service cannot be reached");
             return true;
         }
-        over
+        false
     }
 
-    pub(crate) fn wait(
+    /// Queues a request until a read that is sent from now on.
+    pub(super) fn enqueue_for_read(
         &mut self,
         now: f64,
         request: RequestId,
-        id: Option<JobId>,
-        then: Continuation,
+        continuation: Continuation,
     ) {
-        self.user_queue.waiting.push(PendingRequest { request, id, since: now, from: now, then });
-        self.store_reads.wanted = true;
+        let pending = PendingRead { request, queued_at: now, not_before: now, continuation };
+        self.user_requests.push_read(pending);
+        self.store.request_read();
     }
 
-    pub(super) fn on_poll(&mut self, now: f64, request: RequestId, id: JobId) {
-        if let Some(status) = self.final_status(&id) {
-            self.reply(now, request, Reply::json(200, &status));
-        } else if !self.overloaded(now, request) {
-            self.wait(now, request, Some(id), Continuation::Poll);
-        }
+    fn enqueue_job_for_read(
+        &mut self,
+        now: f64,
+        request: RequestId,
+        id: JobId,
+        next: JobContinuation,
+    ) {
+        self.enqueue_for_read(now, request, Continuation::Job { id, next });
+    }
+
+    /// Replies with a job's state if that is final. Returns whether it did.
+    fn reply_if_final(&mut self, now: f64, request: RequestId, id: &JobId) -> bool {
+        let Some(status) = final_status(&self.store.view, id) else { return false };
+        self.reply(now, request, Reply::json(200, &status));
+        true
     }
 
-    /// A final state never changes, so it can be told without asking the store.
-    pub(super) fn final_status(&self, id: &JobId) -> Option<JobStatus> {
-        self.store.final_states.get(id)?;
-        job_status(&self.store, id)
+    /// Handles a poll of a job's state.
+    pub(super) fn on_poll(&mut self, now: f64, request: RequestId, id: JobId) {
+        if self.reply_if_final(now, request, &id) || self.rejects_for_overload(now, request) {
+            return;
+        }
+        self.enqueue_job_for_read(now, request, id, JobContinuation::Poll);
     }
 
+    /// Handles the submission of a job.
     pub(super) fn on_submit(&mut self, now: f64, request: RequestId, body: &[u8]) {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
             Err(error) => return self.reply(now, request, Reply::error(400, error.to_string())),
         };
-        let value = serde_json::to_vec(&spec).expect("wire types always serialise");
-        // Such a write would be refused together with everything in its batch.
-        let too_long = value.len() + 100 > (self.deployment.store.value_kb * 1024.0) as usize;
-        let id = spec.id.clone();
-        if let Some(status) = self.final_status(&id) {
-            return self.reply(now, request, Reply::json(200, &status));
-        }
-        if self.overloaded(now, request) {
-            return;
-        }
-        if self.store.jobs.contains_key(&id) {
-            return self.wait(now, request, Some(id), Continuation::Poll);
-        }
-        // A job that was accepted once is never refused later, so look first.
-        if too_long {
-            let then = Continuation::Refuse(400, "the description is too long".into());
-            return self.wait(now, request, Some(id), then);
-        }
-        match check_admission(&self.deployment, self.store.machine_types.all(), &spec) {
-            Admission::Rejected(why) => {
-                self.wait(now, request, Some(id), Continuation::Refuse(422, why));
-            }
-            Admission::Unknown => self.later(now, request, "machine types are not known yet"),
-            Admission::Accepted => {
-                let spec = Some(Rc::new(spec));
-                self.user_queue.writes.push_back(UserWrite {
-                    request,
-                    id,
-                    spec,
-                    since: now,
-                    tries: 0,
-                });
-            }
-        }
-    }
-
-    pub(super) fn on_cancel(&mut self, now: f64, request: RequestId, id: JobId) {
-        if let Some(status) = self.final_status(&id) {
-            return self.reply(now, request, Reply::json(200, &status));
-        }
-        if self.overloaded(now, request) {
+        if self.reply_if_final(now, request, &spec.id) || self.rejects_for_overload(now, request) {
             return;
         }
-        if self.store.jobs.contains_key(&id) {
-            self.user_queue.writes.push_back(UserWrite {
-                request,
-                id,
-                spec: None,
-                since: now,
-                tries: 0,
-            });
-        } else {
-            self.wait(now, request, Some(id), Continuation::Cancel { tries: 0 });
+        if self.store.view.jobs.contains_key(&spec.id) {
+            return self.enqueue_job_for_read(now, request, spec.id, JobContinuation::Poll);
         }
+        self.admit(now, request, spec);
     }
 
-    /// The store was read after these requests came in.
-    pub(super) fn serve(&mut self, now: f64, waiters: Vec<PendingRequest>) {
-        for PendingRequest { request, id, since, then, .. } in waiters {
-            let Some(id) = id else {
-                self.answer_settings(now, request);
-                continue;
-            };
-            if self.store.is_unreadable(&id) && !self.store.final_states.contains_key(&id) {
-                self.later(now, request, "what is stored of the job cannot be read");
-                continue;
-            }
-            let status = job_status(&self.store, &id);
-            let open = status.as_ref().is_some_and(|status| !status.state.is_final());
-            match (then, status) {
-                (Continuation::Cancel { tries }, _) if open && tries < MAX_TRIES => {
-                    self.user_queue.writes.push_back(UserWrite {
-                        request,
-                        id,
-                        spec: None,
-                        since,
-                        tries,
-                    });
-                }
-                (Continuation::Cancel { .. }, Some(_)) if open => {
-                    self.later(now, request, "not cancelled yet");
-                }
-                (_, Some(status)) => self.reply(now, request, Reply::json(200, &status)),
-                (Continuation::Create { spec, tries }, None)
-                    if tries < MAX_TRIES && now - since < WAIT_S =>
-                {
-                    let spec = Some(spec);
-                    self.user_queue.writes.push_back(UserWrite { request, id, spec, since, tries });
-                }
-                (Continuation::Create { .. } | Continuation::Unknown, None) => {
-                    self.later(now, request, "not accepted yet");
-                }
-                (Continuation::Refuse(code, why), None) => {
-                    self.reply(now, request, Reply::error(code, why));
-                }
-                (
-                    Continuation::Poll | Continuation::Cancel { .. } | Continuation::Settings,
-                    None,
-                ) => {
-                    self.reply(now, request, Reply::error(404, "no such job"));
-                }
-            }
+    /// Queues a job that is not known yet to be created, or to be rejected.
+    ///
+    /// A rejection waits for a read: a job that another node has accepted meanwhile must not be
+    /// rejected.
+    fn admit(&mut self, now: f64, request: RequestId, spec: JobSpec) {
+        // Such a write would be refused together with its whole batch.
+        if self.exceeds_value_limit(&spec) {
+            let message = "the description is too long".into();
+            let next = JobContinuation::Reject { status: 400, message };
+            return self.enqueue_job_for_read(now, request, spec.id, next);
         }
-    }
-
-    /// Applies the outcome of a transaction with users' changes.
-    pub(super) fn users_written(
-        &mut self,
-        now: f64,
-        writes: Vec<UserWrite>,
-        outcome: StoreOutcome,
-    ) {
-        self.user_queue.in_flight -= 1;
-        match outcome {
-            StoreOutcome::Committed(_) => self.user_writes_committed(now, writes),
-            StoreOutcome::Conflict(failed) => self.user_writes_conflicted(now, writes, &failed),
-            StoreOutcome::RateLimited => {
-                self.rate_limits.user_writes.drain(now);
-                self.user_queue.not_before = now + 0.1 + self.rng.random::<f64>() * 0.1;
-                self.queue_again(writes);
-            }
-            // Too large: the limits are lower than the settings say. Nothing was done, and
-            // what goes in halves may be taken.
-            StoreOutcome::LeaseNotFound if writes.len() > 1 => {
-                self.user_queue.most_at_once = writes.len() / 2;
-                tracing::warn!(
-                    at_once = self.user_queue.most_at_once,
-                    "the state service takes less than its settings say: writing less at once"
-                );
-                self.queue_again(writes);
+        let machine_types = self.store.view.machine_types.all();
+        match check_admission(&self.deployment, machine_types, &spec) {
+            Admission::Accepted => {
+                let id = spec.id.clone();
+                let change = UserChange::Create(Rc::new(spec));
+                self.user_requests.push_write(UserWrite::new(now, request, id, change));
             }
-            StoreOutcome::Unavailable | StoreOutcome::LeaseNotFound => {
-                for write in writes {
-                    self.later(now, write.request, "the state service refuses");
-                }
+            Admission::Rejected(message) => {
+                let next = JobContinuation::Reject { status: 422, message };
+                self.enqueue_job_for_read(now, request, spec.id, next);
             }
-            _ => self.user_writes_unanswered(now, writes),
-        }
-    }
-
-    fn user_writes_committed(&mut self, now: f64, writes: Vec<UserWrite>) {
-        let cancelled = writes.iter().filter(|write| write.spec.is_none());
-        let cancelled: Vec<JobId> = cancelled.map(|write| write.id.clone()).collect();
-        self.publish_cancellations(now, &cancelled);
-        for id in cancelled {
-            // A leader's own reading may not come for long either.
-            self.call_off(&id, now);
-        }
-        for write in writes {
-            let (status, state) = match write.spec {
-                Some(_) => (201, JobState::Queued),
-                None => (200, JobState::Cancelled),
-            };
-            let answer = JobStatus { id: write.id, state, done: None, running: None };
-            self.reply(now, write.request, Reply::json(status, &answer));
-        }
-        self.store_reads.wanted |= self.leader.is_some();
-        self.nudge();
-    }
-
-    /// Nothing was done. Changes whose own keys are as expected go again; the others are
-    /// decided anew after a reading.
-    fn user_writes_conflicted(&mut self, now: f64, writes: Vec<UserWrite>, failed: &[String]) {
-        for mut write in writes {
-            write.tries += 1;
-            let own = [keys::job(&write.id), keys::final_state(&write.id)];
-            if !failed.is_empty() && !own.iter().any(|key| failed.contains(key)) {
-                self.user_queue.writes.push_front(write);
-                continue;
+            Admission::Unknown => {
+                self.reply_retry_later(now, request, "machine types are not known yet");
             }
-            let then = match write.spec {
-                Some(spec) => Continuation::Create { spec, tries: write.tries },
-                None => Continuation::Cancel { tries: write.tries },
-            };
-            self.user_queue.waiting.push(PendingRequest {
-                request: write.request,
-                id: Some(write.id),
-                since: write.since,
-                from: now,
-                then,
-            });
-        }
-        self.store_reads.wanted = true;
-    }
-
-    /// The changes may have been made, or may be later: a reading tells whether they show.
-    fn user_writes_unanswered(&mut self, now: f64, writes: Vec<UserWrite>) {
-        for write in writes {
-            let then = match write.spec {
-                // If it shows, it is accepted.
-                Some(_) => Continuation::Unknown,
-                None => Continuation::Cancel { tries: MAX_TRIES },
-            };
-            self.user_queue.waiting.push(PendingRequest {
-                request: write.request,
-                id: Some(write.id),
-                since: now,
-                from: now,
-                then,
-            });
         }
-        self.store_reads.wanted = true;
     }
 
-    /// Puts changes back in front of the queue, in their order.
-    fn queue_again(&mut self, writes: Vec<UserWrite>) {
-        for write in writes.into_iter().rev() {
-            self.user_queue.writes.push_front(write);
-        }
+    fn exceeds_value_limit(&self, spec: &JobSpec) -> bool {
+        let value = serde_json::to_vec(spec).expect("wire types always serialise");
+        let max_bytes = (self.deployment.store.value_kb * 1024.0) as usize;
+        value.len() + STORED_JOB_OVERHEAD_BYTES > max_bytes
     }
 
-    /// Answers users whose change shows in the store although its own answer is slow. A job
-    /// that shows may have been put there through another node, so it is told as known.
-    pub(super) fn answer_written(&mut self, now: f64) {
-        let mut shown = Vec::new();
-        for (call, (purpose, _, sent_at)) in &mut self.store_calls {
-            let StoreCallPurpose::Users(writes) = purpose else { continue };
-            if now - *sent_at < OVERTAKE_S {
-                continue;
-            }
-            let store = &self.store;
-            shown.extend(
-                writes
-                    .extract_if(.., |write| match write.spec {
-                        Some(_) => store.jobs.contains_key(&write.id),
-                        None => store.final_states.contains_key(&write.id),
-                    })
-                    .map(|write| (*call, write)),
-            );
+    /// Handles the cancellation of a job.
+    pub(super) fn on_cancel(&mut self, now: f64, request: RequestId, id: JobId) {
+        if self.reply_if_final(now, request, &id) || self.rejects_for_overload(now, request) {
+            return;
         }
-        for (call, write) in shown {
-            if let Some(status) = job_status(&self.store, &write.id) {
-                self.reply(now, write.request, Reply::json(200, &status));
-            }
-            if self
-                .store_calls
-                .get(&call)
-                .is_some_and(|(p, ..)| matches!(p, StoreCallPurpose::Users(w) if w.is_empty()))
-            {
-                self.store_calls.remove(&call);
-                self.user_queue.in_flight -= 1;
-            }
+        if self.store.view.jobs.contains_key(&id) {
+            let write = UserWrite::new(now, request, id, UserChange::Cancel);
+            self.user_requests.push_write(write);
+        } else {
+            let next = JobContinuation::Cancel { attempts: 0 };
+            self.enqueue_job_for_read(now, request, id, next);
         }
     }
 
-    pub(super) fn send_user_writes(&mut self, now: f64) {
-        if self.user_queue.in_flight >= MAX_USER_COMMITS
-            || self.user_queue.writes.is_empty()
-            || now < self.user_queue.not_before
-        {
-            return;
-        }
-        if !self.rate_limits.user_writes.can_take(now, 1.0) {
-            return;
-        }
-        let most = self
-            .user_queue
-            .most_at_once
-            .min(self.rate_limits.user_writes.available(now).max(1.0) as usize);
-        let mut batch = Batch::default();
-        let mut kept = VecDeque::new();
-        while let Some(write) = self.user_queue.writes.pop_front() {
-            if batch.has(&write.id) || batch.writes.len() >= most || batch.bytes > MAX_BATCH_BYTES {
-                kept.push_back(write);
-                continue;
-            }
-            match &write.spec {
-                Some(spec) => batch.create(spec, self.epoch + write.since),
-                None => {
-                    let version = self.store.jobs.get(&write.id).map_or(0, |job| job.version);
-                    batch.cancel(&write.id, version);
-                }
-            }
-            batch.writes.push(write);
+    /// Asks the users to come back whose requests have waited for too long.
+    pub(super) fn expire_user_requests(&mut self, now: f64) {
+        for request in self.user_requests.take_overdue(now - REQUEST_TIMEOUT_S) {
+            self.reply_retry_later(now, request, "the state service is slow");
         }
-        self.user_queue.writes = kept;
-        if batch.writes.is_empty() {
-            return;
-        }
-        self.rate_limits.user_writes.try_take(now, batch.writes.len() as f64);
-        self.user_queue.in_flight += 1;
-        self.call_state(
-            now,
-            StoreCallPurpose::Users(batch.writes),
-            StoreRequest::Commit(batch.txn),
-        );
     }
 }
 
-/// Users' changes that go into one transaction.
-#[derive(Default)]
-struct Batch {
-    writes: Vec<UserWrite>,
-    txn: Transaction,
-    /// About how large the transaction is.
-    bytes: usize,
-}
-
-impl Batch {
-    /// Whether it changes a job already: two changes of one in a transaction would clash.
-    fn has(&self, id: &JobId) -> bool {
-        self.writes.iter().any(|write| write.id == *id)
-    }
-
-    /// Adds a new job, accepted at a time of day: a later leader must know how old the job
-    /// is, not since when it has known the job.
-    fn create(&mut self, spec: &JobSpec, accepted_at: f64) {
-        let mut value = serde_json::to_value(spec).expect("wire types always serialise");
-        value[keys::ACCEPTED_AT] = accepted_at.into();
-        self.bytes += value.to_string().len() + CHANGE_BYTES;
-        let key = keys::job(&spec.id);
-        self.txn.preconditions.push(Precondition { key: keys::final_state(&spec.id), version: 0 });
-        self.txn.preconditions.push(Precondition { key: key.clone(), version: 0 });
-        self.txn.writes.push(Write::Put { key, value, lease: None });
-    }
-
-    /// Adds a cancellation of a job whose key has a version.
-    fn cancel(&mut self, id: &JobId, version: u64) {
-        let value = serde_json::to_value(JobState::Cancelled).expect("wire types always serialise");
-        self.bytes += CHANGE_BYTES;
-        let key = keys::final_state(id);
-        self.txn.preconditions.push(Precondition { key: key.clone(), version: 0 });
-        self.txn.preconditions.push(Precondition { key: keys::job(id), version });
-        self.txn.writes.push(Write::Put { key, value, lease: None });
-    }
+/// The state of a job that is over. It never changes, so no read is needed.
+fn final_status(view: &StoreView, id: &JobId) -> Option<JobStatus> {
+    let state = *view.final_states.get(id)?;
+    Some(JobStatus { id: id.clone(), state, done: None, running: None })
 }
 
-/// The state of a job as the store has it; none if there is no such job.
-fn job_status(store: &StoreView, id: &JobId) -> Option<JobStatus> {
-    if let Some(state) = store.final_states.get(id) {
-        return Some(JobStatus { id: id.clone(), state: *state, done: None, running: None });
+/// The state of a job in the view; `None` if there is no such job.
+fn job_status(view: &StoreView, id: &JobId) -> Option<JobStatus> {
+    if let Some(status) = final_status(view, id) {
+        return Some(status);
     }
-    store.jobs.get(id)?;
-    let JobProgress { done, running } = store.job_progress.get(id).copied().unwrap_or_default();
+    view.jobs.get(id)?;
+    let JobProgress { done, running } = view.job_progress.get(id).copied().unwrap_or_default();
     let state = if running > 0 { JobState::Running } else { JobState::Queued };
     Some(JobStatus { id: id.clone(), state, done: Some(done), running: Some(running) })
 }
--- a/crates/gladekeel-controller/src/node/user_requests/queue.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/queue.rs
@@ -1,103 +1,218 @@
-//! Users' requests that wait: for a reading of the store, or to be written to it.
+//! Users' requests that have not been answered yet, in the order in which they arrived.
+//!
+//! A request waits for a read of the store, or for the transaction that writes its change.
 
-use crate::node::RequestId;
+use super::{UserChange, UserWrite, batch::WriteBatch};
+use crate::{node::RequestId, store_view::StoreView};
 use gladekeel_wire::{JobId, job::JobSpec};
 use std::{collections::VecDeque, rc::Rc};
 
-/// Users' requests that may wait at once; beyond it they are told to come back.
-const MAX_WAITING: usize = 400;
+/// Requests that may be queued; users beyond it are asked to come back later.
+const MAX_QUEUED: usize = 400;
+/// Transactions of users' changes in flight at once, so that one slow answer does not delay
+/// the others.
+const MAX_TRANSACTIONS_IN_FLIGHT: usize = 4;
 
-/// Users' requests that are not answered yet.
+/// A request that waits for a read of the store.
 #[derive(Debug)]
-pub(crate) struct UserQueue {
-    /// Those that wait for a reading.
-    pub waiting: Vec<PendingRequest>,
-    /// Changes that are in no transaction yet.
-    pub writes: VecDeque<UserWrite>,
-    /// Transactions with changes under way.
-    pub in_flight: usize,
-    /// No transaction is sent before this time.
+pub(in crate::node) struct PendingRead {
+    pub request: RequestId,
+    /// When the request arrived, or when its change was left in doubt.
+    pub queued_at: f64,
+    /// The read barrier: only a read that was sent at this time or later serves the request.
     pub not_before: f64,
-    /// Changes in one transaction at most.
-    pub most_at_once: usize,
+    pub continuation: Continuation,
+}
+
+/// What follows the read.
+#[derive(Debug)]
+pub(in crate::node) enum Continuation {
+    /// Reply to an operator with the runtime settings.
+    ReplySettings,
+    /// Go on with a user's request about a job.
+    Job {
+        /// The job.
+        id: JobId,
+        /// What to do.
+        next: JobContinuation,
+    },
+}
+
+/// What follows the read for a request about a job.
+#[derive(Debug)]
+pub(in crate::node) enum JobContinuation {
+    /// Reply with the job's state, or 404.
+    Poll,
+    /// Reply with the job's state, or create it.
+    Create {
+        /// The job.
+        spec: Rc<JobSpec>,
+        /// How often that has been attempted.
+        attempts: u32,
+    },
+    /// Reply with the job's state, or reject the submission.
+    Reject {
+        /// The HTTP status.
+        status: u16,
+        /// The reason.
+        message: String,
+    },
+    /// Cancel the job unless it is over.
+    Cancel {
+        /// How often that has been attempted.
+        attempts: u32,
+    },
+    /// Reply with the job's state, or 503: the transaction that creates it is in doubt.
+    ConfirmCreation,
+}
+
+/// The queue of users' requests.
+#[derive(Debug)]
+pub(in crate::node) struct UserRequests {
+    pending_reads: Vec<PendingRead>,
+    /// Changes that are not part of a transaction yet.
+    writes: VecDeque<UserWrite>,
+    transactions_in_flight: usize,
+    /// No transaction is sent before this time.
+    not_before: f64,
+    /// Changes that the store takes in one transaction.
+    max_batch: usize,
 }
 
-impl UserQueue {
-    /// An empty queue, for a store that takes so many changes at once.
-    pub fn new(most_at_once: usize) -> UserQueue {
-        UserQueue {
-            waiting: Vec::new(),
+impl UserRequests {
+    /// An empty queue for a store that takes `max_batch` changes in one transaction.
+    pub fn new(max_batch: usize) -> UserRequests {
+        UserRequests {
+            pending_reads: Vec::new(),
             writes: VecDeque::new(),
-            in_flight: 0,
+            transactions_in_flight: 0,
             not_before: 0.0,
-            most_at_once,
+            max_batch,
         }
     }
 
-    /// How many requests wait.
+    /// How many requests are queued.
     pub fn len(&self) -> usize {
-        self.waiting.len() + self.writes.len()
+        self.pending_reads.len() + self.writes.len()
     }
 
-    /// Whether no more requests are taken in.
+    /// Whether no more requests are accepted.
     pub fn is_full(&self) -> bool {
-        self.len() >= MAX_WAITING
+        self.len() >= MAX_QUEUED
+    }
+
+    /// Whether requests wait for a read.
+    pub fn has_pending_reads(&self) -> bool {
+        !self.pending_reads.is_empty()
+    }
+
+    /// Queues a request for the next read.
+    pub fn push_read(&mut self, pending: PendingRead) {
+        self.pending_reads.push(pending);
+    }
+
+    /// Queues a change for the next transaction.
+    pub fn push_write(&mut self, write: UserWrite) {
+        self.writes.push_back(write);
+    }
+
+    /// Queues a change ahead of all others.
+    pub fn push_write_front(&mut self, write: UserWrite) {
+        self.writes.push_front(write);
     }
 
-    /// Takes out the requests that have waited since before a time.
-    pub fn take_older(&mut self, than: f64) -> Vec<RequestId> {
-        let is_late = |waiter: &mut PendingRequest| waiter.since <= than;
-        let mut late: Vec<RequestId> =
-            self.waiting.extract_if(.., is_late).map(|waiter| waiter.request).collect();
-        while self.writes.front().is_some_and(|write| write.since <= than) {
-            late.extend(self.writes.pop_front().map(|write| write.request));
+    /// Queues the changes of a failed transaction ahead of all others, in their order.
+    pub fn requeue(&mut self, writes: Vec<UserWrite>) {
+        for write in writes.into_iter().rev() {
+            self.writes.push_front(write);
         }
-        late
     }
 
-    /// Takes out all of them.
+    /// Takes out the requests that a read serves which was sent at `sent_at`.
+    pub fn take_served(&mut self, sent_at: f64) -> Vec<PendingRead> {
+        self.pending_reads.extract_if(.., |pending| pending.not_before <= sent_at).collect()
+    }
+
+    /// Takes out the requests that were queued at `deadline` or earlier.
+    pub fn take_overdue(&mut self, deadline: f64) -> Vec<RequestId> {
+        let is_overdue = |pending: &mut PendingRead| pending.queued_at <= deadline;
+        let mut overdue: Vec<RequestId> =
+            self.pending_reads.extract_if(.., is_overdue).map(|pending| pending.request).collect();
+        while self.writes.front().is_some_and(|write| write.queued_at <= deadline) {
+            overdue.extend(self.writes.pop_front().map(|write| write.request));
+        }
+        overdue
+    }
+
+    /// Takes out all requests.
     pub fn take_all(&mut self) -> Vec<RequestId> {
-        let waiting = self.waiting.drain(..).map(|waiter| waiter.request);
+        let reads = self.pending_reads.drain(..).map(|pending| pending.request);
         let writes = self.writes.drain(..).map(|write| write.request);
-        waiting.chain(writes).collect()
+        reads.chain(writes).collect()
     }
-}
 
-/// A change that a user asked for.
-#[derive(Debug)]
-pub(crate) struct UserWrite {
-    pub request: RequestId,
-    pub id: JobId,
-    /// The job to create, or none to cancel.
-    pub spec: Option<Rc<JobSpec>>,
-    pub since: f64,
-    pub tries: u32,
-}
+    /// Whether a transaction may be sent, as far as the queue is concerned.
+    pub fn is_batch_due(&self, now: f64) -> bool {
+        self.transactions_in_flight < MAX_TRANSACTIONS_IN_FLIGHT
+            && !self.writes.is_empty()
+            && now >= self.not_before
+    }
 
-/// A request that waits for the store to be read.
-#[derive(Debug)]
-pub(crate) struct PendingRequest {
-    pub request: RequestId,
-    pub id: Option<JobId>,
-    pub since: f64,
-    /// A reading that was sent at this time or later will do.
-    pub from: f64,
-    pub then: Continuation,
+    /// Takes out the changes of the next transaction, `max_writes` at most. `epoch` is the time
+    /// of day at which this node's clock was 0.
+    pub fn take_batch(&mut self, max_writes: usize, view: &StoreView, epoch: f64) -> WriteBatch {
+        let max_writes = self.max_batch.min(max_writes);
+        let mut batch = WriteBatch::default();
+        let mut remaining = VecDeque::new();
+        while let Some(write) = self.writes.pop_front() {
+            if batch.contains(&write.id) || batch.is_full(max_writes) {
+                remaining.push_back(write);
+            } else {
+                batch.push(write, view, epoch);
+            }
+        }
+        self.writes = remaining;
+        batch
+    }
+
+    /// A transaction was sent.
+    pub fn on_transaction_sent(&mut self) {
+        self.transactions_in_flight += 1;
+    }
+
+    /// A transaction has ended.
+    pub fn on_transaction_finished(&mut self) {
+        self.transactions_in_flight -= 1;
+    }
+
+    /// Sends no transaction before this time.
+    pub fn back_off_until(&mut self, time: f64) {
+        self.not_before = time;
+    }
+
+    /// Halves the batch size after a transaction of `refused` changes was too large: the
+    /// store's limits are lower than the settings say.
+    pub fn halve_max_batch(&mut self, refused: usize) {
+        self.max_batch = refused / 2;
+        tracing::warn!(
+            max_batch = self.max_batch,
+            "transaction refused as too large: batch size halved"
+        );
+    }
 }
 
-/// What follows the reading.
-#[derive(Debug)]
-pub(crate) enum Continuation {
-    /// Answer an operator with the settings.
-    Settings,
-    /// Answer with the job's state, or 404.
-    Poll,
-    /// Answer with the job's state, or create it.
-    Create { spec: Rc<JobSpec>, tries: u32 },
-    /// Answer with the job's state, or why it is refused.
-    Refuse(u16, String),
-    /// Cancel it.
-    Cancel { tries: u32 },
-    /// Answer with the job's state, or 503: the change had no answer.
-    Unknown,
+impl UserWrite {
+    /// The request as one that waits for a read sent after now, before it goes on.
+    pub fn into_pending_read(self, now: f64) -> PendingRead {
+        let next = match self.change {
+            UserChange::Create(spec) => JobContinuation::Create { spec, attempts: self.attempts },
+            UserChange::Cancel => JobContinuation::Cancel { attempts: self.attempts },
+        };
+        PendingRead {
+            request: self.request,
+            queued_at: self.queued_at,
+            not_before: now,
+            continuation: Continuation::Job { id: self.id, next },
+        }
+    }
 }
--- a/crates/gladekeel-controller/src/shell.rs
+++ b/crates/gladekeel-controller/src/shell.rs
@@ -205,7 +205,7 @@
         self.handle(Event::Tick);
         let after = rounds();
         if after.is_some() && after != before {
-            self.node.borrow_mut().record_round(start.elapsed().as_secs_f64());
+            self.node.borrow_mut().record_scheduling_cycle(start.elapsed().as_secs_f64());
         }
     }
 
--- a/crates/gladekeel-controller/tests/metrics.rs
+++ b/crates/gladekeel-controller/tests/metrics.rs
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn rounds_and_sockets_are_shown() {
+fn scheduling_cycles_and_sockets_are_exposed() {
     let mut node = Node::new(toml::from_str(SETTINGS).unwrap(), 1, 0.0);
     for seconds in [0.25, 0.5, 0.25] {
-        node.record_round(seconds);
+        node.record_scheduling_cycle(seconds);
     }
     node.record_sockets(SocketUse { users: 3, workers: 40, unknown: 1, calls: 5, mesh: 4 });
     let text = metrics(&mut node);
