--- a/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -1,90 +1,107 @@
-//! Jobs as they come, are cancelled and go, in the store and by word of other controllers.
+//! Jobs that are submitted, become final, are cancelled or are removed, as the store view or
+//! other controllers say.
+//!
+//! The node calls these for each change of its store view. A cancellation that another
+//! controller has committed is applied before the store view shows it, so that the job's
+//! tasks are stopped at once ("Cancelled work ends in time" in `docs/safety.md`).
 
 use crate::leader::{Job, Leader, StopReason};
-use crate::store_view::StoreView;
-use gladekeel_sched::JobIdx;
+use crate::store_view::{StoreView, StoredJob};
+use gladekeel_sched::{JobIdx, TeamIdx};
 use gladekeel_wire::JobId;
 
 impl Leader {
     /// Adds a job that is new in the store.
     pub fn add_job(&mut self, store: &StoreView, id: &JobId, now: f64) {
         let Some(stored) = store.jobs.get(id) else { return };
-        let ix = self.job_names.intern(id);
-        if self.jobs.contains_key(&ix) {
+        let job_idx = self.job_names.intern(id);
+        if self.jobs.contains_key(&job_idx) {
             return;
         }
         let Some(team) = self.catalog.teams.get(stored.spec.team.as_str()) else {
-            tracing::error!(job = %id, team = stored.spec.team, "job of an unknown team");
+            tracing::error!(job = %id, team = stored.spec.team, "job of unknown team ignored");
             return;
         };
-        let mut job = Job::new(&mut self.catalog, id.clone(), stored, team, now);
-        if let Some(accepted) = stored.accepted_at {
-            job.submitted_at = (accepted - self.epoch).min(now);
-        }
-        job.final_state = store.final_states.get(id).copied();
-        job.cancellation_pending = store.pending_cancellations.contains_key(id);
-        let after = store.cancelled_no_earlier_than.get(id).or(store.pending_cancellations.get(id));
-        job.cancelled_no_earlier_than = after.copied().unwrap_or(f64::NEG_INFINITY);
-        if job.final_state.is_some() {
-            self.log_writer.cleared.insert(ix);
+        let job = self.job_from_store(store, id, stored, team, now);
+        let is_final = job.final_state.is_some();
+        if is_final {
+            self.log_writer.cleared.insert(job_idx);
         }
-        let new = now > self.since && job.final_state.is_none();
-        self.jobs.insert(ix, job);
-        // Of gangs a new leader wants to know at once how much room to keep for them.
-        if new || self.jobs.get(&ix).is_some_and(|job| job.is_gang() && job.final_state.is_none()) {
-            self.count_arrival(ix);
+        // A job that was there before this term has been counted by the leader of that time.
+        // Gangs are counted again: the warm pool for them is rebuilt at once.
+        let is_new = now > self.since;
+        let counts_as_arrival = !is_final && (is_new || job.is_gang());
+        self.jobs.insert(job_idx, job);
+        if counts_as_arrival {
+            self.count_arrival(job_idx);
         }
-        self.changed_progress.insert(ix);
+        self.changed_progress.insert(job_idx);
         self.timers.request_cycle();
     }
 
+    fn job_from_store(
+        &mut self,
+        store: &StoreView,
+        id: &JobId,
+        stored: &StoredJob,
+        team: TeamIdx,
+        now: f64,
+    ) -> Job {
+        let mut job = Job::new(&mut self.catalog, id.clone(), stored, team, now);
+        if let Some(accepted_at) = stored.accepted_at {
+            job.submitted_at = (accepted_at - self.epoch).min(now);
+        }
+        job.final_state = store.final_states.get(id).copied();
+        let pending_cancellation = store.pending_cancellations.get(id);
+        job.cancellation_pending = pending_cancellation.is_some();
+        let not_before = store.cancelled_no_earlier_than.get(id).or(pending_cancellation);
+        job.cancelled_no_earlier_than = not_before.copied().unwrap_or(f64::NEG_INFINITY);
+        job
+    }
+
     /// Applies a final state that is new in the store.
     pub fn apply_final_state(&mut self, store: &StoreView, id: &JobId) {
-        let Some(ix) = self.job_names.get(id) else { return };
-        let Some(job) = self.jobs.get_mut(&ix) else { return };
+        let Some(job_idx) = self.job_names.get(id) else { return };
+        let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         let Some(final_state) = store.final_states.get(id).copied() else { return };
         job.final_state = Some(final_state);
         if !job.cancellation_pending {
-            let after = store.cancelled_no_earlier_than.get(id).copied();
-            job.cancelled_no_earlier_than = after.unwrap_or(f64::NEG_INFINITY);
+            let not_before = store.cancelled_no_earlier_than.get(id).copied();
+            job.cancelled_no_earlier_than = not_before.unwrap_or(f64::NEG_INFINITY);
         }
         job.cancellation_pending = false;
-        if job.final_state.is_some() {
-            self.log_writer.finished.remove(&ix);
-            if self.attempts.of_job(ix).is_empty() {
-                self.log_writer.cleared.insert(ix);
-            }
+        self.log_writer.finished.remove(&job_idx);
+        if self.attempts.of_job(job_idx).is_empty() {
+            self.log_writer.cleared.insert(job_idx);
         }
         if job.is_cancelled() {
-            self.stop_job(ix);
+            self.stop_cancelled_job(job_idx);
         }
     }
 
-    /// Applies a cancellation that another controller has committed, some time after
-    /// `after`.
-    pub fn apply_pending_cancellation(&mut self, id: &JobId, after: f64) {
-        let Some(ix) = self.job_names.get(id) else { return };
-        let Some(job) = self.jobs.get_mut(&ix).filter(|job| !job.is_finished()) else { return };
+    /// Applies a cancellation that another controller has committed after the given time.
+    pub fn apply_pending_cancellation(&mut self, id: &JobId, not_before: f64) {
+        let Some(job_idx) = self.job_names.get(id) else { return };
+        let job = self.jobs.get_mut(&job_idx).filter(|job| !job.is_finished());
+        let Some(job) = job else { return };
         job.cancellation_pending = true;
-        job.cancelled_no_earlier_than = after;
-        self.stop_job(ix);
+        job.cancelled_no_earlier_than = not_before;
+        self.stop_cancelled_job(job_idx);
     }
 
-    /// Removes a job that the store no longer has.
+    /// Removes a job that the store no longer has, unless something of it may be on a machine.
     pub fn forget_job(&mut self, id: &JobId) {
-        let Some(ix) = self.job_names.get(id) else { return };
-        if self.attempts.of_job(ix).is_empty() {
-            self.jobs.remove(&ix);
+        let Some(job_idx) = self.job_names.get(id) else { return };
+        if self.attempts.of_job(job_idx).is_empty() {
+            self.jobs.remove(&job_idx);
         }
     }
 
-    fn stop_job(&mut self, ix: JobIdx) {
-        if !self.jobs.contains_key(&ix) {
-            return;
-        }
-        self.cancelled_on_machines.insert(ix);
-        self.commands.request_commands_on(self.attempts.of_job(ix).machines());
-        for id in self.attempts.ids_of_job(ix) {
+    /// Stops all tasks of a cancelled job.
+    fn stop_cancelled_job(&mut self, job_idx: JobIdx) {
+        self.cancelled_on_machines.insert(job_idx);
+        self.commands.request_commands_on(self.attempts.of_job(job_idx).machines());
+        for id in self.attempts.ids_of_job(job_idx) {
             self.attempts.update(id, |attempt| {
                 attempt.stop_reason = Some(StopReason::Cancelled);
                 attempt.stops_sent = 0;
