--- a/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
@@ -141,9 +141,8 @@
             .entry(machine_ix)
             .or_insert_with(|| Machine::recovered(&row.machine, now));
         let Some(job) = self.jobs.get_mut(&job_ix) else { return };
-        machine.attempts.insert(id);
-        machine.requested += job.task_request;
-        machine.record_image_use(job.image, job.spec.image_gb, f64::INFINITY);
+        machine.workload.add(id, job.task_request);
+        machine.images.record_use(job.image, job.spec.image_gb, f64::INFINITY);
         job.zone_placement.add(machine.zone);
         self.teams[job.team.position()].used += job.task_request;
         self.attempts.insert(
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests.rs
@@ -3,7 +3,10 @@
 //! What should be rented or returned is decided elsewhere; this module asks for it.
 
 use crate::cloud_api::{CloudOutcome, CloudRequest};
-use crate::leader::{Leader, Machine, machine::DeletionReason};
+use crate::leader::{
+    Leader, Machine,
+    machine::{DeletionReason, ProvisionedAt},
+};
 use gladekeel_sched::{MachineIdx, MachineTypeIdx, ZoneIdx};
 use gladekeel_wire::cloud::{
     ListedMachine, MAX_MACHINES_PER_DELETE_REQUEST, MAX_MACHINES_PER_PAGE,
@@ -156,8 +159,7 @@
     fn next_deletion(&mut self) -> Option<Vec<String>> {
         let wanted = |ix: &MachineIdx| {
             let machine = self.cluster.machines.get(ix)?;
-            (machine.deletion_reason.is_some() && !machine.deleted)
-                .then_some((machine.attempts.is_empty(), *ix))
+            machine.deletion.is_unconfirmed().then_some((machine.is_idle(), *ix))
         };
         let mut wanted: Vec<(bool, MachineIdx)> =
             self.cluster.leaving.iter().filter_map(wanted).collect();
@@ -165,7 +167,7 @@
         let mut names = Vec::new();
         for (_, ix) in wanted.into_iter().take(MAX_MACHINES_PER_DELETE_REQUEST) {
             if let Some(machine) = self.cluster.machines.get_mut(&ix) {
-                machine.deletion_requested = true;
+                machine.deletion.request();
                 names.push(machine.name.clone());
             }
         }
@@ -299,7 +301,7 @@
                 self.cluster.machines.entry(ix).or_insert_with(|| Machine::new(&name, now));
             machine.machine_type = Some(pool.kind);
             machine.spot = pool.spot;
-            machine.confirmed = true;
+            machine.existence_confirmed = true;
             self.set_zone(ix, pool.zone);
         }
     }
@@ -308,7 +310,7 @@
         for name in names {
             let Some(ix) = self.cluster.machine_names.get(name.as_str()) else { continue };
             let Some(machine) = self.cluster.machines.get_mut(&ix) else { continue };
-            machine.deleted = true;
+            machine.deletion.confirm();
             self.cluster.counters.deleted += 1;
             self.cluster.cloud.deleted.insert(name.clone(), now);
             self.cluster.cloud.deleted_order.push_back(name.clone());
@@ -336,37 +338,34 @@
             let machine = self.cluster.machines.entry(ix).or_insert_with(|| {
                 tracing::info!(machine = row.name, "adopted from the list");
                 let mut machine = Machine::new(&row.name, now);
-                machine.rented_at = now - row.age_s;
+                machine.provisioned_at = ProvisionedAt::Time(now - row.age_s);
                 machine
             });
             machine.machine_type = Some(self.catalog.intern_machine_type(&row.machine_type));
             machine.spot = row.spot;
-            machine.listed = true;
-            machine.confirmed = true;
+            machine.existence_confirmed = true;
             if machine.addr.is_none() {
                 machine.addr = row.addr;
             }
-            machine.missing_from_lists = 0;
-            machine.listed_state = Some(row.state);
-            if row.state == MachineState::Failed && machine.deletion_reason.is_none() {
-                machine.deletion_reason = Some(DeletionReason::Failed);
-                self.cluster.leaving.insert(ix);
+            machine.listing.record_listed(row.state);
+            if row.state == MachineState::Failed {
+                self.cluster.mark_for_deletion(now, ix, DeletionReason::Failed);
             }
             let zone = self.catalog.zones.intern(&row.zone);
             self.set_zone(ix, zone);
         }
         let late_s = self.deployment.workers.heartbeat_timeout_s();
+        let mut gone = Vec::new();
         for (ix, machine) in &mut self.cluster.machines {
-            // One that only the log tells of was up before this leader began.
-            let was_listed = machine.listed || machine.rented_at == f64::NEG_INFINITY;
-            if was_listed && !listed.contains(ix) && now - machine.silent_since > late_s {
-                // Lists may be older than the one before: one of them proves little.
-                machine.missing_from_lists += 1;
-                if machine.missing_from_lists >= 2 && machine.deletion_reason.is_none() {
-                    machine.deletion_reason = Some(DeletionReason::NoLongerListed);
-                    self.cluster.leaving.insert(*ix);
-                }
+            let is_missing = machine.was_listed()
+                && !listed.contains(ix)
+                && machine.liveness.silent_s(now) > late_s;
+            if is_missing && machine.listing.record_missing() {
+                gone.push(*ix);
             }
         }
+        for ix in gone {
+            self.cluster.mark_for_deletion(now, ix, DeletionReason::NoLongerListed);
+        }
     }
 }
--- a/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
@@ -30,7 +30,7 @@
         let hours = (now - self.cost_counted_at).max(0.0) / 3600.0;
         self.cost_counted_at = now;
         let spend = &mut self.cluster.counters.cost;
-        for machine in self.cluster.machines.values().filter(|m| !m.deleted) {
+        for machine in self.cluster.machines.values().filter(|m| !m.deletion.is_confirmed()) {
             let Some(kind) = machine.machine_type else { continue };
             let (Some(machine_type), Some(whole)) =
                 (self.catalog.machine_type(kind), self.catalog.capacity(kind))
@@ -39,13 +39,13 @@
             };
             let spot = machine_type.spot_price.filter(|_| machine.spot);
             let cost = spot.unwrap_or(machine_type.price) * hours;
-            if machine.last_seen.is_none() {
+            if !machine.liveness.was_seen() {
                 spend.boot += cost;
-            } else if machine.attempts.is_empty() {
+            } else if machine.is_idle() {
                 spend.idle += cost;
             } else {
                 let (mut running, mut waiting) = (0.0, 0.0);
-                for attempt in machine.attempts.iter().filter_map(|id| self.attempts.get(*id)) {
+                for attempt in machine.attempts().iter().filter_map(|id| self.attempts.get(*id)) {
                     let part = attempt.resources.dominant_share_of(whole);
                     match attempt.reported_state {
                         Some(TaskState::Running) => running += part,
--- a/crates/gladekeel-controller/src/leader/autoscaling/scaling.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/scaling.rs
@@ -76,7 +76,7 @@
     pub(in crate::leader) fn autoscale(&mut self, now: f64, options: &RuntimeSettings) {
         self.cluster.cloud.forget_old_deletions(now);
         let gone = self.cluster.leaving.iter().copied().filter(|ix| {
-            self.cluster.machines.get(ix).is_some_and(|m| m.deleted && m.attempts.is_empty())
+            self.cluster.machines.get(ix).is_some_and(|m| m.deletion.is_confirmed() && m.is_idle())
         });
         for ix in gone.collect::<Vec<_>>() {
             self.cluster.machines.remove(&ix);
@@ -184,15 +184,15 @@
             if machine.machine_type != Some(kind) || machine.is_leaving() {
                 continue;
             }
-            let age = now - machine.rented_at;
+            let age = machine.provisioned_at.age_s(now);
             for supply in [Some(&mut any), (!machine.spot).then_some(&mut ordinary)] {
                 let Some(supply) = supply else { continue };
-                if machine.last_seen.is_some()
+                if machine.liveness.was_seen()
                     || (machine.has_booted()
-                        && (now - machine.silent_since < silent_s
-                            || machine
-                                .zone
-                                .is_some_and(|zone| self.reachability.is_unreachable(zone, now))))
+                        && (machine.liveness.silent_s(now) < silent_s
+                            || machine.zone.is_some_and(|zone| {
+                                self.failure_detector.is_zone_unreachable(zone, now)
+                            })))
                 {
                     supply.up += 1.0;
                 } else if !machine.has_booted() && age <= boot_s * 1.6 + 5.0 {
@@ -344,21 +344,17 @@
                     && m.spot == spot
                     && !m.is_leaving()
                     && !m.warm_pool
-                    && m.last_seen.is_some()
-                    && m.attempts.is_empty()
-                    && now - m.idle_since >= options.idle_timeout_s
+                    && m.liveness.was_seen()
+                    && m.is_idle()
+                    && now - m.workload.idle_since() >= options.idle_timeout_s
                     // A minute is charged in any case.
-                    && now - m.rented_at >= 55.0
+                    && m.provisioned_at.age_s(now) >= 55.0
             })
-            .map(|(ix, m)| (m.idle_since, *ix))
+            .map(|(ix, m)| (m.workload.idle_since(), *ix))
             .collect();
         idle.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (_, ix) in idle.into_iter().take(spare) {
-            if let Some(machine) = self.cluster.machines.get_mut(&ix) {
-                tracing::info!(machine = machine.name, spot, "idle: returned");
-                machine.deletion_reason = Some(DeletionReason::Idle);
-                self.cluster.leaving.insert(ix);
-            }
+            self.cluster.mark_for_deletion(now, ix, DeletionReason::Idle);
         }
     }
 }
--- a/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -96,7 +96,7 @@
         let machines = &mut self.cluster.machines;
         for (ix, machine) in &*machines {
             let (Some(kind), Some(zone)) = (machine.machine_type, machine.zone) else { continue };
-            let usable = !machine.spot && !machine.is_leaving() && machine.last_seen.is_some();
+            let usable = !machine.spot && !machine.is_leaving() && machine.liveness.was_seen();
             if usable && wanted.contains_key(&kind) {
                 pools.entry((kind, zone)).or_default().push(*ix);
             }
@@ -111,8 +111,8 @@
             let had = pool.iter().filter(|ix| machines[*ix].warm_pool).count();
             pool.sort_by_key(|ix| {
                 let machine = &machines[ix];
-                let ready = machine.cached_images.intersection(&images).count();
-                (!machine.warm_pool, Reverse(ready), machine.requested.cpus)
+                let ready = machine.images.cached().intersection(&images).count();
+                (!machine.warm_pool, Reverse(ready), machine.requested().cpus)
             });
             let count = count.max(had.min(count + STANDBY_SPARE));
             kept.extend(pool.into_iter().take(count));
--- a/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
@@ -47,7 +47,7 @@
             let (Some(kind), Some(zone)) = (machine.machine_type, machine.zone) else { continue };
             let Some(whole) = self.catalog.capacity(kind) else { continue };
             if machine.spot == spot && !machine.is_leaving() {
-                let used = machine.requested.dominant_share_of(whole).min(1.0);
+                let used = machine.requested().dominant_share_of(whole).min(1.0);
                 *room.entry((kind, zone)).or_default() += 1.0 - used;
             }
         }
--- a/crates/gladekeel-controller/src/leader/cluster_state.rs
+++ b/crates/gladekeel-controller/src/leader/cluster_state.rs
@@ -4,8 +4,9 @@
     LeaderCounters, Machine,
     autoscaling::{cloud_requests::CloudRequestQueue, scaling::Demand, warm_pool::WarmPool},
     catalog::Catalog,
+    failure_detection::reachability::ReachableZones,
 };
-use gladekeel_sched::{Interner, MachineIdx, ZoneIdx};
+use gladekeel_sched::{Interner, MachineIdx};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What a leader has learned since it began to lead. It outlives a change of fencing token on the
@@ -22,8 +23,9 @@
     pub(super) cloud: CloudRequestQueue,
     pub(super) demand: Demand,
     pub(super) warm_pool: WarmPool,
-    /// Since when each zone has been reachable.
-    pub(super) zones_reachable_since: BTreeMap<Option<ZoneIdx>, f64>,
+    /// Since when each zone has been reachable. Between two tokens only, like the catalog: the
+    /// failure detector holds it.
+    pub(super) reachable_zones: ReachableZones,
     /// Run time as a multiple of the owner's estimate, learned by class of jobs.
     pub(super) run_time_ratios: HashMap<String, f64>,
     /// Counters for metrics.
@@ -35,12 +37,7 @@
     /// so silence goes on to count. Assignments are replayed from the log.
     pub(super) fn renew(&mut self) {
         for machine in self.machines.values_mut() {
-            machine.attempts.clear();
-            machine.requested = Default::default();
-            machine.expected_effects = Default::default();
-            // Nothing under an older token can start once the worker has seen this one.
-            machine.unsettled_starts.clear();
-            machine.command_in_flight = false;
+            machine.reset_for_new_token();
         }
     }
 }
--- a/crates/gladekeel-controller/src/leader/commands/answer.rs
+++ b/crates/gladekeel-controller/src/leader/commands/answer.rs
@@ -1,16 +1,13 @@
 //! What the outcome of a request tells of a worker.
 
 use super::WorkerRequest;
-use crate::leader::{AttemptId, Leader, machine::DeletionReason};
+use crate::leader::{
+    AttemptId, Leader,
+    machine::{DeletionReason, Responsiveness},
+};
 use gladekeel_sched::MachineIdx;
 use gladekeel_wire::worker::{Heartbeat, TaskStatus};
 
-/// Unanswered requests in a row after which a silent machine counts as unresponsive, and one that
-/// has not acknowledged the answers to its heartbeats as cut off from what is sent to it.
-const MAX_UNANSWERED: u32 = 2;
-/// Unacknowledged answers to heartbeats in a row, beyond which unanswered requests prove an
-/// inbound partition.
-const MAX_MISSED_ACKS: u32 = 1;
 /// For so long after this node has lagged, missing answers do not count against machines.
 const LAG_GRACE_S: f64 = 3.0;
 
@@ -37,7 +34,7 @@
             self.commands.record_probe_outcome();
         }
         let Some(machine) = self.cluster.machines.get_mut(&request.machine) else { return };
-        machine.command_in_flight = false;
+        machine.commands.end_request();
         self.settle_starts(now, request, outcome);
         match outcome {
             WorkerOutcome::Done(heartbeat) => self.on_answer(now, request.machine, heartbeat),
@@ -52,14 +49,14 @@
     /// A refusal is an answer: the worker receives what is sent to it.
     fn on_refusal_to_execute(&mut self, machine_idx: MachineIdx) {
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
-        machine.unanswered_commands = 0;
+        machine.liveness.record_refusal();
     }
 
     /// Marks the stops of a machine as not sent. Those in the request may be lost, and the
     /// heartbeat that would have them repeated may never come.
     fn resend_stops(&mut self, machine_idx: MachineIdx) {
         let Some(machine) = self.cluster.machines.get(&machine_idx) else { return };
-        for id in &machine.attempts {
+        for id in machine.attempts() {
             if self.attempts.get(*id).is_some_and(|attempt| attempt.stop_reason.is_some()) {
                 self.attempts.update(*id, |attempt| attempt.stops_sent = 0);
                 self.commands.record_undelivered_stop(machine_idx);
@@ -73,21 +70,13 @@
             return;
         }
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
-        machine.unanswered_commands += 1;
-        if machine.unanswered_commands < MAX_UNANSWERED {
-            self.commands.request_probe(machine_idx);
-            return;
-        }
-        machine.unresponsive_since.get_or_insert(now);
-        if machine.missed_acks > MAX_MISSED_ACKS && machine.deletion_reason.is_none() {
-            tracing::info!(
-                machine = machine.name,
-                missed_acks = machine.missed_acks,
-                reason = "inbound partition",
-                "machine deleted"
-            );
-            machine.deletion_reason = Some(DeletionReason::InboundPartition);
-            self.cluster.leaving.insert(machine_idx);
+        match machine.liveness.record_unanswered_command(now) {
+            Responsiveness::Unconfirmed => self.commands.request_probe(machine_idx),
+            Responsiveness::Unresponsive if machine.acknowledgements.suggest_partition() => {
+                let reason = DeletionReason::InboundPartition;
+                self.cluster.mark_for_deletion(now, machine_idx, reason);
+            }
+            Responsiveness::Unresponsive => {}
         }
     }
 
@@ -109,16 +98,8 @@
     /// Records that a machine was reached and receives what is sent to it.
     fn record_answer(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
-        machine.unanswered_commands = 0;
-        machine.last_probe_answer = Some(now);
-        machine.answering_probes_since.get_or_insert(now);
-        if machine.last_heartbeat.1 == 0 {
-            machine.last_heartbeat.1 = heartbeat.incarnation;
-        }
-        machine.unresponsive_since = None;
-        machine.suspect_since = None;
-        machine.missed_acks = 0;
-        machine.expected_effects = Default::default();
+        machine.liveness.record_probe_answer(now, heartbeat.incarnation);
+        machine.acknowledgements.confirm();
     }
 
     /// Applies the states of the tasks that an answer lists. Those that it lacks prove nothing,
--- a/crates/gladekeel-controller/src/leader/commands/request.rs
+++ b/crates/gladekeel-controller/src/leader/commands/request.rs
@@ -59,11 +59,11 @@
 
     fn probe_request(&mut self, machine_idx: MachineIdx) -> Option<WorkerRequest> {
         let machine = self.cluster.machines.get_mut(&machine_idx)?;
-        if machine.command_in_flight || machine.deleted {
+        if machine.commands.is_in_flight() || machine.deletion.is_confirmed() {
             return None;
         }
         let addr = machine.addr.clone()?;
-        machine.command_in_flight = true;
+        machine.commands.begin_request(&[]);
         self.commands.record_probe_sent();
         Some(WorkerRequest {
             addr,
@@ -84,25 +84,27 @@
     ) -> Option<WorkerRequest> {
         let timeout_s = self.deployment.workers.heartbeat_timeout_s();
         let machine = self.cluster.machines.get(&machine_idx)?;
-        if machine.command_in_flight || machine.deleted || now - machine.silent_since > timeout_s {
+        if machine.commands.is_in_flight()
+            || machine.deletion.is_confirmed()
+            || machine.liveness.silent_s(now) > timeout_s
+        {
             return None;
         }
         let addr = machine.addr.clone()?;
-        let incarnation = machine.newest_message.0;
+        let incarnation = machine.newest_message.incarnation;
         let may_start = may_start && !self.needs_new_token && machine.may_receive_starts();
-        let attempts = machine.attempts.clone();
+        let attempts = machine.attempts().clone();
         let DueCommands { mut commands, starts } =
             self.due_commands(attempts, incarnation, may_start);
         let machine = self.cluster.machines.get_mut(&machine_idx)?;
         if commands.is_empty() {
-            if machine.missed_acks > 0 && machine.deletion_reason.is_none() {
+            if machine.acknowledgements.missed() > 0 && !machine.deletion.is_planned() {
                 // The probe shows whether it receives anything at all.
                 self.commands.request_probe(machine_idx);
             }
             return None;
         }
-        machine.unsettled_starts.extend(starts.iter().map(|id| (*id, None)));
-        machine.command_in_flight = true;
+        machine.commands.begin_request(&starts);
         commands.sort_by_key(|command| matches!(command, Command::Start { .. }));
         let token = self.token;
         let body = Some(DirectCommands { token, incarnation, commands });
@@ -168,7 +170,7 @@
 impl Machine {
     /// Whether starts may be sent to it: it stays, and acknowledges what it receives.
     fn may_receive_starts(&self) -> bool {
-        !self.is_leaving() && self.missed_acks == 0
+        !self.is_leaving() && self.acknowledgements.missed() == 0
     }
 }
 
--- a/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
+++ b/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
@@ -5,7 +5,7 @@
 //! last one once the machine sends a heartbeat under it.
 
 use super::{WorkerOutcome, WorkerRequest};
-use crate::leader::{AttemptId, Leader, Machine};
+use crate::leader::{Leader, Machine};
 
 /// After this time an unanswered start is settled by a new token.
 const UNSETTLED_START_S: f64 = 15.0;
@@ -15,16 +15,11 @@
 const DELETION_SETTLES_S: f64 = 2.0 * UNSETTLED_START_S;
 
 impl Machine {
-    /// Whether a start of this attempt that was sent directly may still be executed.
-    pub(in crate::leader) fn may_still_start(&self, attempt: AttemptId) -> bool {
-        self.unsettled_starts.contains_key(&attempt)
-    }
-
     /// Whether a start that has been unanswered `since` needs a new token to be settled.
     fn needs_new_token(&self, now: f64, since: f64, is_wanted: bool) -> bool {
         // A heartbeat under the new token is what settles it: without heartbeats there is none.
-        let sends_heartbeats = self.silent_since > since;
-        let settled_by_deletion = self.deletion_requested && now - since < DELETION_SETTLES_S;
+        let sends_heartbeats = self.liveness.silent_since() > since;
+        let settled_by_deletion = self.deletion.is_requested() && now - since < DELETION_SETTLES_S;
         let limit_s = if is_wanted { UNSETTLED_START_S } else { UNSETTLED_CANCELLED_START_S };
         sends_heartbeats && !settled_by_deletion && now - since > limit_s
     }
@@ -41,10 +36,10 @@
         let Some(machine) = self.cluster.machines.get_mut(&request.machine) else { return };
         for id in &request.starts {
             if *outcome == WorkerOutcome::Unknown {
-                machine.unsettled_starts.entry(*id).and_modify(|since| *since = Some(now));
+                machine.commands.record_unanswered_start(*id, now);
                 self.commands.record_unsettled_start(request.machine);
             } else {
-                machine.unsettled_starts.remove(id);
+                machine.commands.settle_start(*id);
             }
         }
     }
@@ -55,12 +50,13 @@
         let mut needs_new_token = false;
         self.commands.retain_unsettled_starts(|machine_idx| {
             let machine = self.cluster.machines.get(&machine_idx);
-            let Some(machine) = machine.filter(|machine| !machine.deleted) else { return false };
+            let Some(machine) = machine.filter(|machine| !machine.deletion.is_confirmed()) else {
+                return false;
+            };
             let mut has_unanswered = false;
-            for (id, since) in &machine.unsettled_starts {
-                let Some(since) = *since else { continue };
+            for (id, since) in machine.commands.unanswered_starts() {
                 has_unanswered = true;
-                let job = self.attempts.get(*id).and_then(|attempt| self.jobs.get(&attempt.job));
+                let job = self.attempts.get(id).and_then(|attempt| self.jobs.get(&attempt.job));
                 let is_wanted = job.is_some_and(|job| !job.is_cancelled());
                 needs_new_token |= machine.needs_new_token(now, since, is_wanted);
             }
--- /dev/null
+++ b/crates/gladekeel-controller/src/leader/failure_detection/cancellation_deadline.rs
@@ -0,0 +1,55 @@
+//! Deletes machines on which tasks of a cancelled job might outlast its deadline.
+//!
+//! Leases end the tasks of most machines that are out of reach in time. A machine that hangs
+//! does not end its lease while it hangs, but what the cloud deletes is gone for certain
+//! ("Cancelled work ends in time" in `docs/safety.md`).
+
+use super::thresholds::deletion_due_at;
+use crate::leader::{AssignmentPhase, Leader, machine::DeletionReason};
+use gladekeel_sched::{JobIdx, MachineIdx};
+
+/// Added to the heartbeat timeout, in seconds: for so long a new leader waits for heartbeats
+/// that show the tasks of a cancelled job gone, if it does not know when it was cancelled.
+const TAKEOVER_MARGIN_S: f64 = 2.0;
+
+impl Leader {
+    /// Marks machines for deletion that may run tasks of a cancelled job beyond its
+    /// deadline. Runs with the failure detector.
+    pub(in crate::leader) fn enforce_cancellation_deadlines(&mut self, now: f64) {
+        let mut overdue_machines = Vec::new();
+        for job_idx in &self.cancelled_on_machines {
+            if self.is_cancellation_overdue(*job_idx, now) {
+                overdue_machines.extend(self.machines_with_committed_attempts(*job_idx));
+            }
+        }
+        self.cancelled_on_machines.retain(|job_idx| {
+            self.jobs.contains_key(job_idx) && !self.attempts.of_job(*job_idx).is_empty()
+        });
+        for machine_idx in overdue_machines {
+            let reason = DeletionReason::CancelledTaskMayRun;
+            self.cluster.mark_for_deletion(now, machine_idx, reason);
+        }
+    }
+
+    /// Whether the machines that may still run a cancelled job must be deleted now.
+    fn is_cancellation_overdue(&self, job_idx: JobIdx, now: f64) -> bool {
+        let Some(job) = self.jobs.get(&job_idx) else { return false };
+        let workers = &self.deployment.workers;
+        let due_at = match job.cancelled_no_earlier_than {
+            f64::NEG_INFINITY => self.since + workers.heartbeat_timeout_s() + TAKEOVER_MARGIN_S,
+            cancelled_at => deletion_due_at(cancelled_at, workers.cancellation_deadline_s),
+        };
+        now >= due_at
+    }
+
+    fn machines_with_committed_attempts(
+        &self,
+        job_idx: JobIdx,
+    ) -> impl Iterator<Item = MachineIdx> {
+        let ids = self.attempts.of_job(job_idx).ids();
+        let attempts = ids.iter().filter_map(|id| self.attempts.get(*id));
+        attempts
+            .filter(|attempt| attempt.phase == AssignmentPhase::Committed)
+            .map(|attempt| attempt.machine)
+    }
+}
--- a/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
@@ -1,314 +1,254 @@
-//! Which machines are dead, and which may outlast the time that a cancelled job has.
+//! The failure detector: which machines to probe, and which to delete since they have failed.
+//!
+//! A silent machine may be well: it may send its heartbeats to another controller, or be cut
+//! off together with its zone, or this leader may be the one that is cut off. A machine counts
+//! as failed only if it does not respond to probes either, while others that share its
+//! way to a controller do. Without that proof only a silence of several leases ends it, or the
+//! deadline of a cancellation ("Machines" and "Cancelled work ends in time" in
+//! `docs/safety.md`).
+
+use super::{
+    observation::ClusterObservation,
+    reachability::{HeartbeatSilence, ReachableZones, ZoneReachability},
+    thresholds::{DetectionContext, DetectionThresholds},
+};
+use crate::{
+    leader::{Leader, Machine, machine::DeletionReason},
+    runtime_settings::RuntimeSettings,
+};
+use gladekeel_sched::ZoneIdx;
+use gladekeel_wire::settings::WorkerTimings;
+use std::collections::BTreeSet;
+
+/// For how long others must have responded to probes while a machine did not, in seconds. It
+/// is probed at least once more meanwhile.
+const SUSPECT_S: f64 = 2.5;
+/// A machine that has not booted after so many times the usual time has failed to.
+const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
+/// Added to that, in seconds, for machine types that boot at once.
+const BOOT_TIMEOUT_MARGIN_S: f64 = 10.0;
+/// The usual boot time of a machine whose type is not known, in seconds.
+const DEFAULT_BOOT_S: f64 = 60.0;
+
+/// Follows heartbeats and judges machines by them.
+#[derive(Debug)]
+pub(in crate::leader) struct FailureDetector {
+    zones: ZoneReachability,
+    reachable_zones: ReachableZones,
+}
 
-use crate::leader::{AssignmentPhase, Leader, Machine, machine::DeletionReason};
-use crate::runtime_settings::RuntimeSettings;
-use gladekeel_sched::{DenseIndex, ZoneIdx};
-use std::collections::{BTreeMap, BTreeSet};
+impl FailureDetector {
+    /// A detector for a new token. Silence of zones counts from now, but zones that were
+    /// reachable under the previous token have been so all the while.
+    pub fn new(
+        now: f64,
+        workers: &WorkerTimings,
+        reachable_zones: ReachableZones,
+    ) -> FailureDetector {
+        FailureDetector { zones: ZoneReachability::new(now, workers), reachable_zones }
+    }
 
-/// How long others of its zone answer while a machine does not answer: it is asked
-/// at least once more meanwhile.
-const SUSPECT_S: f64 = 2.5;
-/// Time that a deletion may take, with a cloud that is slow and asked for much.
-const DELETE_S: f64 = 15.0;
-/// A machine whose lease has run out and that answers, but has not reported for so many
-/// times as long as its reports may take, reaches no controller.
-const MUTE_REPORTS: f64 = 2.0;
-/// A zone that is silent as a whole is given up so long before a cancellation that its
-/// silence may have begun with must have ended.
-const GIVE_UP_S: f64 = 8.0;
-/// A machine that boots longer than this many times the usual time does not come.
-const BOOT_MULTIPLE: f64 = 2.5;
-/// Added to that, for one that boots in no time.
-const BOOT_MARGIN_S: f64 = 10.0;
-/// The usual time of a boot, where the type is not known.
-const UNKNOWN_BOOT_S: f64 = 60.0;
-/// A zone counts as heard if a machine reported within this part of `silent_s`.
-const HEARD_PART: f64 = 0.6;
-/// Added to the time in which one that answers should have reported.
-const MUTE_MARGIN_S: f64 = 4.0;
-/// A new leader asks so many machines at once how they are, if it has a whole core: answers of
-/// thousands would keep a small processor busy for longer than their next reports take.
-const ASKED_A_CORE: f64 = 500.0;
-/// A machine that is silent for so many leases is dead, whatever else is heard.
-const LEASES_SILENT: f64 = 3.0;
+    /// What goes on to count under the next token.
+    pub fn into_reachable_zones(self) -> ReachableZones {
+        self.reachable_zones
+    }
 
-impl Leader {
-    /// Deletes machines on which tasks of a cancelled job may outlast the time they have.
-    /// Leases end most of what is out of reach in time, but a machine that hangs ends
-    /// none, and what the cloud deletes is gone for certain.
-    pub(in crate::leader) fn end_cancelled(&mut self, now: f64) {
-        let workers = &self.deployment.workers;
-        // A new leader may not know when the user was told; the machines that it hears
-        // are given time to say that they have stopped.
-        let known_by = self.since + workers.heartbeat_timeout_s() + 2.0;
-        let mut over = Vec::new();
-        self.cancelled_on_machines.retain(|ix| {
-            let Some(job) = self.jobs.get(ix) else { return false };
-            let until = match job.cancelled_no_earlier_than {
-                f64::NEG_INFINITY => known_by,
-                after => after + workers.cancellation_deadline_s - DELETE_S,
-            };
-            if now >= until {
-                let ids = self.attempts.of_job(*ix).ids();
-                let attempts = ids.iter().filter_map(|id| self.attempts.get(*id));
-                over.extend(
-                    attempts.filter(|a| a.phase == AssignmentPhase::Committed).map(|a| a.machine),
-                );
-            }
-            !self.attempts.of_job(*ix).is_empty()
-        });
-        for ix in over {
-            let Some(machine) = self.cluster.machines.get_mut(&ix) else { continue };
-            if machine.deletion_reason.is_none() && !machine.deleted {
-                tracing::info!(machine = machine.name, "may still run a cancelled task: deleted");
-                machine.deletion_reason = Some(DeletionReason::CancelledTaskMayRun);
-                self.cluster.leaving.insert(ix);
-            }
-        }
+    /// Records that a machine of a zone was seen.
+    pub fn record_heartbeat(&mut self, zone: ZoneIdx, now: f64) {
+        self.zones.record_heartbeat(zone, now);
     }
 
-    /// Marks machines that are dead: silent, failed to boot, taken.
-    pub(in crate::leader) fn detect_failures(
-        &mut self,
-        now: f64,
-        options: &RuntimeSettings,
-        own_zone: &str,
-        heard_zones: &[&str],
-    ) {
-        let joined: BTreeSet<ZoneIdx> = std::iter::once(&own_zone)
-            .chain(heard_zones)
-            .filter_map(|zone| self.catalog.zones.get(*zone))
-            .collect();
-        let survey = self.survey(now, options, joined);
-        self.note_reach(now, &survey);
-        let limits = self.silence_limits(now, options);
-        for (ix, machine) in &mut self.cluster.machines {
-            if machine.deletion_reason.is_some() || machine.deleted {
-                continue;
-            }
-            let kind = machine
-                .machine_type
-                .and_then(|kind| self.catalog.machine_types.get(kind.position())?.as_ref());
-            let boot_s = kind.map_or(UNKNOWN_BOOT_S, |kind| kind.boot_s);
-            let reached = self.cluster.zones_reachable_since.get(&machine.zone);
-            let reached_s = reached.map_or(-1.0, |since| now - since);
-            if machine.is_late(now, &limits) {
-                self.commands.request_probe(*ix);
-            }
-            let reason = machine.reason_to_delete(now, &limits, &survey, reached_s, boot_s);
-            if reason.is_some() {
-                machine.deletion_reason = reason;
-                self.cluster.leaving.insert(*ix);
-            }
-        }
+    /// Whether none of a zone's machines is seen although heartbeats are overdue.
+    pub fn is_zone_unreachable(&self, zone: ZoneIdx, now: f64) -> bool {
+        self.zones.is_unreachable(zone, now)
     }
 
-    /// Who is heard and who has answered, by zone. `joined` are the zones of the leader and
-    /// of the controllers that it hears.
-    fn survey(
-        &self,
-        now: f64,
-        options: &RuntimeSettings,
-        joined: BTreeSet<ZoneIdx>,
-    ) -> ClusterObservation {
-        // A zone's silence must show well before a machine counts as dead.
-        let heard_s = HEARD_PART * options.unreachable_after_s;
-        let mut survey = ClusterObservation { joined, ..ClusterObservation::default() };
-        for machine in self.cluster.machines.values().filter(|m| m.should_send_heartbeats()) {
-            let zone = survey.zones.entry(machine.zone).or_default();
-            zone.reporting += 1;
-            if now - machine.silent_since < heard_s {
-                zone.heard += 1;
-                survey.heard_any = true;
-            }
-            zone.answered_at = zone.answered_at.max(machine.last_probe_answer);
-        }
-        survey
+    /// The zones of which no machine is seen although heartbeats are overdue.
+    pub fn unreachable_zones(&self, now: f64) -> impl Iterator<Item = ZoneIdx> {
+        self.zones.unreachable_zones(now)
     }
 
-    /// Notes how many machines should report, and which zones are within reach. Silence
-    /// counts only while a zone is: right after a cut its machines have been silent for
-    /// long and are about to be heard again.
-    fn note_reach(&mut self, now: f64, survey: &ClusterObservation) {
-        self.reachability.set_expected(survey.zones.values().map(|zone| zone.reporting).sum());
-        for (zone, view) in &survey.zones {
-            if let Some(zone) = zone {
-                // One that was not heard of yet is given time.
-                self.reachability.set_expected_in(*zone, view.reporting, now);
-            }
-        }
-        let since = &mut self.cluster.zones_reachable_since;
-        since.retain(|zone, _| survey.zones.contains_key(zone) && survey.in_reach(*zone));
-        for zone in survey.zones.keys().filter(|zone| survey.in_reach(**zone)) {
-            since.entry(*zone).or_insert(now);
-        }
+    /// For how long no machine at all was seen.
+    pub fn silence(&self, now: f64) -> HeartbeatSilence {
+        self.zones.silence(now)
     }
 
-    fn silence_limits(&self, now: f64, options: &RuntimeSettings) -> DetectionThresholds {
-        let workers = &self.deployment.workers;
-        let late_s = workers.heartbeat_timeout_s();
-        DetectionThresholds {
-            ask_s: workers.probe_after_s(),
-            asks_unknown: self.cluster.machines.len() as f64
-                <= ASKED_A_CORE * self.deployment.limits.cpu_share,
-            late_s,
-            lease_s: workers.lease_s,
-            silent_s: options.unreachable_after_s,
-            mute_s: MUTE_REPORTS * late_s + MUTE_MARGIN_S,
-            cut_s: (workers.lease_s + 2.0 * options.unreachable_after_s)
-                .min(workers.cancellation_deadline_s - GIVE_UP_S),
-            cancellations_due: now
-                >= self.store_contact_at + workers.cancellation_deadline_s - DELETE_S,
+    /// Takes over a new observation of the cluster.
+    fn apply_observation(&mut self, now: f64, observation: &ClusterObservation) {
+        let expected_by_zone = observation.expected_by_zone();
+        self.zones.set_expected(expected_by_zone.map(|(_, expected)| expected).sum());
+        for (zone, expected) in observation.expected_by_zone() {
+            if let Some(zone) = zone {
+                self.zones.set_expected_in(zone, expected, now);
+            }
         }
+        self.reachable_zones.update(now, observation);
     }
 }
 
-/// For how long silence means what.
-struct DetectionThresholds {
-    /// A machine is asked.
-    ask_s: f64,
-    /// Machines that this leader has not heard yet are asked at once.
-    asks_unknown: bool,
-    /// Its reports are late.
-    late_s: f64,
-    /// Its lease has run out.
-    lease_s: f64,
-    /// It may count as dead.
-    silent_s: f64,
-    /// One that answers reaches no controller with its reports.
-    mute_s: f64,
-    /// A zone that is silent as a whole is given up.
-    cut_s: f64,
-    /// The state service has been out of reach for so long that a job which was cancelled
-    /// right after the last contact must soon be off every machine, hanging ones included.
-    cancellations_due: bool,
+/// What the failure detector concludes about a machine.
+#[derive(Debug, Default)]
+struct Verdict {
+    /// The machine is to be probed.
+    needs_probe: bool,
+    /// The machine is to be deleted.
+    deletion: Option<DeletionReason>,
 }
 
-/// Who was heard, as of one look at all machines.
-#[derive(Default)]
-struct ClusterObservation {
-    zones: BTreeMap<Option<ZoneIdx>, ZoneObservation>,
-    /// Zones of the leader and of the controllers that it hears.
-    joined: BTreeSet<ZoneIdx>,
-    heard_any: bool,
+/// One pass of the failure detector over all machines.
+struct DetectionPass<'a> {
+    now: f64,
+    thresholds: &'a DetectionThresholds,
+    observation: &'a ClusterObservation,
+    reachable_zones: &'a ReachableZones,
 }
 
-/// Who was heard in a zone.
-#[derive(Default)]
-struct ZoneObservation {
-    reporting: usize,
-    heard: usize,
-    /// When one of its machines last answered a direct request.
-    answered_at: Latest,
-}
-
-/// The latest of some times, if there is one.
-#[derive(Debug, Clone, Copy, Default)]
-struct Latest(Option<f64>);
-
-impl Latest {
-    fn max(self, at: Option<f64>) -> Latest {
-        Latest(self.0.into_iter().chain(at).reduce(f64::max))
+impl DetectionPass<'_> {
+    /// Judges a machine whose deletion is not planned. `boot_s` is the usual boot time of its
+    /// type, in seconds.
+    fn assess(&self, machine: &mut Machine, boot_s: f64) -> Verdict {
+        Verdict {
+            needs_probe: self.needs_probe(machine),
+            deletion: self.deletion_reason(machine, boot_s),
+        }
     }
 
-    fn is_after(self, at: f64) -> bool {
-        self.0.is_some_and(|latest| latest > at)
+    /// Whether a machine is to be probed: its heartbeat is overdue, or it was up before this
+    /// term and its tasks should be known sooner than by its next heartbeat.
+    fn needs_probe(&self, machine: &Machine) -> bool {
+        let is_unseen = !machine.liveness.was_seen() && machine.has_booted();
+        let is_overdue = machine.liveness.silent_s(self.now) > self.thresholds.probe_after_s;
+        machine.should_send_heartbeats()
+            && !is_drained(machine)
+            && !self.is_outbound_partitioned(machine)
+            && (is_overdue || (is_unseen && self.thresholds.probes_unseen_machines))
     }
-}
 
-impl ClusterObservation {
-    /// Whether a controller is in the zone, or the zone is not known.
-    fn is_joined(&self, zone: Option<ZoneIdx>) -> bool {
-        zone.is_none_or(|zone| self.joined.contains(&zone))
+    fn deletion_reason(&self, machine: &mut Machine, boot_s: f64) -> Option<DeletionReason> {
+        if is_drained(machine) {
+            return Some(DeletionReason::Drained);
+        }
+        if self.is_outbound_partitioned(machine) {
+            return Some(DeletionReason::OutboundPartition);
+        }
+        if !machine.should_send_heartbeats() {
+            return self.has_boot_timed_out(machine, boot_s).then_some(DeletionReason::BootTimeout);
+        }
+        self.update_suspicion(machine);
+        self.has_heartbeat_timed_out(machine).then_some(DeletionReason::HeartbeatTimeout)
     }
 
-    /// Whether a zone is within reach: a machine there is heard, or any machine is and a
-    /// controller is there. Without a single machine, the leader may be the one that is
-    /// cut off.
-    fn in_reach(&self, zone: Option<ZoneIdx>) -> bool {
-        let heard = self.zones.get(&zone).is_some_and(|view| view.heard > 0);
-        heard || (self.heard_any && self.is_joined(zone))
+    /// Whether a machine responds to probes although its lease has expired: its heartbeats
+    /// reach no controller, so it would lose every long task again and again.
+    fn is_outbound_partitioned(&self, machine: &Machine) -> bool {
+        let liveness = &machine.liveness;
+        liveness.answering_probes_s(self.now) > self.thresholds.outbound_partition_s
+            && liveness.silent_s(self.now) < self.thresholds.heartbeat_timeout_s
+            && machine.newest_message.incarnation > liveness.last_heartbeat_incarnation()
     }
 
-    /// Whether others of a zone have answered after a time.
-    fn answered_after(&self, zone: Option<ZoneIdx>, at: f64) -> bool {
-        let here = self.zones.get(&zone).is_some_and(|view| view.answered_at.is_after(at));
-        let mut anywhere = self.zones.values().map(|view| view.answered_at);
-        here || (self.is_joined(zone) && anywhere.any(|answered| answered.is_after(at)))
+    /// Whether a machine that was never seen has not booted in time. One that was up before
+    /// this term may be about to send its first heartbeat to this leader.
+    fn has_boot_timed_out(&self, machine: &Machine, boot_s: f64) -> bool {
+        let timeout_s = boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN_S;
+        machine.liveness.silent_s(self.now) > self.thresholds.unreachable_after_s
+            && machine.provisioned_at.age_s(self.now) > timeout_s
     }
-}
 
-impl Machine {
-    /// Whether it is asked whether it is there: it is late, or it was up before this leader
-    /// began, so that its tasks are known before its next report.
-    fn is_late(&self, now: f64, limits: &DetectionThresholds) -> bool {
-        let unknown = self.last_seen.is_none() && self.has_booted();
-        self.should_send_heartbeats()
-            && !self.is_empty_and_drained()
-            && !self.reports_to_nobody(now, limits)
-            && (now - self.silent_since > limits.ask_s || (unknown && limits.asks_unknown))
+    /// Notes when others have responded since a machine became unresponsive: that tells its
+    /// failure from a partition between it and this leader.
+    fn update_suspicion(&self, machine: &mut Machine) {
+        let unresponsive_since = machine.liveness.unresponsive_since();
+        if unresponsive_since
+            .is_some_and(|since| self.observation.others_answered_after(machine.zone, since))
+        {
+            machine.liveness.record_suspicion(self.now);
+        }
     }
 
-    fn is_empty_and_drained(&self) -> bool {
-        self.draining && self.attempts.is_empty()
+    /// Whether the silence of a machine means that it has failed. That of its whole zone may be
+    /// a partition with work going on behind it, which only a long silence ends, unless
+    /// tasks whose cancellation this leader has not learned of may be there.
+    fn has_heartbeat_timed_out(&self, machine: &Machine) -> bool {
+        let thresholds = self.thresholds;
+        let silent_s = machine.liveness.silent_s(self.now);
+        let any_seen = self.observation.any_machine_seen();
+        self.has_failed_alone(machine)
+            || (any_seen && silent_s > thresholds.silent_zone_s)
+            || (any_seen
+                && thresholds.unknown_cancellations_due
+                && silent_s > thresholds.unreachable_after_s)
+            || silent_s > thresholds.max_silence_s
     }
 
-    /// Whether it answers, but its lease has run out: nobody hears its reports, and it would
-    /// lose every long task again and again.
-    fn reports_to_nobody(&self, now: f64, limits: &DetectionThresholds) -> bool {
-        let answers_s = self.answering_probes_since.map_or(0.0, |since| now - since);
-        answers_s > limits.mute_s
-            && now - self.silent_since < limits.late_s
-            && self.newest_message.0 > self.last_heartbeat.1
+    /// Whether a machine is silent while its zone is reachable and others respond to probes.
+    /// Right after a partition all machines of the zone have been silent for long, and are
+    /// about to be seen again: only silence while the zone is reachable counts.
+    fn has_failed_alone(&self, machine: &Machine) -> bool {
+        let silent_s = machine.liveness.silent_s(self.now);
+        let reachable_s = self.reachable_zones.reachable_s(machine.zone, self.now);
+        reachable_s.is_some_and(|reachable_s| {
+            silent_s.min(reachable_s) > self.thresholds.unreachable_after_s
+        }) && machine.liveness.is_suspect_for(SUSPECT_S, self.now)
     }
+}
+
+/// Whether operators have ordered a machine drained and no attempt is left on it.
+fn is_drained(machine: &Machine) -> bool {
+    machine.draining && machine.is_idle()
+}
 
-    /// Why it is to be deleted, if it is: what it says, or that it says nothing.
-    fn reason_to_delete(
+impl Leader {
+    /// Runs the failure detector: requests probes, and marks failed machines for deletion.
+    /// `own_zone` is this leader's, `peer_zones` are those of the controllers that it reaches.
+    pub(in crate::leader) fn detect_failures(
         &mut self,
         now: f64,
-        limits: &DetectionThresholds,
-        survey: &ClusterObservation,
-        reached_s: f64,
-        boot_s: f64,
-    ) -> Option<DeletionReason> {
-        let quiet = now - self.silent_since;
-        if self.is_empty_and_drained() {
-            tracing::info!(machine = self.name, "drained: returned");
-            return Some(DeletionReason::Drained);
-        }
-        if self.reports_to_nobody(now, limits) {
-            tracing::info!(machine = self.name, quiet, "reports to nobody: deleted");
-            return Some(DeletionReason::OutboundPartition);
-        }
-        if !self.should_send_heartbeats() {
-            // One that was up already has not reported to this leader yet; it may be
-            // about to.
-            let booted_s = now - self.rented_at;
-            let overdue = booted_s > boot_s * BOOT_MULTIPLE + BOOT_MARGIN_S;
-            if quiet <= limits.silent_s || !overdue {
-                return None;
+        options: &RuntimeSettings,
+        own_zone: &str,
+        peer_zones: &[&str],
+    ) {
+        let thresholds = self.detection_thresholds(now, options);
+        let controller_zones = self.controller_zones(own_zone, peer_zones);
+        let machines = self.cluster.machines.values();
+        let observation = ClusterObservation::collect(now, machines, controller_zones, &thresholds);
+        self.failure_detector.apply_observation(now, &observation);
+        let pass = DetectionPass {
+            now,
+            thresholds: &thresholds,
+            observation: &observation,
+            reachable_zones: &self.failure_detector.reachable_zones,
+        };
+        let mut failed = Vec::new();
+        for (machine_idx, machine) in &mut self.cluster.machines {
+            if machine.deletion.is_planned() {
+                continue;
             }
-            tracing::info!(machine = self.name, "never came up: deleted");
-            return Some(DeletionReason::BootTimeout);
-        }
-        // It may report to another node and be well, or a cut may have begun when it was
-        // about to report, or no worker can be reached from here: its silence counts only if
-        // it does not answer while others of its zone do.
-        if self.unresponsive_since.is_some_and(|mute| survey.answered_after(self.zone, mute)) {
-            self.suspect_since.get_or_insert(now);
+            let machine_type = machine.machine_type.and_then(|idx| self.catalog.machine_type(idx));
+            let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
+            let verdict = pass.assess(machine, boot_s);
+            if verdict.needs_probe {
+                self.commands.request_probe(*machine_idx);
+            }
+            failed.extend(verdict.deletion.map(|reason| (*machine_idx, reason)));
         }
-        let dead = self.suspect_since.is_some_and(|since| now - since >= SUSPECT_S);
-        // Silence of a whole zone may be a cut, and its machines may be at work behind it:
-        // only a long one is taken for their end, unless cancelled tasks that this leader
-        // has not heard of may be on them.
-        let silent = (quiet.min(reached_s) > limits.silent_s && dead)
-            || (survey.heard_any && quiet > limits.cut_s)
-            || (survey.heard_any && limits.cancellations_due && quiet > limits.silent_s)
-            || quiet > LEASES_SILENT * limits.lease_s;
-        if !silent {
-            return None;
+        for (machine_idx, reason) in failed {
+            self.cluster.mark_for_deletion(now, machine_idx, reason);
         }
-        tracing::info!(machine = self.name, quiet, "silent: deleted");
-        Some(DeletionReason::HeartbeatTimeout)
+    }
+
+    fn detection_thresholds(&self, now: f64, options: &RuntimeSettings) -> DetectionThresholds {
+        let context = DetectionContext {
+            now,
+            unreachable_after_s: options.unreachable_after_s,
+            machines: self.cluster.machines.len(),
+            store_contact_at: self.store_contact_at,
+        };
+        DetectionThresholds::new(&self.deployment, &context)
+    }
+
+    fn controller_zones(&self, own_zone: &str, peer_zones: &[&str]) -> BTreeSet<ZoneIdx> {
+        let zones = std::iter::once(&own_zone).chain(peer_zones);
+        zones.filter_map(|zone| self.catalog.zones.get(*zone)).collect()
     }
 }
--- a/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -1,115 +1,177 @@
-//! Tasks on machines that go away: stopped in time, released once the machine is gone.
+//! Tasks on machines that are drained, reclaimed or deleted: stopped in time, and released
+//! once the machine is gone.
 
 use crate::leader::{
-    AssignmentPhase, Attempt, AttemptOutcome, Job, Leader, StopReason, machine::DeletionReason,
+    AssignmentPhase, Attempt, AttemptId, AttemptOutcome, ClusterState, Job, Leader, Machine,
+    StopReason, machine::DeletionReason,
 };
-use gladekeel_sched::JobIdx;
+use gladekeel_sched::{JobIdx, MachineIdx};
 use std::collections::BTreeMap;
 
+/// A task that ends so long before its machine is reclaimed may go on, in seconds.
+const TERMINATION_MARGIN_S: f64 = 0.5;
+
+/// Which gangs are reachable, as worked out at one time already.
+#[derive(Debug, Default)]
+pub(in crate::leader) struct GangReachability(BTreeMap<JobIdx, bool>);
+
+/// What is to be done about the machines that are leaving.
+#[derive(Debug, Default)]
+struct Evacuation {
+    /// Machines that the cloud reclaims now.
+    reclaimed: Vec<MachineIdx>,
+    /// Attempts that are not committed, to place elsewhere.
+    withdraw: Vec<AttemptId>,
+    /// Attempts to stop while they can still save their progress.
+    stop: Vec<AttemptId>,
+    /// Attempts that are gone with their machine.
+    release: Vec<AttemptId>,
+}
+
+impl ClusterState {
+    /// Marks a machine for deletion, unless it is marked already.
+    pub(in crate::leader) fn mark_for_deletion(
+        &mut self,
+        now: f64,
+        machine_idx: MachineIdx,
+        reason: DeletionReason,
+    ) {
+        let Some(machine) = self.machines.get_mut(&machine_idx) else { return };
+        if machine.mark_for_deletion(now, reason) {
+            self.leaving.insert(machine_idx);
+        }
+    }
+}
+
 impl Leader {
-    /// Looks after machines that went away and tasks that must leave.
+    /// Moves tasks off the machines that are leaving. Runs in each tick, and when the cloud
+    /// has confirmed deletions.
     pub(in crate::leader) fn evacuate_leaving_machines(&mut self, now: f64) {
-        let (mut release, mut withdraw, mut stop) = (Vec::new(), Vec::new(), Vec::new());
-        self.cluster
-            .leaving
-            .retain(|ix| self.cluster.machines.get(ix).is_some_and(|m| m.is_leaving()));
-        let mut taken = Vec::new();
-        let mut heard = BTreeMap::new();
-        for ix in &self.cluster.leaving {
-            let Some(machine) = self.cluster.machines.get(ix) else { continue };
-            // The cloud takes it: what is left on it is lost, and to know that for
-            // certain it is deleted.
-            let over =
-                machine.termination_at.is_some_and(|at| now >= at || machine.attempts.is_empty());
-            if over && machine.deletion_reason.is_none() {
-                taken.push(*ix);
-            }
-            for id in &machine.attempts {
-                match self.attempts.get(*id) {
-                    Some(attempt) if attempt.phase == AssignmentPhase::Proposed => {
-                        withdraw.push(*id);
-                    }
-                    Some(_) if machine.deleted => release.push(*id),
-                    Some(attempt)
-                        if attempt.stop_reason.is_none()
-                            && self.must_leave(now, attempt, &mut heard) =>
-                    {
-                        stop.push(*id);
-                    }
-                    _ => {}
-                }
-            }
+        let machines = &self.cluster.machines;
+        self.cluster.leaving.retain(|idx| machines.get(idx).is_some_and(Machine::is_leaving));
+        let evacuation = self.plan_evacuation(now);
+        for machine_idx in evacuation.reclaimed {
+            self.cluster.mark_for_deletion(now, machine_idx, DeletionReason::SpotTermination);
         }
-        for ix in taken {
-            if let Some(machine) = self.cluster.machines.get_mut(&ix) {
-                tracing::info!(
-                    machine = machine.name,
-                    tasks = machine.attempts.len(),
-                    "taken: deleted"
-                );
-                machine.deletion_reason = Some(DeletionReason::SpotTermination);
-            }
+        for id in evacuation.stop {
+            self.stop_for_drain(id);
         }
-        for id in stop {
-            let job = self.attempts.get(id).map(|attempt| attempt.job);
-            if let Some(job) = job.filter(|job| self.jobs.get(job).is_some_and(Job::is_gang)) {
-                self.stop_gang(job, StopReason::Drained);
-            } else {
-                let machine = self.attempts.update(id, |attempt| {
-                    attempt.stop_reason = Some(StopReason::Drained);
-                    attempt.machine
-                });
-                self.commands.request_commands_on(machine);
+        self.withdraw(&evacuation.withdraw, now);
+        for id in evacuation.release {
+            self.release(id, AttemptOutcome::Requeued);
+        }
+    }
+
+    fn plan_evacuation(&self, now: f64) -> Evacuation {
+        let mut evacuation = Evacuation::default();
+        let mut gangs = GangReachability::default();
+        for machine_idx in &self.cluster.leaving {
+            let Some(machine) = self.cluster.machines.get(machine_idx) else { continue };
+            if is_reclaimed(machine, now) {
+                evacuation.reclaimed.push(*machine_idx);
+            }
+            for id in machine.attempts() {
+                let Some(attempt) = self.attempts.get(*id) else { continue };
+                if attempt.phase == AssignmentPhase::Proposed {
+                    evacuation.withdraw.push(*id);
+                } else if machine.deletion.is_confirmed() {
+                    evacuation.release.push(*id);
+                } else if attempt.stop_reason.is_none() && self.must_stop(now, attempt, &mut gangs)
+                {
+                    evacuation.stop.push(*id);
+                }
             }
         }
-        self.withdraw(&withdraw, now);
-        for id in release {
-            self.release(id, AttemptOutcome::Requeued);
+        evacuation
+    }
+
+    /// Stops an attempt, or its whole gang, so that it can save its progress.
+    fn stop_for_drain(&mut self, id: AttemptId) {
+        let job_idx = self.attempts.get(id).map(|attempt| attempt.job);
+        let is_gang = |job_idx: &JobIdx| self.jobs.get(job_idx).is_some_and(Job::is_gang);
+        if let Some(job_idx) = job_idx.filter(is_gang) {
+            self.stop_gang(job_idx, StopReason::Drained);
+        } else {
+            let machine_idx = self.attempts.update(id, |attempt| {
+                attempt.stop_reason = Some(StopReason::Drained);
+                attempt.machine
+            });
+            self.commands.request_commands_on(machine_idx);
         }
     }
 
-    /// Whether a task on a machine that is on its way out should be stopped: while it
-    /// still can save, or since it will not complete before the machine is taken and
-    /// is better begun anew at once.
-    fn must_leave(&self, now: f64, attempt: &Attempt, heard: &mut BTreeMap<JobIdx, bool>) -> bool {
+    /// Whether a task on a machine that is leaving should be stopped: while it can still save
+    /// its progress, or since it will not complete before the machine is reclaimed and is
+    /// better restarted elsewhere at once.
+    fn must_stop(&self, now: f64, attempt: &Attempt, gangs: &mut GangReachability) -> bool {
         let (Some(machine), Some(job)) =
             (self.cluster.machines.get(&attempt.machine), self.jobs.get(&attempt.job))
         else {
             return false;
         };
-        let Some(left_s) = machine.termination_at.map(|at| at - now) else {
-            return machine.draining
-                && job.spec.checkpoint_interval_s > 0.0
-                && attempt.reported_state.is_some()
-                && (!job.is_gang() || self.all_heard(attempt.job, now, heard));
-        };
+        match machine.termination_at {
+            None => machine.draining && self.can_save(now, attempt, job, gangs),
+            Some(at) => self.must_stop_before_termination(now, at - now, attempt, job, gangs),
+        }
+    }
+
+    /// Whether a task can save its progress if it is stopped now.
+    fn can_save(
+        &self,
+        now: f64,
+        attempt: &Attempt,
+        job: &Job,
+        gangs: &mut GangReachability,
+    ) -> bool {
+        job.spec.checkpoint_interval_s > 0.0
+            && attempt.reported_state.is_some()
+            && (!job.is_gang() || self.is_gang_reachable(attempt.job, now, gangs))
+    }
+
+    /// Whether a task should be stopped on a machine that is reclaimed in `left_s` seconds.
+    fn must_stop_before_termination(
+        &self,
+        now: f64,
+        left_s: f64,
+        attempt: &Attempt,
+        job: &Job,
+        gangs: &mut GangReachability,
+    ) -> bool {
         let run_s = job.run_times.median_s().unwrap_or_else(|| self.expected_run(job));
-        let ran = attempt.running_since.map_or(0.0, |since| now - since);
-        let too_long = run_s - ran > left_s - 0.5;
+        let ran_s = attempt.running_since.map_or(0.0, |since| now - since);
+        let exceeds_termination = run_s - ran_s > left_s - TERMINATION_MARGIN_S;
         if !job.is_gang() || job.spec.checkpoint_interval_s == 0.0 {
-            return too_long;
+            return exceeds_termination;
         }
-        // A gang with too little time to save would fall back to its last checkpoint by
-        // being stopped as by losing the machine; running on it may reach another one.
-        too_long
+        // A gang with too little time to save would fall back to its last checkpoint by being
+        // stopped as by losing the machine; if it runs on it may reach another checkpoint.
+        exceeds_termination
             && left_s > job.grace_period_s(StopReason::Drained)
-            && self.all_heard(attempt.job, now, heard)
+            && self.is_gang_reachable(attempt.job, now, gangs)
     }
 
-    /// Whether all machines of a gang are heard, so that a stop reaches all its tasks.
-    /// `heard` keeps the answers that were worked out at the same time already.
-    pub(in crate::leader) fn all_heard(
+    /// Whether all machines of a gang are reachable, so that a stop reaches all its tasks: what
+    /// a part of them saves is of no use.
+    pub(in crate::leader) fn is_gang_reachable(
         &self,
-        job_ix: JobIdx,
+        job_idx: JobIdx,
         now: f64,
-        heard: &mut BTreeMap<JobIdx, bool>,
+        known: &mut GangReachability,
     ) -> bool {
-        let late_s = self.deployment.workers.heartbeat_timeout_s();
-        *heard.entry(job_ix).or_insert_with(|| {
-            self.attempts.of_job(job_ix).machines().all(|ix| {
-                let machine = self.cluster.machines.get(&ix);
-                machine.is_some_and(|m| now - m.silent_since < late_s && m.missed_acks == 0)
+        let heartbeat_timeout_s = self.deployment.workers.heartbeat_timeout_s();
+        *known.0.entry(job_idx).or_insert_with(|| {
+            self.attempts.of_job(job_idx).machines().all(|machine_idx| {
+                self.cluster.machines.get(&machine_idx).is_some_and(|machine| {
+                    machine.liveness.silent_s(now) < heartbeat_timeout_s
+                        && machine.acknowledgements.missed() == 0
+                })
             })
         })
     }
 }
+
+/// Whether the cloud reclaims a machine now. What is left on it is lost; its deletion proves
+/// that.
+fn is_reclaimed(machine: &Machine, now: f64) -> bool {
+    machine.termination_at.is_some_and(|at| now >= at || machine.is_idle())
+}
--- a/crates/gladekeel-controller/src/leader/failure_detection/mod.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/mod.rs
@@ -1,6 +1,14 @@
-//! Failure detection: which machines and zones are unreachable, and what leaves a machine that
-//! goes away.
+//! Finds machines that have failed, and gets their tasks to others.
+//!
+//! The leader runs the [`detector::FailureDetector`] once in each scheduling cycle. It weighs
+//! who was seen and who responds to probes, and says which machines to probe and which to
+//! delete. Only the confirmed deletion of a machine releases its tasks, never its silence alone
+//! ("Machines" in `docs/safety.md`); [`evacuation`] does that, and stops tasks in time on
+//! machines that are about to go.
 
+mod cancellation_deadline;
 pub(in crate::leader) mod detector;
 pub(in crate::leader) mod evacuation;
+mod observation;
 pub(in crate::leader) mod reachability;
+mod thresholds;
--- a/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
@@ -1,78 +1,113 @@
-//! Which machines and zones the leader hears.
+//! Which zones the leader reaches, by the heartbeats that arrive from them.
 
+use super::observation::ClusterObservation;
 use gladekeel_sched::ZoneIdx;
 use gladekeel_wire::settings::WorkerTimings;
 use std::collections::BTreeMap;
 
-/// A zone of which so many reports in a row are missing is out of reach.
-const QUIET_REPORTS: f64 = 30.0;
-/// It is so after this long at the least.
-const QUIET_LEAST_S: f64 = 1.5;
+/// A zone counts as unreachable once so many heartbeats in a row are missing.
+const MAX_MISSING_HEARTBEATS: f64 = 30.0;
+/// The shortest silence of a zone that counts, in seconds.
+const MIN_ZONE_TIMEOUT_S: f64 = 1.5;
 
-/// Reports as they arrive, for all machines together and by zone.
+/// When machines were last seen, in all and by zone. The scheduler places no work in a zone
+/// that is unreachable, and a leader that sees no machine at all resigns.
 #[derive(Debug)]
 pub(in crate::leader) struct ZoneReachability {
-    /// When any machine was heard.
-    heard_at: f64,
-    /// How many machines should report, as of the last look.
-    reporting: usize,
-    zones: BTreeMap<ZoneIdx, Zone>,
-    report_s: f64,
-    late_s: f64,
+    /// When any machine was last seen.
+    last_seen: f64,
+    /// Machines of which heartbeats are expected.
+    expected: usize,
+    zones: BTreeMap<ZoneIdx, ZoneHeartbeats>,
+    heartbeat_interval_s: f64,
+    heartbeat_timeout_s: f64,
 }
 
-/// The same of one zone.
+/// The heartbeats of one zone.
 #[derive(Debug, Default)]
-struct Zone {
-    reporting: usize,
-    heard_at: f64,
+struct ZoneHeartbeats {
+    expected: usize,
+    last_seen: f64,
+}
+
+/// For how long no machine at all was seen.
+#[derive(Debug, Clone, Copy)]
+pub struct HeartbeatSilence {
+    /// Machines of which heartbeats are expected.
+    pub expected_machines: usize,
+    /// For how long none of them was seen, in seconds.
+    pub silent_s: f64,
 }
 
 impl ZoneReachability {
-    /// Nothing was heard yet; silence counts from now.
+    /// No machine was seen yet; silence counts from now.
     pub fn new(now: f64, workers: &WorkerTimings) -> ZoneReachability {
         ZoneReachability {
-            heard_at: now,
-            reporting: 0,
+            last_seen: now,
+            expected: 0,
             zones: BTreeMap::new(),
-            report_s: workers.heartbeat_interval_s,
-            late_s: workers.heartbeat_timeout_s(),
+            heartbeat_interval_s: workers.heartbeat_interval_s,
+            heartbeat_timeout_s: workers.heartbeat_timeout_s(),
         }
     }
 
-    /// Records that a machine of a zone was heard.
+    /// Records that a machine of a zone was seen.
     pub fn record_heartbeat(&mut self, zone: ZoneIdx, now: f64) {
-        self.heard_at = now;
-        self.zones.entry(zone).or_default().heard_at = now;
+        self.last_seen = now;
+        self.zones.entry(zone).or_default().last_seen = now;
     }
 
-    /// Sets how many machines should report, in all.
-    pub fn set_expected(&mut self, all: usize) {
-        self.reporting = all;
+    /// Sets of how many machines heartbeats are expected, in all.
+    pub fn set_expected(&mut self, machines: usize) {
+        self.expected = machines;
     }
 
-    /// Sets how many machines of a zone should report.
-    pub fn set_expected_in(&mut self, zone: ZoneIdx, all: usize, now: f64) {
-        let new = Zone { reporting: 0, heard_at: now };
-        self.zones.entry(zone).or_insert(new).reporting = all;
+    /// Sets of how many machines of a zone heartbeats are expected. The silence of a zone
+    /// that is new counts from now.
+    pub fn set_expected_in(&mut self, zone: ZoneIdx, machines: usize, now: f64) {
+        let new_zone = ZoneHeartbeats { expected: 0, last_seen: now };
+        self.zones.entry(zone).or_insert(new_zone).expected = machines;
     }
 
-    /// Whether none of a zone's machines is heard although by their number some should
-    /// be: work that is placed there now would wait behind a cut.
+    /// Whether so many heartbeats of a zone are missing that it is likely to be partitioned:
+    /// work that is placed there now would not start until that is over.
     pub fn is_unreachable(&self, zone: ZoneIdx, now: f64) -> bool {
         self.zones.get(&zone).is_some_and(|zone| {
-            let due_s = QUIET_REPORTS * self.report_s / zone.reporting.max(1) as f64;
-            now - zone.heard_at > due_s.clamp(QUIET_LEAST_S, self.late_s)
+            let machines = zone.expected.max(1) as f64;
+            let missing_s = MAX_MISSING_HEARTBEATS * self.heartbeat_interval_s / machines;
+            now - zone.last_seen > missing_s.clamp(MIN_ZONE_TIMEOUT_S, self.heartbeat_timeout_s)
         })
     }
 
-    /// The zones that are quiet.
+    /// The zones that are unreachable.
     pub fn unreachable_zones(&self, now: f64) -> impl Iterator<Item = ZoneIdx> {
         self.zones.keys().copied().filter(move |zone| self.is_unreachable(*zone, now))
     }
 
-    /// Machines that should report, and how long none of them has.
-    pub fn silence(&self, now: f64) -> (usize, f64) {
-        (self.reporting, now - self.heard_at)
+    /// For how long no machine at all was seen.
+    pub fn silence(&self, now: f64) -> HeartbeatSilence {
+        HeartbeatSilence { expected_machines: self.expected, silent_s: now - self.last_seen }
+    }
+}
+
+/// Since when each zone has been reachable without interruption, as the failure detector
+/// observed it. It outlives the fencing token. `None` stands for machines of unknown zone.
+#[derive(Debug, Default)]
+pub(in crate::leader) struct ReachableZones {
+    since: BTreeMap<Option<ZoneIdx>, f64>,
+}
+
+impl ReachableZones {
+    /// Takes over which zones are reachable now.
+    pub(super) fn update(&mut self, now: f64, observation: &ClusterObservation) {
+        self.since.retain(|zone, _| observation.is_reachable(*zone));
+        for zone in observation.reachable_zones() {
+            self.since.entry(zone).or_insert(now);
+        }
+    }
+
+    /// For how long a zone has been reachable, in seconds, if it is.
+    pub fn reachable_s(&self, zone: Option<ZoneIdx>, now: f64) -> Option<f64> {
+        self.since.get(&zone).map(|since| now - since)
     }
 }
--- /dev/null
+++ b/crates/gladekeel-controller/src/leader/machine/acknowledgements.rs
@@ -0,0 +1,96 @@
+//! Whether a worker acts on the responses to its heartbeats.
+//!
+//! A worker applies a response before it sends its next heartbeat, so that the next one
+//! shows whether the response arrived. With an inbound partition heartbeats go on to arrive,
+//! but nothing that is sent to the machine takes effect there: it must get no new work, nor
+//! look alive because of its heartbeats.
+
+use gladekeel_wire::worker::Command;
+use std::collections::BTreeSet;
+
+/// Responses in a row without effect, after which a worker must respond to a direct command.
+const MAX_MISSED_ACKS: u32 = 2;
+
+/// What the next heartbeat is to show if the response to the last one arrived.
+#[derive(Debug, Default, Clone, PartialEq, Eq)]
+pub struct ExpectedEffects {
+    /// The response carried a fencing token that the worker had not seen.
+    token_seen: bool,
+    /// Attempts to start, by the numbers that workers use.
+    starts: Vec<u64>,
+    /// Attempts to forget, by the numbers that workers use.
+    forgets: Vec<u64>,
+}
+
+impl ExpectedEffects {
+    /// The effects of a response with these commands, to a heartbeat that was made under
+    /// this leader's token or not.
+    pub fn of_response(commands: &[Command], knows_token: bool) -> ExpectedEffects {
+        let mut effects = ExpectedEffects { token_seen: !knows_token, ..Default::default() };
+        for command in commands {
+            match command {
+                Command::Start { attempt, .. } => effects.starts.push(*attempt),
+                Command::Forget { attempt, .. } => effects.forgets.push(*attempt),
+                Command::Stop { .. } => {}
+            }
+        }
+        effects
+    }
+
+    fn is_empty(&self) -> bool {
+        !self.token_seen && self.starts.is_empty() && self.forgets.is_empty()
+    }
+
+    /// Whether a heartbeat with these attempts shows any of the effects.
+    fn any_shown(&self, reported_attempts: &BTreeSet<u64>, knows_token: bool) -> bool {
+        self.starts.iter().any(|attempt| reported_attempts.contains(attempt))
+            || self.forgets.iter().any(|attempt| !reported_attempts.contains(attempt))
+            || (self.token_seen && knows_token)
+    }
+}
+
+/// Compares the responses to a worker's heartbeats with the heartbeats that follow.
+#[derive(Debug, Default)]
+pub struct Acknowledgements {
+    expected: ExpectedEffects,
+    missed: u32,
+}
+
+impl Acknowledgements {
+    /// Sets what the next heartbeat is to show.
+    pub fn expect(&mut self, effects: ExpectedEffects) {
+        self.expected = effects;
+    }
+
+    /// Compares a heartbeat with what it was expected to show.
+    pub fn check_heartbeat(&mut self, reported_attempts: &BTreeSet<u64>, knows_token: bool) {
+        let expected = std::mem::take(&mut self.expected);
+        if expected.any_shown(reported_attempts, knows_token) {
+            self.missed = 0;
+        } else if !expected.is_empty() {
+            self.missed += 1;
+        }
+    }
+
+    /// Records a response to a direct command: messages reach the worker.
+    pub fn confirm(&mut self) {
+        self.missed = 0;
+        self.expected = ExpectedEffects::default();
+    }
+
+    /// Treats the worker as one on which several responses had no effect: its lease has
+    /// expired although its heartbeats arrived.
+    pub fn record_expired_lease(&mut self) {
+        self.missed = self.missed.max(MAX_MISSED_ACKS);
+    }
+
+    /// Responses in a row without effect.
+    pub fn missed(&self) -> u32 {
+        self.missed
+    }
+
+    /// Whether so many responses had no effect that a lost one does not explain it.
+    pub fn suggest_partition(&self) -> bool {
+        self.missed >= MAX_MISSED_ACKS
+    }
+}
--- /dev/null
+++ b/crates/gladekeel-controller/src/leader/machine/image_cache.rs
@@ -0,0 +1,61 @@
+//! The container images on a machine, as the leader assumes them from what it assigned.
+
+use gladekeel_sched::ImageIdx;
+use std::collections::BTreeSet;
+
+/// An image that was assigned to the machine.
+#[derive(Debug, Clone, Copy)]
+struct CacheEntry {
+    image: ImageIdx,
+    size_gb: f64,
+}
+
+/// The images of a machine. The worker evicts the image that was least recently used when the
+/// cache is full; this model does the same.
+#[derive(Debug, Default)]
+pub struct ImageCache {
+    /// Images that are cached or being fetched, least recently used first.
+    entries: Vec<CacheEntry>,
+    /// Those of them with which a task was seen to run.
+    cached: BTreeSet<ImageIdx>,
+}
+
+impl ImageCache {
+    /// Records that a task with this image was assigned, and evicts the least recently used
+    /// images beyond the capacity.
+    pub fn record_use(&mut self, image: ImageIdx, size_gb: f64, capacity_gb: f64) {
+        self.entries.retain(|entry| entry.image != image);
+        self.entries.push(CacheEntry { image, size_gb });
+        let mut total_gb: f64 = self.entries.iter().map(|entry| entry.size_gb).sum();
+        while total_gb > capacity_gb && self.entries.len() > 1 {
+            let evicted = self.entries.remove(0);
+            self.cached.remove(&evicted.image);
+            total_gb -= evicted.size_gb;
+        }
+    }
+
+    /// Records that a task has this image, so that it is fetched completely.
+    pub fn record_fetched(&mut self, image: ImageIdx) {
+        self.cached.insert(image);
+    }
+
+    /// Whether the image is cached or being fetched.
+    pub fn has_entry(&self, image: ImageIdx) -> bool {
+        self.entries.iter().any(|entry| entry.image == image)
+    }
+
+    /// Whether the image is fetched completely.
+    pub fn is_cached(&self, image: ImageIdx) -> bool {
+        self.cached.contains(&image)
+    }
+
+    /// Images that are cached or being fetched, least recently used first.
+    pub fn cached_or_fetching(&self) -> impl Iterator<Item = ImageIdx> {
+        self.entries.iter().map(|entry| entry.image)
+    }
+
+    /// Images that are fetched completely.
+    pub fn cached(&self) -> &BTreeSet<ImageIdx> {
+        &self.cached
+    }
+}
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -57,7 +57,8 @@
 use attempt_table::AttemptTable;
 use catalog::Catalog;
 use commands::CommandQueue;
-use failure_detection::reachability::ZoneReachability;
+use failure_detection::detector::FailureDetector;
+pub use failure_detection::reachability::HeartbeatSilence;
 use gladekeel_sched::{Interner, JobIdx, MachineIdx, Resources, ZoneIdx, cycle::TeamQuota};
 use gladekeel_wire::{JobId, settings::Deployment, store::Transaction};
 use scheduling::stragglers::StragglerScan;
@@ -114,7 +115,7 @@
     log_writer: AssignmentLogWriter,
 
     /// Failure detection.
-    reachability: ZoneReachability,
+    failure_detector: FailureDetector,
     /// When the request was sent whose answer is the last one of the store.
     store_contact_at: f64,
     /// Cancelled jobs that may still have attempts on machines.
@@ -176,6 +177,7 @@
         let LeaderTerm { token, now, epoch, deployment, salt } = term;
         let mut catalog = std::mem::take(&mut cluster.catalog);
         catalog.renew(&deployment, store.machine_types.all());
+        let reachable_zones = std::mem::take(&mut cluster.reachable_zones);
         cluster.renew();
         Leader {
             token,
@@ -191,7 +193,7 @@
             attempt_numbers: AttemptNumbers::of_token(token),
             cluster,
             log_writer: AssignmentLogWriter::new(&deployment, store),
-            reachability: ZoneReachability::new(now, &deployment.workers),
+            failure_detector: FailureDetector::new(now, &deployment.workers, reachable_zones),
             store_contact_at: now,
             cancelled_on_machines: BTreeSet::new(),
             straggler_scan: StragglerScan::default(),
@@ -217,7 +219,11 @@
 
     /// The part of the state that outlives the token, for the next one.
     pub fn into_cluster_state(self) -> ClusterState {
-        ClusterState { catalog: self.catalog, ..self.cluster }
+        ClusterState {
+            catalog: self.catalog,
+            reachable_zones: self.failure_detector.into_reachable_zones(),
+            ..self.cluster
+        }
     }
 
     /// Does the periodic work that is due. `zone` is the leader's own; `peer_zones` are those of
@@ -232,7 +238,7 @@
             // Also while a new token is awaited: that may take as long as an outage of the store.
             self.commands.retry_undelivered_stops();
             self.detect_failures(now, options, zone, peer_zones);
-            self.end_cancelled(now);
+            self.enforce_cancellation_deadlines(now);
         }
         if self.needs_new_token || self.scheduling_suspended {
             return;
@@ -316,7 +322,7 @@
             return;
         }
         machine.zone = Some(zone);
-        for id in &machine.attempts {
+        for id in machine.attempts() {
             self.attempts.update(*id, |attempt| {
                 if let Some(job) = self.jobs.get_mut(&attempt.job) {
                     job.zone_placement.remove(attempt.zone);
@@ -332,9 +338,9 @@
         &self.cluster.counters
     }
 
-    /// How many machines should send heartbeats, and for how many seconds none of them has.
-    pub fn silence(&self, now: f64) -> (usize, f64) {
-        self.reachability.silence(now)
+    /// For how long no machine at all was seen.
+    pub fn silence(&self, now: f64) -> HeartbeatSilence {
+        self.failure_detector.silence(now)
     }
 
     /// When it began to lead under this token.
--- a/crates/gladekeel-controller/src/leader/reconciliation/release.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/release.rs
@@ -1,64 +1,79 @@
-//! The end of an attempt: proven to be off its machine, then committed, then forgotten.
+//! The release of an attempt: proven to be off its machine, then committed, then removed.
+//!
+//! An attempt goes on to hold its resources until its release is committed in the assignment
+//! log, so that a leader that follows cannot count them as free before this one does.
 
-use crate::leader::{AssignmentPhase, AttemptId, AttemptOutcome, Leader, StopReason};
-use gladekeel_sched::DenseIndex;
+use crate::leader::{AssignmentPhase, Attempt, AttemptId, AttemptOutcome, Leader, StopReason};
+use gladekeel_sched::{DenseIndex, JobIdx};
 
 impl Leader {
-    /// Marks an attempt as off its machine. It keeps its room until that is committed.
+    /// Records the proof that an attempt is off its machine. Its release goes into the next
+    /// commit. Does nothing unless the attempt is committed and not being released.
     pub(in crate::leader) fn release(&mut self, id: AttemptId, outcome: AttemptOutcome) {
         let released = self.attempts.update(id, |attempt| {
-            let live = attempt.phase == AssignmentPhase::Committed;
-            if live {
+            let is_committed = attempt.phase == AssignmentPhase::Committed;
+            if is_committed {
                 attempt.phase = AssignmentPhase::Releasing(outcome);
             }
-            live.then_some((attempt.job, attempt.task_index))
+            is_committed.then_some((attempt.job, attempt.task_index))
         });
-        let Some((job_ix, index)) = released.flatten() else { return };
+        let Some((job_idx, task_index)) = released.flatten() else { return };
         self.log_writer.released.insert(id);
-        let Some(job) = self.jobs.get_mut(&job_ix) else { return };
-        if job.is_gang() && outcome == AttemptOutcome::Done {
-            // The tasks of a gang complete together: one that is done tells of all.
-            if job.done.count() < job.spec.tasks {
-                (0..job.spec.tasks).for_each(|index| _ = job.done.insert(index));
-            }
-            self.changed_progress.insert(job_ix);
-            if job.final_state.is_none() {
-                self.log_writer.finished.insert(job_ix);
-            }
-        } else if job.is_gang() && !job.is_finished() && !self.is_gang_unstarted(job_ix) {
-            self.stop_gang(job_ix, StopReason::GangRestart);
-        }
-        let Some(job) = self.jobs.get_mut(&job_ix) else { return };
+        self.apply_outcome_to_gang(job_idx, outcome);
+        let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         if outcome == AttemptOutcome::Restarted {
-            job.restarted.insert(index);
+            job.restarted.insert(task_index);
+        }
+        if outcome == AttemptOutcome::Done && job.done.insert(task_index) {
+            self.changed_progress.insert(job_idx);
+            self.finish_job_if_done(job_idx);
         }
-        if outcome == AttemptOutcome::Done && job.done.insert(index) {
-            self.changed_progress.insert(job_ix);
-            if job.done.count() == job.spec.tasks && job.final_state.is_none() {
-                self.log_writer.finished.insert(job_ix);
+    }
+
+    /// Applies to a gang that one of its tasks has ended. Its tasks complete together, so one
+    /// that is done shows that all are. Else a gang that has begun to run restarts.
+    fn apply_outcome_to_gang(&mut self, job_idx: JobIdx, outcome: AttemptOutcome) {
+        let Some(job) = self.jobs.get_mut(&job_idx).filter(|job| job.is_gang()) else { return };
+        if outcome == AttemptOutcome::Done {
+            if job.done.count() < job.spec.tasks {
+                (0..job.spec.tasks).for_each(|task_index| _ = job.done.insert(task_index));
             }
+            self.changed_progress.insert(job_idx);
+            self.finish_job_if_done(job_idx);
+        } else if !job.is_finished() && !self.is_gang_unstarted(job_idx) {
+            self.stop_gang(job_idx, StopReason::GangRestart);
         }
     }
 
-    /// The room of an attempt is free: its release is committed, or it never was.
+    /// Has the final state of a job committed if all of its tasks are done.
+    fn finish_job_if_done(&mut self, job_idx: JobIdx) {
+        let Some(job) = self.jobs.get(&job_idx) else { return };
+        if job.done.count() == job.spec.tasks && job.final_state.is_none() {
+            self.log_writer.finished.insert(job_idx);
+        }
+    }
+
+    /// Frees the resources of an attempt whose release is committed, or whose assignment
+    /// never was.
     pub(in crate::leader) fn free(&mut self, id: AttemptId, outcome: AttemptOutcome, now: f64) {
         let Some(attempt) = self.attempts.remove(id) else { return };
         if let Some(machine) = self.cluster.machines.get_mut(&attempt.machine) {
-            machine.attempts.remove(&id);
-            machine.requested -= attempt.resources;
-            if machine.attempts.is_empty() {
-                machine.idle_since = now;
-            }
-        }
-        if let Some(job) = self.jobs.get_mut(&attempt.job) {
-            self.teams[job.team.position()].used -= attempt.resources;
-            job.zone_placement.remove(attempt.zone);
-            job.requeue(attempt.task_index, outcome, now);
-            if job.final_state.is_some() && self.attempts.of_job(attempt.job).is_empty() {
-                self.log_writer.cleared.insert(attempt.job);
-            }
-            self.changed_progress.insert(attempt.job);
+            machine.workload.remove(id, attempt.resources, now);
         }
+        self.remove_from_job(&attempt, outcome, now);
         self.timers.request_cycle();
     }
+
+    /// Requeues the task unless it is done, and has a final job cleared from the log once
+    /// nothing of it is left on any machine.
+    fn remove_from_job(&mut self, attempt: &Attempt, outcome: AttemptOutcome, now: f64) {
+        let Some(job) = self.jobs.get_mut(&attempt.job) else { return };
+        self.teams[job.team.position()].used -= attempt.resources;
+        job.zone_placement.remove(attempt.zone);
+        job.requeue(attempt.task_index, outcome, now);
+        if job.final_state.is_some() && self.attempts.of_job(attempt.job).is_empty() {
+            self.log_writer.cleared.insert(attempt.job);
+        }
+        self.changed_progress.insert(attempt.job);
+    }
 }
--- a/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
@@ -1,167 +1,170 @@
-//! What the end of a task means for its job, its machine and its gang.
+//! The exit of a task: what it means for the job, the machine and the gang.
+//!
+//! Reconciliation calls this when a worker reports that a task has exited, which is the proof
+//! that its attempt is off the machine.
 
 use crate::leader::{AttemptId, AttemptOutcome, Leader, StopReason, machine::DeletionReason};
 use gladekeel_sched::{JobIdx, MachineIdx};
 use gladekeel_wire::job::JobKind;
 use gladekeel_wire::worker::{ExitCause, TaskStatus};
 
-/// A job whose service ended by itself waits this long before it starts again.
-const SERVICE_AGAIN_S: f64 = 1.0;
-/// A machine that refused a start gets nothing for this long.
-const AFTER_REFUSAL_S: f64 = 2.0;
-/// A machine on which a task failed gets nothing for this long.
-const AFTER_FAILURE_S: f64 = 5.0;
-/// A machine goes back after so many failures in a row.
-const MAX_MACHINE_FAILURES: u32 = 2;
-/// Part of a new run time in what a class's estimates are corrected by.
-const RATIO_WEIGHT: f64 = 0.1;
+/// Pause before a service that has exited by itself is started again, in seconds.
+const SERVICE_RESTART_PAUSE_S: f64 = 1.0;
+/// Weight of a new run in the moving average that corrects the estimates of a class.
+const RUN_TIME_RATIO_WEIGHT: f64 = 0.1;
 /// Bounds of the ratio of a run time to its estimate.
-const RATIO_RANGE: (f64, f64) = (0.1, 10.0);
-/// Shorter estimates count as this long.
+const MIN_RUN_TIME_RATIO: f64 = 0.1;
+const MAX_RUN_TIME_RATIO: f64 = 10.0;
+/// Shorter estimates count as this long, in seconds.
 const MIN_ESTIMATE_S: f64 = 0.1;
 
-/// The attempt whose task has ended.
+/// The attempt of a task that has exited.
 #[derive(Debug, Clone, Copy)]
-struct Ended {
+struct ExitedAttempt {
     job: JobIdx,
     machine: MachineIdx,
-    stop: Option<StopReason>,
-    /// How long it ran. Of a task that an earlier leader placed only the end was seen; its
-    /// run would look short, and others of its job slow.
-    ran_s: Option<f64>,
+    stop_reason: Option<StopReason>,
+    /// How long it ran, in seconds. Unknown for an attempt of an earlier leader, since its
+    /// start was not seen: its run would look short, and others of its job slow.
+    run_s: Option<f64>,
 }
 
 impl Leader {
-    /// Applies the end of a task that its machine has reported.
-    pub(in crate::leader) fn on_exit(&mut self, now: f64, id: AttemptId, reported: &TaskStatus) {
+    /// Applies the exit of a task that its machine reports, and releases its attempt.
+    pub(super) fn apply_task_exit(&mut self, now: f64, id: AttemptId, status: &TaskStatus) {
         let Some(attempt) = self.attempts.get(id) else { return };
-        let ended = Ended {
+        let run_started_at = attempt.running_since.filter(|_| !attempt.recovered);
+        let exited = ExitedAttempt {
             job: attempt.job,
             machine: attempt.machine,
-            stop: attempt.stop_reason,
-            ran_s: attempt.running_since.filter(|_| !attempt.recovered).map(|since| now - since),
+            stop_reason: attempt.stop_reason,
+            run_s: run_started_at.map(|started_at| now - started_at),
         };
-        let known = self.jobs.contains_key(&ended.job)
-            && self.cluster.machines.contains_key(&ended.machine);
-        if !known {
+        let is_known = self.jobs.contains_key(&exited.job)
+            && self.cluster.machines.contains_key(&exited.machine);
+        if !is_known {
             return;
         }
-        let outcome = self.outcome_of(now, ended, reported);
+        let outcome = self.handle_exit(now, exited, status);
         if outcome != AttemptOutcome::Done {
-            let machine = self.cluster.machine_names.name(ended.machine);
             tracing::info!(
-                task = %reported.task,
-                machine,
-                cause = ?reported.cause,
-                why = ?ended.stop,
-                "ended before completion"
+                task = %status.task,
+                machine = self.cluster.machine_names.name(exited.machine),
+                cause = ?status.cause,
+                stop_reason = ?exited.stop_reason,
+                "task exited before completion"
             );
         }
         self.release(id, outcome);
     }
 
-    /// What comes of an end, after its cause has been dealt with.
-    fn outcome_of(&mut self, now: f64, ended: Ended, reported: &TaskStatus) -> AttemptOutcome {
-        match reported.cause {
-            Some(ExitCause::Done) => return self.on_done(now, ended),
-            Some(ExitCause::Stopped) if ended.stop == Some(StopReason::Straggler) => {
+    /// Handles the cause of an exit. Returns what becomes of the task.
+    fn handle_exit(
+        &mut self,
+        now: f64,
+        exited: ExitedAttempt,
+        status: &TaskStatus,
+    ) -> AttemptOutcome {
+        match status.cause {
+            Some(ExitCause::Done) => return self.handle_completion(now, exited),
+            Some(ExitCause::Stopped) if exited.stop_reason == Some(StopReason::Straggler) => {
                 self.cluster.counters.restarts += 1;
                 return AttemptOutcome::Restarted;
             }
             Some(ExitCause::Stopped) => {}
-            Some(ExitCause::GangMemberLost) => self.stop_gang(ended.job, StopReason::GangRestart),
+            Some(ExitCause::GangMemberLost) => self.stop_gang(exited.job, StopReason::GangRestart),
             Some(ExitCause::GangIncomplete) => {
-                self.stop_gang(ended.job, StopReason::GangIncomplete);
+                self.stop_gang(exited.job, StopReason::GangIncomplete);
             }
-            Some(ExitCause::Error) => self.on_error(now, ended),
+            Some(ExitCause::Error) => self.handle_failure(now, exited),
             Some(
                 ExitCause::InsufficientResources
                 | ExitCause::Busy
                 | ExitCause::Unknown
                 | ExitCause::Other,
             )
-            | None => {
-                self.on_refusal(now, ended, reported);
-            }
+            | None => self.handle_refused_start(now, exited, status),
         }
         AttemptOutcome::Requeued
     }
 
-    fn on_done(&mut self, now: f64, ended: Ended) -> AttemptOutcome {
-        let Some(job) = self.jobs.get_mut(&ended.job) else { return AttemptOutcome::Requeued };
+    fn handle_completion(&mut self, now: f64, exited: ExitedAttempt) -> AttemptOutcome {
+        let Some(job) = self.jobs.get_mut(&exited.job) else { return AttemptOutcome::Requeued };
         if job.spec.kind == JobKind::Service {
-            // A service is done when it is cancelled, and not before.
-            job.backoff.hold_until(now + SERVICE_AGAIN_S);
+            // A service is done only when it is cancelled.
+            job.backoff.hold_until(now + SERVICE_RESTART_PAUSE_S);
             return AttemptOutcome::Requeued;
         }
         job.backoff.record_completion();
-        if let Some(machine) = self.cluster.machines.get_mut(&ended.machine) {
-            machine.consecutive_failures = 0;
+        if let Some(machine) = self.cluster.machines.get_mut(&exited.machine) {
+            machine.quarantine.clear_failures();
         }
-        if let Some(ran_s) = ended.ran_s {
-            job.record_run_time(ran_s);
-            let (least, most) = RATIO_RANGE;
-            let ratio = (ran_s / job.spec.estimate_s.max(MIN_ESTIMATE_S)).clamp(least, most);
-            let learned =
-                self.cluster.run_time_ratios.entry(job.spec.class.clone()).or_insert(ratio);
-            *learned += (ratio - *learned) * RATIO_WEIGHT;
+        if let Some(run_s) = exited.run_s {
+            self.record_run_time(exited.job, run_s);
         }
         AttemptOutcome::Done
     }
 
-    /// A task has failed: its job is to blame if that happens to it on every machine, else
-    /// the machine.
-    fn on_error(&mut self, now: f64, ended: Ended) {
+    /// Records the run time of a completed task, for its job and for the estimates of its
+    /// class.
+    fn record_run_time(&mut self, job_idx: JobIdx, run_s: f64) {
+        let Some(job) = self.jobs.get_mut(&job_idx) else { return };
+        job.record_run_time(run_s);
+        let ratio = (run_s / job.spec.estimate_s.max(MIN_ESTIMATE_S))
+            .clamp(MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO);
+        let ratios = &mut self.cluster.run_time_ratios;
+        let average = ratios.entry(job.spec.class.clone()).or_insert(ratio);
+        *average += (ratio - *average) * RUN_TIME_RATIO_WEIGHT;
+    }
+
+    /// Handles a task that has failed: the job is to blame if its tasks fail on every machine,
+    /// else the machine is.
+    fn handle_failure(&mut self, now: f64, exited: ExitedAttempt) {
         self.cluster.counters.failures += 1;
-        let others = self.attempts.of_job(ended.job).unfinished();
-        let Some(job) = self.jobs.get_mut(&ended.job) else { return };
-        job.backoff.record_failure(ended.machine);
-        let is_faulty = job.backoff.is_job_faulty(others);
+        let other_attempts = self.attempts.of_job(exited.job).unfinished();
+        let Some(job) = self.jobs.get_mut(&exited.job) else { return };
+        job.backoff.record_failure(exited.machine);
+        let is_job_faulty = job.backoff.is_job_faulty(other_attempts);
         let is_gang = job.is_gang();
-        if is_faulty {
-            self.pause_faulty_job(now, ended.job);
+        if is_job_faulty {
+            self.back_off_faulty_job(now, exited.job);
         } else {
-            self.count_machine_failure(now, ended.machine);
+            self.record_machine_failure(now, exited.machine);
         }
         if is_gang {
-            // It had started, so the others end as well.
-            self.stop_gang(ended.job, StopReason::GangRestart);
+            self.stop_gang(exited.job, StopReason::GangRestart);
         }
     }
 
-    /// Lets a job wait that fails wherever it goes, and clears the machines that it failed on.
-    fn pause_faulty_job(&mut self, now: f64, job: JobIdx) {
-        let Some(job) = self.jobs.get_mut(&job) else { return };
+    /// Pauses a job that fails on every machine, and clears the machines of its failures.
+    fn back_off_faulty_job(&mut self, now: f64, job_idx: JobIdx) {
+        let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         job.backoff.back_off(now);
-        for machine in job.backoff.failed_on() {
-            if let Some(machine) = self.cluster.machines.get_mut(&machine) {
-                machine.consecutive_failures = 0;
+        for machine_idx in job.backoff.failed_on() {
+            if let Some(machine) = self.cluster.machines.get_mut(&machine_idx) {
+                machine.quarantine.clear_failures();
             }
         }
-        tracing::info!(job = %job.id, failures = job.backoff.failures(), "a job fails on every machine");
+        tracing::info!(job = %job.id, failures = job.backoff.failures(), "job backs off");
     }
 
-    /// Counts a failure against a machine, which goes back when it fails too often.
-    fn count_machine_failure(&mut self, now: f64, ix: MachineIdx) {
-        let Some(machine) = self.cluster.machines.get_mut(&ix) else { return };
-        machine.consecutive_failures += 1;
-        machine.quarantined_until = now + AFTER_FAILURE_S;
-        if machine.consecutive_failures >= MAX_MACHINE_FAILURES && machine.deletion_reason.is_none()
-        {
-            tracing::info!(machine = machine.name, "a machine fails its tasks: returned");
-            machine.deletion_reason = Some(DeletionReason::RepeatedTaskFailures);
-            self.cluster.leaving.insert(ix);
+    /// Counts a failure against a machine, which is replaced when it fails too often.
+    fn record_machine_failure(&mut self, now: f64, machine_idx: MachineIdx) {
+        let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
+        if machine.quarantine.record_failure(now) {
+            let reason = DeletionReason::RepeatedTaskFailures;
+            self.cluster.mark_for_deletion(now, machine_idx, reason);
         }
     }
 
-    fn on_refusal(&mut self, now: f64, ended: Ended, reported: &TaskStatus) {
-        let Some(machine) = self.cluster.machines.get_mut(&ended.machine) else { return };
-        machine.quarantined_until = now + AFTER_REFUSAL_S;
+    fn handle_refused_start(&mut self, now: f64, exited: ExitedAttempt, status: &TaskStatus) {
+        let Some(machine) = self.cluster.machines.get_mut(&exited.machine) else { return };
+        machine.quarantine.record_refusal(now);
         tracing::warn!(
             machine = machine.name,
-            task = %reported.task,
-            cause = ?reported.cause,
-            "a start was refused"
+            task = %status.task,
+            cause = ?status.cause,
+            "task start refused"
         );
     }
 }
--- a/crates/gladekeel-controller/src/leader/scheduling/binding.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/binding.rs
@@ -38,10 +38,9 @@
             .machine_type
             .and_then(|machine_type| self.catalog.machine_type(machine_type))
             .map_or(0.0, |machine_type| machine_type.cache_gb);
-        let image_cached = machine.images.iter().any(|(image, _)| *image == job.image);
-        machine.record_image_use(job.image, job.spec.image_gb, cache_gb);
-        machine.attempts.insert(id);
-        machine.requested += job.task_request;
+        let image_cached = machine.images.has_entry(job.image);
+        machine.images.record_use(job.image, job.spec.image_gb, cache_gb);
+        machine.workload.add(id, job.task_request);
         job.zone_placement.add(machine.zone);
         self.teams[job.team.position()].used += job.task_request;
         self.attempts.insert(
@@ -51,7 +50,7 @@
                 task_index,
                 machine: binding.machine,
                 zone: machine.zone,
-                incarnation: machine.newest_message.0,
+                incarnation: machine.newest_message.incarnation,
                 phase: AssignmentPhase::Proposed,
                 reported_state: None,
                 running_since: None,
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -61,7 +61,7 @@
 
     fn add_machines(&self, input: &mut CycleInput, now: f64, scope: MachineScope) {
         let unreachable_zones: BTreeSet<ZoneIdx> =
-            self.reachability.unreachable_zones(now).collect();
+            self.failure_detector.unreachable_zones(now).collect();
         // Arrays may use the warm pool before they have waited for too long.
         let warm_pool_reserved = !self.is_any_array_starved(now);
         for (machine_idx, machine) in &self.cluster.machines {
@@ -69,11 +69,11 @@
                 continue;
             };
             let Some(capacity) = self.catalog.capacity(machine_type) else { continue };
-            if machine.is_leaving() || machine.last_seen.is_none() {
+            if machine.is_leaving() || !machine.liveness.was_seen() {
                 continue;
             }
             input.cycle.total_capacity += capacity;
-            let free = capacity - machine.requested;
+            let free = capacity - machine.requested();
             let schedulable =
                 self.is_schedulable(machine, now) && !unreachable_zones.contains(&zone);
             let may_take_task = schedulable && free.cpus > 0 && free.memory > 0;
@@ -87,8 +87,8 @@
                 machine_type,
                 zone,
                 spot: machine.spot,
-                cached_or_fetching: machine.images.iter().map(|(image, _)| *image).collect(),
-                cached_images: machine.cached_images.iter().copied().collect(),
+                cached_or_fetching: machine.images.cached_or_fetching().collect(),
+                cached_images: machine.images.cached().iter().copied().collect(),
                 fetching: self.is_fetching(*machine_idx, machine),
                 schedulable,
                 warm_pool: machine.warm_pool && warm_pool_reserved,
@@ -99,9 +99,8 @@
     /// Whether a machine may get new tasks, as far as it is concerned by itself.
     fn is_schedulable(&self, machine: &Machine, now: f64) -> bool {
         // One that answers probes and sends no heartbeats will lose its tasks with its lease.
-        let heard_at = machine.silent_since.min(machine.last_heartbeat.0);
-        now - heard_at < self.deployment.workers.heartbeat_timeout_s()
-            && now >= machine.quarantined_until
+        machine.liveness.heartbeat_age_s(now) < self.deployment.workers.heartbeat_timeout_s()
+            && !machine.quarantine.is_active(now)
             && machine.is_reachable()
     }
 
@@ -109,7 +108,7 @@
     fn is_fetching(&self, machine_idx: MachineIdx, machine: &Machine) -> bool {
         self.attempts
             .images_not_yet_running(machine_idx)
-            .any(|image| !machine.cached_images.contains(&image))
+            .any(|image| !machine.images.is_cached(image))
     }
 
     /// Whether an array has waited for too long with nothing on any machine.
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -6,6 +6,7 @@
 
 use crate::leader::{
     AssignmentPhase, Attempt, AttemptId, Job, Leader, StopReason,
+    failure_detection::evacuation::GangReachability,
     scheduling::cycle_input::{CycleInput, MachineScope},
 };
 use crate::runtime_settings::RuntimeSettings;
@@ -163,7 +164,7 @@
     fn preemptible(&self, now: f64, input: &mut CycleInput) -> Preemptible {
         let positions = input.machine_positions();
         let mut preemptible = Preemptible::default();
-        let mut reachable_gangs = BTreeMap::new();
+        let mut reachable_gangs = GangReachability::default();
         for (id, attempt) in self.attempts.iter() {
             let Some(position) = positions.get(&attempt.machine).copied() else { continue };
             let job = &self.jobs[&attempt.job];
@@ -179,7 +180,7 @@
             if !job.is_gang() {
                 preemptible.tasks.push(candidate);
             } else if job.pending.is_empty()
-                && self.all_heard(attempt.job, now, &mut reachable_gangs)
+                && self.is_gang_reachable(attempt.job, now, &mut reachable_gangs)
             {
                 preemptible.add_gang_task(attempt.job, job, candidate);
             }
--- a/crates/gladekeel-controller/src/leader/scheduling/stragglers.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/stragglers.rs
@@ -52,7 +52,7 @@
     fn running_tasks(&self, now: f64, machines: &[MachineIdx]) -> RunningTasks {
         let mut running = RunningTasks::default();
         let mut medians_s: HashMap<JobIdx, Option<f64>> = HashMap::new();
-        for id in machines.iter().flat_map(|machine| &self.cluster.machines[machine].attempts) {
+        for id in machines.iter().flat_map(|machine| self.cluster.machines[machine].attempts()) {
             let Some(attempt) = self.attempts.get(*id) else { continue };
             let (Some(since), AssignmentPhase::Committed) = (attempt.running_since, attempt.phase)
             else {
--- a/crates/gladekeel-controller/src/leader/status.rs
+++ b/crates/gladekeel-controller/src/leader/status.rs
@@ -32,7 +32,7 @@
         self.cluster
             .machines
             .values()
-            .filter(|machine| !machine.deleted)
+            .filter(|machine| !machine.deletion.is_confirmed())
             .map(|machine| self.status_of(machine, now))
             .collect()
     }
@@ -44,8 +44,8 @@
             machine_type: name_of(&self.catalog.machine_type_names, machine.machine_type),
             zone: name_of(&self.catalog.zones, machine.zone),
             spot: machine.spot,
-            tasks: machine.attempts.len(),
-            quiet_s: machine.last_seen.map(|at| now - at),
+            tasks: machine.attempts().len(),
+            quiet_s: machine.liveness.last_seen().map(|at| now - at),
         }
     }
 
--- a/crates/gladekeel-controller/src/node/leadership/resignation.rs
+++ b/crates/gladekeel-controller/src/node/leadership/resignation.rs
@@ -5,7 +5,10 @@
 //! nodes do not pass leadership around while the workers are what has failed.
 
 use super::{Leadership, Role};
-use crate::node::{Node, outgoing_calls::StoreCallPurpose};
+use crate::{
+    leader::HeartbeatSilence,
+    node::{Node, outgoing_calls::StoreCallPurpose},
+};
 use gladekeel_store::StoreRequest;
 use gladekeel_wire::settings::WorkerTimings;
 
@@ -51,7 +54,7 @@
         has_peers: bool,
     ) -> Option<StoreRequest> {
         let leader = self.leader()?;
-        let (machines, silent_s) = leader.silence(now);
+        let HeartbeatSilence { expected_machines: machines, silent_s } = leader.silence(now);
         let led_s = now - leader.since();
         let limit_s = isolated_after_s(workers, machines);
         if silent_s < limit_s {
