--- a/crates/gladekeel-controller/src/node/mod.rs
+++ b/crates/gladekeel-controller/src/node/mod.rs
@@ -88,7 +88,7 @@
         Node {
             epoch,
             rng,
-            runtime_settings: RuntimeSettings::new(&deployment.workers),
+            runtime_settings: RuntimeSettings::defaults(&deployment.workers),
             rate_limits: RateLimits::new(&deployment, &settings.deployment.store),
             leadership: Leadership::new(record),
             store: StoreReads::default(),
--- a/crates/gladekeel-controller/src/node/store_reads/mod.rs
+++ b/crates/gladekeel-controller/src/node/store_reads/mod.rs
@@ -23,9 +23,9 @@
 };
 use scheduler::{ReadDemand, ReadScheduler};
 
-/// Time between reads of a leader that nobody asked for.
+/// Time between unrequested reads of a leader.
 const LEADER_READ_INTERVAL_S: f64 = 0.25;
-/// Time between reads of a follower that nobody asked for.
+/// Time between unrequested reads of a follower.
 const FOLLOWER_READ_INTERVAL_S: f64 = 0.4;
 /// Without contact for this long, the view of the store is stale.
 const FRESH_CONTACT_S: f64 = 2.5;
@@ -48,7 +48,7 @@
 }
 
 impl StoreReads {
-    /// Asks for a read soon: something may have changed, or somebody waits for it.
+    /// Asks for a read soon: the store may have changed, or a request waits for it.
     pub fn request_read(&mut self) {
         self.scheduler.request();
     }
@@ -210,13 +210,13 @@
     /// The runtime settings as stored, or the defaults if they are out of range. Settings that
     /// only a later version knows are left out.
     fn stored_runtime_settings(&self) -> RuntimeSettings {
-        let defaults = RuntimeSettings::new(&self.deployment.workers);
+        let defaults = RuntimeSettings::defaults(&self.deployment.workers);
         let known = defaults.values();
         let stored = self.store.view.options.iter();
         let stored = stored
             .filter(|(name, _)| known.contains_key(*name))
             .map(|(name, value)| (name.clone(), *value))
             .collect();
-        defaults.with(&stored).unwrap_or(defaults)
+        defaults.with_values(&stored).unwrap_or(defaults)
     }
 }
--- a/crates/gladekeel-controller/src/node/store_reads/scheduler.rs
+++ b/crates/gladekeel-controller/src/node/store_reads/scheduler.rs
@@ -12,7 +12,7 @@
     pub has_pending_requests: bool,
     /// Whether the replica is complete, so that a single read brings it up to date.
     pub is_loaded: bool,
-    /// Time between reads that nobody asked for, in seconds.
+    /// Time between unrequested reads, in seconds.
     pub idle_interval_s: f64,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl ReadScheduler {
-    /// Asks for a read: something may have changed, or somebody waits for it.
+    /// Asks for a read: the store may have changed, or a request waits for it.
     pub fn request(&mut self) {
         self.is_requested = true;
     }
--- a/crates/gladekeel-controller/src/node/user_requests/writes.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/writes.rs
@@ -146,7 +146,7 @@
     }
 
     /// Nothing was done. Changes whose own preconditions hold are sent again; the others are
-    /// decided anew after a read.
+    /// decided again after a read.
     fn on_user_writes_conflict(
         &mut self,
         now: f64,
--- a/crates/gladekeel-controller/src/runtime_settings.rs
+++ b/crates/gladekeel-controller/src/runtime_settings.rs
@@ -1,160 +1,212 @@
-//! What operators may change while the service runs, and what is open to measurement.
+//! Settings that operators may change while the service runs.
+//!
+//! The store holds them for all controllers; every node applies them as soon as a read shows
+//! them. Each has a name in the administration API, a range and a default. A change is applied
+//! whole or not at all.
 
 use gladekeel_sched::{autoscaling::AutoscalerConfig, fair_share::FairShare};
 use gladekeel_wire::settings::WorkerTimings;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The options in force.
+/// By default a machine counts as unreachable this long after it is first probed, which leaves
+/// time for several probes.
+const PROBING_PERIOD_S: f64 = 6.5;
+
+/// The settings in force.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RuntimeSettings {
-    /// β and ε of the division of room.
+    /// The parameters β and ε of fair sharing.
     pub fair_share: FairShare,
-    /// Time between rounds of decisions.
+    /// Time between scheduling cycles.
     pub cycle_interval_s: f64,
-    /// A task is slow past this many times its job's median.
+    /// A task is a straggler once it has run for this many times its job's median.
     pub straggler_multiple: f64,
-    /// An idle machine beyond need is kept this long.
+    /// How long an idle machine beyond the demand is kept.
     pub idle_timeout_s: f64,
-    /// A machine silent for this long that does not answer either is deleted, if others
-    /// of its zone are heard.
+    /// A machine without heartbeats for this long that answers no probe either is deleted, if
+    /// other machines of its zone are reachable.
     pub unreachable_after_s: f64,
-    /// A task waits this long for room before others are stopped for it.
+    /// How long a task waits for capacity before other tasks are preempted for it.
     pub preempt_after_s: f64,
-    /// The same before others are stopped that save their progress.
+    /// The same before tasks are preempted that checkpoint their progress.
     pub preempt_checkpointed_after_s: f64,
-    /// How the fleet is sized.
+    /// The parameters of the autoscaler.
     pub autoscaler: AutoscalerConfig,
 }
 
-impl RuntimeSettings {
-    /// What is in force until operators say otherwise.
-    pub fn new(workers: &WorkerTimings) -> RuntimeSettings {
-        RuntimeSettings {
-            fair_share: FairShare::default(),
-            cycle_interval_s: 1.0,
-            straggler_multiple: 3.0,
-            idle_timeout_s: 15.0,
-            // Time to ask it several times.
-            unreachable_after_s: workers.probe_after_s() + 6.5,
-            preempt_after_s: 6.0,
-            preempt_checkpointed_after_s: 1.0,
-            autoscaler: AutoscalerConfig::default(),
-        }
-    }
-}
-
-/// A change that cannot be made.
+/// Why a change of the settings is refused.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum InvalidRuntimeSetting {
-    /// There is no option of this name.
-    #[error("{name}: no such setting; there are {}", names().join(", "))]
+    /// There is no setting of this name.
+    #[error("{name}: no such setting; there are {}", SettingDefinition::names().join(", "))]
     Unknown {
-        /// The name.
+        /// The name in the change.
         name: String,
     },
-    /// The value is not a number, or out of range.
-    #[error("{name}: must be a number from {least} to {most}")]
+    /// The value is not a number, or is out of range.
+    #[error("{name}: must be a number from {min} to {max}")]
     OutOfRange {
-        /// The option.
+        /// The setting's name.
         name: &'static str,
-        /// Its least value.
-        least: f64,
+        /// Its smallest value.
+        min: f64,
         /// Its largest value.
-        most: f64,
+        max: f64,
     },
-    /// A change without any option.
+    /// The change names no setting.
     #[error("settings: must name at least one setting")]
     Empty,
 }
 
-/// An option's name, range and place.
-struct Field {
+/// The name and the range of a setting, and where its value is.
+struct SettingDefinition {
+    /// Its name in the administration API and in the store.
     name: &'static str,
-    least: f64,
-    most: f64,
-    place: fn(&mut RuntimeSettings) -> &mut f64,
+    min: f64,
+    max: f64,
+    accessor: fn(&mut RuntimeSettings) -> &mut f64,
 }
 
-impl Field {
-    fn of(name: &str) -> Result<&'static Field, InvalidRuntimeSetting> {
-        let field = FIELDS.iter().find(|field| field.name == name);
-        field.ok_or_else(|| InvalidRuntimeSetting::Unknown { name: name.to_owned() })
+impl SettingDefinition {
+    fn find(name: &str) -> Result<&'static SettingDefinition, InvalidRuntimeSetting> {
+        let definition = SETTINGS.iter().find(|definition| definition.name == name);
+        definition.ok_or_else(|| InvalidRuntimeSetting::Unknown { name: name.to_owned() })
     }
 
-    fn out_of_range(&self) -> InvalidRuntimeSetting {
-        InvalidRuntimeSetting::OutOfRange { name: self.name, least: self.least, most: self.most }
+    fn names() -> Vec<&'static str> {
+        SETTINGS.iter().map(|definition| definition.name).collect()
+    }
+
+    /// Whether a value is in range; one that is not a number is in none.
+    fn accepts(&self, value: f64) -> bool {
+        (self.min..=self.max).contains(&value)
     }
-}
 
-fn names() -> Vec<&'static str> {
-    FIELDS.iter().map(|field| field.name).collect()
+    fn out_of_range(&self) -> InvalidRuntimeSetting {
+        InvalidRuntimeSetting::OutOfRange { name: self.name, min: self.min, max: self.max }
+    }
 }
 
-const FIELDS: &[Field] = &[
-    Field { name: "beta", least: 1.01, most: 2.0, place: |o| &mut o.fair_share.beta },
-    Field { name: "epsilon", least: 0.0, most: 1.0, place: |o| &mut o.fair_share.epsilon },
-    Field { name: "round_s", least: 0.2, most: 30.0, place: |o| &mut o.cycle_interval_s },
-    Field {
+const SETTINGS: &[SettingDefinition] = &[
+    SettingDefinition {
+        name: "beta",
+        min: 1.01,
+        max: 2.0,
+        accessor: |settings| &mut settings.fair_share.beta,
+    },
+    SettingDefinition {
+        name: "epsilon",
+        min: 0.0,
+        max: 1.0,
+        accessor: |settings| &mut settings.fair_share.epsilon,
+    },
+    SettingDefinition {
+        name: "round_s",
+        min: 0.2,
+        max: 30.0,
+        accessor: |settings| &mut settings.cycle_interval_s,
+    },
+    SettingDefinition {
         name: "restart_multiple",
-        least: 1.5,
-        most: 100.0,
-        place: |o| &mut o.straggler_multiple,
+        min: 1.5,
+        max: 100.0,
+        accessor: |settings| &mut settings.straggler_multiple,
+    },
+    SettingDefinition {
+        name: "idle_s",
+        min: 0.0,
+        max: 3600.0,
+        accessor: |settings| &mut settings.idle_timeout_s,
     },
-    Field { name: "idle_s", least: 0.0, most: 3600.0, place: |o| &mut o.idle_timeout_s },
-    Field { name: "silent_s", least: 5.0, most: 600.0, place: |o| &mut o.unreachable_after_s },
-    Field { name: "preempt_after_s", least: 0.0, most: 3600.0, place: |o| &mut o.preempt_after_s },
-    Field {
+    SettingDefinition {
+        name: "silent_s",
+        min: 5.0,
+        max: 600.0,
+        accessor: |settings| &mut settings.unreachable_after_s,
+    },
+    SettingDefinition {
+        name: "preempt_after_s",
+        min: 0.0,
+        max: 3600.0,
+        accessor: |settings| &mut settings.preempt_after_s,
+    },
+    SettingDefinition {
         name: "preempt_saving_after_s",
-        least: 0.0,
-        most: 3600.0,
-        place: |o| &mut o.preempt_checkpointed_after_s,
+        min: 0.0,
+        max: 3600.0,
+        accessor: |settings| &mut settings.preempt_checkpointed_after_s,
     },
-    Field {
+    SettingDefinition {
         name: "fleet_memory_s",
-        least: 1.0,
-        most: 86400.0,
-        place: |o| &mut o.autoscaler.smoothing_s,
+        min: 1.0,
+        max: 86400.0,
+        accessor: |settings| &mut settings.autoscaler.smoothing_s,
     },
-    Field {
+    SettingDefinition {
         name: "fleet_keep",
-        least: 0.0,
-        most: 3.0,
-        place: |o| &mut o.autoscaler.spot_retention,
+        min: 0.0,
+        max: 3.0,
+        accessor: |settings| &mut settings.autoscaler.spot_retention,
     },
-    Field {
+    SettingDefinition {
         name: "fleet_fill",
-        least: 0.05,
-        most: 1.0,
-        place: |o| &mut o.autoscaler.target_utilization,
+        min: 0.05,
+        max: 1.0,
+        accessor: |settings| &mut settings.autoscaler.target_utilization,
     },
 ];
 
 impl RuntimeSettings {
-    /// Every option by name.
+    /// The defaults, which are in force until operators change them.
+    pub fn defaults(workers: &WorkerTimings) -> RuntimeSettings {
+        RuntimeSettings {
+            fair_share: FairShare::default(),
+            cycle_interval_s: 1.0,
+            straggler_multiple: 3.0,
+            idle_timeout_s: 15.0,
+            unreachable_after_s: workers.probe_after_s() + PROBING_PERIOD_S,
+            preempt_after_s: 6.0,
+            preempt_checkpointed_after_s: 1.0,
+            autoscaler: AutoscalerConfig::default(),
+        }
+    }
+
+    /// All settings by name.
     pub fn values(&self) -> BTreeMap<String, f64> {
+        // The accessors need a mutable value.
         let mut copy = self.clone();
-        FIELDS.iter().map(|field| (field.name.to_owned(), *(field.place)(&mut copy))).collect()
+        SETTINGS
+            .iter()
+            .map(|definition| (definition.name.to_owned(), *(definition.accessor)(&mut copy)))
+            .collect()
     }
 
-    /// The options with some changed; all or none.
-    pub fn with(
+    /// These settings with some of them changed.
+    ///
+    /// # Errors
+    ///
+    /// If a name is unknown or a value out of range.
+    pub fn with_values(
         &self,
         values: &BTreeMap<String, f64>,
     ) -> Result<RuntimeSettings, InvalidRuntimeSetting> {
-        let mut new = self.clone();
+        let mut changed = self.clone();
         for (name, value) in values {
-            let field = Field::of(name)?;
-            // A value that is not a number is in no range.
-            if !(field.least..=field.most).contains(value) {
-                return Err(field.out_of_range());
+            let definition = SettingDefinition::find(name)?;
+            if !definition.accepts(*value) {
+                return Err(definition.out_of_range());
             }
-            *(field.place)(&mut new) = *value;
+            *(definition.accessor)(&mut changed) = *value;
         }
-        Ok(new)
+        Ok(changed)
     }
 
-    /// The same for values that an operator has sent, which need not be numbers.
+    /// These settings with some of them changed to values that an operator has sent.
+    ///
+    /// # Errors
+    ///
+    /// If no setting is named, a name is unknown, or a value is not a number or out of range.
     pub fn with_json(
         &self,
         values: &BTreeMap<String, Value>,
@@ -162,12 +214,12 @@
         if values.is_empty() {
             return Err(InvalidRuntimeSetting::Empty);
         }
-        let number = |(name, value): (&String, &Value)| {
-            let field = Field::of(name)?;
-            let number = value.as_f64().ok_or_else(|| field.out_of_range())?;
+        let parse_number = |(name, value): (&String, &Value)| {
+            let definition = SettingDefinition::find(name)?;
+            let number = value.as_f64().ok_or_else(|| definition.out_of_range())?;
             Ok((name.clone(), number))
         };
-        let numbers = values.iter().map(number).collect::<Result<_, InvalidRuntimeSetting>>()?;
-        self.with(&numbers)
+        let numbers = values.iter().map(parse_number).collect::<Result<_, _>>()?;
+        self.with_values(&numbers)
     }
 }
--- a/crates/gladekeel-controller/tests/options.rs
+++ b/crates/gladekeel-controller/tests/runtime_settings.rs
@@ -1,12 +1,12 @@
-//! The operators' options: ranges, names, and changes that are made whole or not at all.
+//! Runtime settings: ranges, names, and changes that are applied whole or not at all.
 
 use gladekeel_controller::runtime_settings::RuntimeSettings;
 use gladekeel_wire::settings::WorkerTimings;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-fn options() -> RuntimeSettings {
-    RuntimeSettings::new(&WorkerTimings {
+fn defaults() -> RuntimeSettings {
+    RuntimeSettings::defaults(&WorkerTimings {
         heartbeat_interval_s: 10.0,
         lease_s: 45.0,
         cancellation_deadline_s: 65.0,
@@ -17,9 +17,14 @@
 
 #[test]
 fn values_read_back_and_ranges_hold() {
-    let options = options();
-    assert_eq!(options.with(&options.values()), Ok(options.clone()), "defaults are in range");
-    let change = |name: &str, value| options.with(&BTreeMap::from([(name.to_owned(), value)]));
+    let settings = defaults();
+    assert_eq!(
+        settings.with_values(&settings.values()),
+        Ok(settings.clone()),
+        "defaults are in range"
+    );
+    let change =
+        |name: &str, value| settings.with_values(&BTreeMap::from([(name.to_owned(), value)]));
     assert_eq!(change("beta", 1.5).unwrap().fair_share.beta, 1.5);
     let error = |name: &str, value| change(name, value).unwrap_err().to_string();
     assert_eq!(error("beta", 2.5), "beta: must be a number from 1.01 to 2");
@@ -31,13 +36,13 @@
 /// A value of another type used to be refused without naming the field or its range.
 #[test]
 fn values_of_another_type_name_field_and_range() {
-    let options = options();
+    let settings = defaults();
     let change = |values: Value| {
         let values: BTreeMap<String, Value> = serde_json::from_value(values).unwrap();
-        options.with_json(&values).map_err(|error| error.to_string())
+        settings.with_json(&values).map_err(|error| error.to_string())
     };
-    let new = change(json!({"beta": 2, "idle_s": 7.5})).unwrap();
-    assert_eq!((new.fair_share.beta, new.idle_timeout_s), (2.0, 7.5));
+    let changed = change(json!({"beta": 2, "idle_s": 7.5})).unwrap();
+    assert_eq!((changed.fair_share.beta, changed.idle_timeout_s), (2.0, 7.5));
     for value in [json!("1.5"), json!(null), json!([1.5]), json!({}), json!(true), json!(-1)] {
         let error = change(json!({"beta": 1.5, "round_s": value})).unwrap_err();
         assert_eq!(error, "round_s: must be a number from 0.2 to 30");
