--- a/crates/gladekeel-controller/src/node/leadership/mod.rs
+++ b/crates/gladekeel-controller/src/node/leadership/mod.rs
@@ -6,7 +6,9 @@
 //! nothing. A peer that reports leading under a higher token makes this node step down early,
 //! which is always safe.
 
-pub(super) mod election;
+mod commits;
+mod election;
+mod requests;
 mod resignation;
 mod takeover;
 
@@ -20,10 +22,6 @@
 use resignation::ResignationBackoff;
 use takeover::{PreviousTerm, Takeover};
 
-/// A leader's commit without an answer for this long is looked up in the store, and again each
-/// time this has passed.
-const CONFIRM_COMMIT_AFTER_S: f64 = 0.5;
-
 /// What this node does under the leader key's current version.
 enum Role {
     /// Another node leads, or none.
@@ -211,92 +209,4 @@
             self.store.request_read();
         }
     }
-
-    /// Sends the leader's next commit, if one is due.
-    pub(super) fn send_leader_commit(&mut self, now: f64) {
-        let Some(leader) = self.leadership.leader_mut() else { return };
-        let token = leader.token;
-        let bucket = self.rate_limits.leader_writes.bucket_at(now);
-        if let Some(transaction) = leader.next_commit(now, bucket) {
-            let purpose = StoreCallPurpose::LeaderCommit { token };
-            self.call_store(now, purpose, StoreRequest::Commit(transaction));
-        }
-    }
-
-    /// Applies the outcome of a leader's commit.
-    pub(super) fn on_leader_commit_outcome(
-        &mut self,
-        now: f64,
-        token: u64,
-        outcome: &StoreOutcome,
-    ) {
-        let Some(leader) = self.leadership.leader_under_mut(token) else { return };
-        if *outcome == StoreOutcome::RateLimited {
-            self.rate_limits.leader_writes.on_refused(now);
-        }
-        if leader.commit_answered(now, outcome) {
-            self.store.request_read();
-        }
-    }
-
-    /// Looks up a commit in the store whose answer is slow to arrive.
-    pub(super) fn send_commit_confirmation(&mut self, now: f64) {
-        let Some(leader) = self.leadership.leader() else { return };
-        let (token, marker) = (leader.token, leader.commit_marker());
-        let is_slow = self
-            .calls
-            .leader_commit(token)
-            .is_some_and(|(_, commit)| now - commit.sent_at >= CONFIRM_COMMIT_AFTER_S);
-        if let Some((key, _)) = marker
-            && is_slow
-            && now - self.leadership.confirmation_sent_at >= CONFIRM_COMMIT_AFTER_S
-        {
-            let request = StoreRequest::List { prefix: key.clone(), after: None };
-            self.leadership.confirmation_sent_at = now;
-            self.call_store(now, StoreCallPurpose::ConfirmCommit { token }, request);
-        }
-    }
-
-    /// Settles a commit in doubt if the lookup shows that it was made.
-    ///
-    /// The whole commit was made if and only if its marker stands under its key: nobody else
-    /// writes there under the token.
-    pub(super) fn on_commit_confirmation(&mut self, now: f64, token: u64, outcome: StoreOutcome) {
-        let StoreOutcome::Page(page) = outcome else { return };
-        let Some((commit, _)) = self.calls.leader_commit(token) else { return };
-        let Some(leader) = self.leadership.leader_under_mut(token) else { return };
-        let Some((key, marker)) = leader.commit_marker() else { return };
-        let is_marker = |row: &&gladekeel_wire::store::KeyValue| {
-            row.key == *key && row.value == marker.as_str()
-        };
-        if let Some(version) = page.entries.iter().find(is_marker).map(|row| row.version) {
-            self.calls.finish_store_call(commit);
-            if leader.commit_answered(now, &StoreOutcome::Committed(version)) {
-                self.store.request_read();
-            }
-        }
-    }
-
-    /// Sends the leader's requests to the cloud as far as the rate limit allows.
-    pub(super) fn send_cloud_requests(&mut self, now: f64) {
-        let leadership = self.leadership.count();
-        while let Some(leader) = self.leadership.leader_mut()
-            && self.rate_limits.cloud.can_take(now, 1.0)
-        {
-            let Some(request) = leader.next_cloud(now) else { break };
-            self.rate_limits.cloud.try_take(now, 1.0);
-            self.actions.push(self.calls.call_cloud(leadership, request));
-        }
-    }
-
-    /// Sends the leader's commands and probes to workers. Tasks are started only while the
-    /// view of the store is fresh.
-    pub(super) fn send_worker_requests(&mut self, now: f64) {
-        let may_start = self.store.has_fresh_contact(now);
-        let Some(leader) = self.leadership.leader_mut() else { return };
-        for _ in 0..self.calls.worker_call_budget(now) {
-            let Some(request) = leader.next_worker_request(now, may_start) else { return };
-            self.actions.push(self.calls.call_worker(now, request));
-        }
-    }
 }
--- /dev/null
+++ b/crates/gladekeel-controller/src/node/leadership/requests.rs
@@ -0,0 +1,28 @@
+//! The leader's requests to the cloud and to workers.
+
+use crate::node::Node;
+
+impl Node {
+    /// Sends the leader's requests to the cloud as far as the rate limit allows.
+    pub(in crate::node) fn send_cloud_requests(&mut self, now: f64) {
+        let leadership = self.leadership.count();
+        while let Some(leader) = self.leadership.leader_mut()
+            && self.rate_limits.cloud.can_take(now, 1.0)
+        {
+            let Some(request) = leader.next_cloud(now) else { break };
+            self.rate_limits.cloud.try_take(now, 1.0);
+            self.actions.push(self.calls.call_cloud(leadership, request));
+        }
+    }
+
+    /// Sends the leader's commands and probes to workers. Tasks are started only while the
+    /// view of the store is fresh.
+    pub(in crate::node) fn send_worker_requests(&mut self, now: f64) {
+        let may_start = self.store.has_fresh_contact(now);
+        let Some(leader) = self.leadership.leader_mut() else { return };
+        for _ in 0..self.calls.worker_call_budget(now) {
+            let Some(request) = leader.next_worker_request(now, may_start) else { return };
+            self.actions.push(self.calls.call_worker(now, request));
+        }
+    }
+}
--- /dev/null
+++ b/crates/gladekeel-controller/src/node/peers/job_progress.rs
@@ -0,0 +1,52 @@
+//! Progress of jobs, which the leader publishes so that every node can show it to users.
+
+use super::PeerMessage;
+use crate::{node::Node, store_view::JobProgress};
+use gladekeel_wire::{
+    JobId,
+    mesh::{self, FrameKind},
+};
+
+/// Time between publications of job progress.
+const PROGRESS_INTERVAL_S: f64 = 1.0;
+
+impl Node {
+    /// Sends the progress of jobs to all peers, for display. Only a leader knows it.
+    pub(in crate::node) fn publish_job_progress(&mut self, now: f64) {
+        if now - self.peers.last_progress_at < PROGRESS_INTERVAL_S {
+            return;
+        }
+        self.peers.last_progress_at = now;
+        let has_restarted_peer = std::mem::take(&mut self.peers.has_restarted_peer);
+        let Some(leader) = self.leadership.leader_mut() else { return };
+        let changed = leader.take_changed_progress();
+        let all = &mut self.store.view.job_progress;
+        for (id, progress) in &changed {
+            all.insert(id.clone(), *progress);
+        }
+        let published: Vec<(&JobId, &JobProgress)> = if has_restarted_peer {
+            all.iter().collect()
+        } else {
+            changed.iter().map(|(id, progress)| (id, progress)).collect()
+        };
+        let rows =
+            published.into_iter().map(|(id, progress)| (id, progress.done, progress.running));
+        for payload in mesh::encode_job_progress(rows) {
+            self.send_to_all_peers(PeerMessage::one_way(FrameKind::JobProgress, &payload));
+        }
+    }
+
+    pub(super) fn on_job_progress(&mut self, sender: usize, payload: &[u8]) {
+        let sender = &self.peers.get(sender).name;
+        let view = &mut self.store.view;
+        if view.leader.as_ref().is_none_or(|(record, _)| record.node != *sender) {
+            return;
+        }
+        for (id, done, running) in mesh::decode_job_progress(payload).unwrap_or_default() {
+            // The leader publishes again the progress of jobs that are not in this view yet.
+            if view.jobs.contains_key(&id) {
+                view.job_progress.insert(id, JobProgress { done, running });
+            }
+        }
+    }
+}
--- a/crates/gladekeel-controller/src/node/peers/mod.rs
+++ b/crates/gladekeel-controller/src/node/peers/mod.rs
@@ -4,26 +4,19 @@
 //! the next read of the store. Everything here is a hint that makes reactions faster; no rule of
 //! `docs/safety.md` depends on that a frame arrives.
 
+mod cancellations;
+mod heartbeats;
+mod job_progress;
+
 use super::{Action, Node};
-use crate::store_view::JobProgress;
 use gladekeel_wire::{
-    JobId,
-    mesh::{self, FrameHeader, FrameKind, PROTOCOL_LEVEL, PeerHeartbeat},
+    mesh::{FrameHeader, FrameKind, PeerHeartbeat},
     settings::Settings,
 };
-use zerocopy::{FromBytes, IntoBytes};
+use zerocopy::IntoBytes;
 
-/// Time between heartbeats to each peer.
-const HEARTBEAT_INTERVAL_S: f64 = 1.0;
 /// A peer is reachable for this long after its last heartbeat.
 const REACHABLE_AFTER_HEARTBEAT_S: f64 = 3.0;
-/// Time between publications of job progress.
-const PROGRESS_INTERVAL_S: f64 = 1.0;
-/// How long a cancellation that a peer has reported is kept. By then its tasks are gone, or the
-/// store has shown it; one that the store never shows was no job of this deployment.
-const PENDING_CANCELLATION_TTL_S: f64 = 300.0;
-/// The protocol level from which peers accept [`FrameKind::Cancellations`].
-const CANCELLATIONS_LEVEL: u16 = 1;
 /// The age of a contact with the store that never happened.
 const NO_STORE_CONTACT_MS: u32 = u32::MAX;
 
@@ -240,130 +233,4 @@
             FrameKind::Cancellations => self.on_peer_cancellations(payload),
         }
     }
-
-    fn on_peer_heartbeat(&mut self, now: f64, peer: usize, header: &FrameHeader, payload: &[u8]) {
-        let Ok(heartbeat) = PeerHeartbeat::read_from_bytes(payload) else { return };
-        self.peers.record_heartbeat(now, peer, header, &heartbeat);
-        let peer = self.peers.get(peer);
-        if self.leadership.step_down_if_superseded(&peer.name, peer.leader_token) {
-            self.store.request_read();
-        }
-    }
-
-    fn on_job_progress(&mut self, sender: usize, payload: &[u8]) {
-        let sender = &self.peers.get(sender).name;
-        let view = &mut self.store.view;
-        if view.leader.as_ref().is_none_or(|(record, _)| record.node != *sender) {
-            return;
-        }
-        for (id, done, running) in mesh::decode_job_progress(payload).unwrap_or_default() {
-            // The leader publishes again the progress of jobs that are not in this view yet.
-            if view.jobs.contains_key(&id) {
-                view.job_progress.insert(id, JobProgress { done, running });
-            }
-        }
-    }
-
-    fn on_peer_cancellations(&mut self, payload: &[u8]) {
-        // The frame may have been delayed, but the last read did not show the cancellation, so
-        // it was committed after that read was sent.
-        let not_before = self.store.last_contact_or_never();
-        for id in mesh::decode_job_ids(payload).unwrap_or_default() {
-            self.apply_pending_cancellation(&id, not_before);
-        }
-        self.store.request_read();
-    }
-
-    /// Notes that a job's cancellation has been committed, no earlier than `not_before`. The
-    /// store has not shown it yet, and may not for long.
-    pub(super) fn apply_pending_cancellation(&mut self, id: &JobId, not_before: f64) {
-        let view = &mut self.store.view;
-        if view.final_states.contains_key(id) {
-            return;
-        }
-        view.pending_cancellations.insert(id.clone(), not_before);
-        if let Some(leader) = self.leadership.leader_mut() {
-            leader.apply_pending_cancellation(id, not_before);
-        }
-    }
-
-    /// Forgets cancellations that the store has never shown.
-    fn expire_pending_cancellations(&mut self, now: f64) {
-        let pending = &mut self.store.view.pending_cancellations;
-        pending.retain(|_, not_before| now - *not_before < PENDING_CANCELLATION_TTL_S);
-    }
-
-    /// Sends the cancellations that were committed here to all peers.
-    ///
-    /// A leader that the store refuses then stops the jobs' tasks at once, rather than letting
-    /// them end with their leases.
-    pub(super) fn publish_cancellations(&mut self, now: f64, ids: &[JobId]) {
-        if ids.is_empty() {
-            return;
-        }
-        let payload = mesh::encode_job_ids(ids.iter());
-        for index in 0..self.peers.peers.len() {
-            // A peer that has not been seen of late may come back as an earlier version, which
-            // would end the connection over the unknown frame.
-            let peer = self.peers.get(index);
-            if peer.is_reachable(now) && peer.has_level(CANCELLATIONS_LEVEL) {
-                let message = PeerMessage::one_way(FrameKind::Cancellations, &payload);
-                self.send_to_peer(index, message);
-            }
-        }
-    }
-
-    /// Sends the progress of jobs to all peers, for display. Only a leader knows it.
-    pub(super) fn publish_job_progress(&mut self, now: f64) {
-        if now - self.peers.last_progress_at < PROGRESS_INTERVAL_S {
-            return;
-        }
-        self.peers.last_progress_at = now;
-        let has_restarted_peer = std::mem::take(&mut self.peers.has_restarted_peer);
-        let Some(leader) = self.leadership.leader_mut() else { return };
-        let changed = leader.take_changed_progress();
-        let all = &mut self.store.view.job_progress;
-        for (id, progress) in &changed {
-            all.insert(id.clone(), *progress);
-        }
-        let published: Vec<(&JobId, &JobProgress)> = if has_restarted_peer {
-            all.iter().collect()
-        } else {
-            changed.iter().map(|(id, progress)| (id, progress)).collect()
-        };
-        let rows =
-            published.into_iter().map(|(id, progress)| (id, progress.done, progress.running));
-        for payload in mesh::encode_job_progress(rows) {
-            self.send_to_all_peers(PeerMessage::one_way(FrameKind::JobProgress, &payload));
-        }
-    }
-
-    /// Sends a heartbeat to all peers, if it is due.
-    pub(super) fn send_peer_heartbeats(&mut self, now: f64) {
-        if now - self.peers.last_heartbeat_at < HEARTBEAT_INTERVAL_S {
-            return;
-        }
-        self.peers.last_heartbeat_at = now;
-        let contact_age_ms = self
-            .store
-            .last_contact()
-            .map_or(NO_STORE_CONTACT_MS, |contact| ((now - contact) * 1000.0) as u32);
-        let leader_token = self.leadership.leader().map_or(0, |leader| leader.token);
-        let heartbeat = PeerHeartbeat {
-            store_contact_age_ms: contact_age_ms.into(),
-            leader_token: leader_token.into(),
-        };
-        for peer in 0..self.peers.peers.len() {
-            // Versions without a protocol level get no incarnation either.
-            let has_level = self.peers.get(peer).has_level(1);
-            let message = PeerMessage {
-                kind: FrameKind::PeerHeartbeat,
-                status: PROTOCOL_LEVEL,
-                correlation_id: if has_level { self.leadership.incarnation() } else { 0 },
-                payload: heartbeat.as_bytes(),
-            };
-            self.send_to_peer(peer, message);
-        }
-        self.expire_pending_cancellations(now);
-    }
 }
