--- a/crates/gladekeel-controller/src/leader/autoscaling/scaling.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/scaling.rs
@@ -7,7 +7,7 @@
 use gladekeel_sched::{DenseIndex, JobIdx, MachineIdx, MachineTypeIdx, ZoneIdx};
 use gladekeel_sched::{
     Resources,
-    autoscaling::{ArrivalRate, Autoscaler, JobDemand, ScalingPlan, Supply},
+    autoscaling::{ArrivalRate, Autoscaler, JobDemand, ScalingInput, ScalingPlan, Supply},
 };
 use std::collections::{BTreeMap, HashMap};
 
@@ -262,9 +262,11 @@
         let flows = demand.flows(kind);
         let sizing = &options.autoscaler;
         let sizer = demand.sizers.entry((kind, false)).or_default();
-        let any = sizer.plan(now, &all, any, &flows, boot_s, sizing);
+        let input = ScalingInput { demands: &all, supply: any, arrivals: &flows, boot_s };
+        let any = sizer.plan(now, &input, sizing);
         let sizer = demand.sizers.entry((kind, true)).or_default();
-        let ordinary = sizer.plan(now, &no_spot, ordinary, &[], boot_s, sizing);
+        let input = ScalingInput { demands: &no_spot, supply: ordinary, arrivals: &[], boot_s };
+        let ordinary = sizer.plan(now, &input, sizing);
         let mut plans = KindPlans { any, ordinary };
         let standby = f64::from(self.cluster.warm_pool.wanted(kind));
         plans.ordinary.required = plans.ordinary.required.max(standby);
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -59,7 +59,7 @@
 use commands::CommandQueue;
 use failure_detection::detector::FailureDetector;
 pub use failure_detection::reachability::HeartbeatSilence;
-use gladekeel_sched::{Interner, JobIdx, MachineIdx, Resources, ZoneIdx, cycle::TeamQuota};
+use gladekeel_sched::{Interner, JobIdx, MachineIdx, Resources, ZoneIdx, snapshot::TeamQuota};
 use gladekeel_wire::{JobId, settings::Deployment, store::Transaction};
 use scheduling::stragglers::StragglerScan;
 use std::{
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -1,7 +1,8 @@
 //! What a scheduling cycle is given: the machines, teams and jobs as the leader has them.
 
 use crate::leader::{Job, Leader, Machine};
-use gladekeel_sched::cycle::{SchedulableJob, SchedulableMachine, SchedulingCycle};
+use gladekeel_sched::cycle::SchedulingCycle;
+use gladekeel_sched::snapshot::{SchedulableJob, SchedulableMachine};
 use gladekeel_sched::{JobIdx, MachineIdx, ZoneIdx};
 use gladekeel_wire::job::JobKind;
 use std::collections::{BTreeSet, HashMap};
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -12,7 +12,7 @@
 use crate::runtime_settings::RuntimeSettings;
 use gladekeel_sched::{
     DenseIndex, JobIdx,
-    preemption::{PreemptionCandidate, PreemptionCandidates},
+    preemption::{PreemptionCandidate, PreemptionCandidates, PreemptionScope},
 };
 use std::collections::BTreeMap;
 
@@ -70,15 +70,15 @@
     }
 
     /// Seeks victims for the pending tasks of the job at this position.
-    fn search_for_tasks(&mut self, position: usize, checkpointed_only: bool) {
+    fn search_for_tasks(&mut self, position: usize, scope: PreemptionScope) {
         let remaining = self.remaining();
         let cycle = &mut self.input.cycle;
-        let victims = self.candidates.preempt_for(cycle, position, remaining, checkpointed_only);
+        let victims = self.candidates.preempt_for(cycle, position, remaining, scope);
         self.victims.extend(victims);
     }
 
     /// Seeks victims for the whole gang at this position, if none of it is on a machine.
-    fn search_for_gang(&mut self, position: usize, checkpointed_only: bool) {
+    fn search_for_gang(&mut self, position: usize, scope: PreemptionScope) {
         let remaining = self.remaining();
         let cycle = &mut self.input.cycle;
         let gang = &cycle.jobs[position];
@@ -86,8 +86,7 @@
             return;
         }
         self.gang_searches += 1;
-        let victims =
-            self.candidates.preempt_for_gang(cycle, position, remaining, checkpointed_only);
+        let victims = self.candidates.preempt_for_gang(cycle, position, remaining, scope);
         self.victims.extend(victims);
     }
 
@@ -209,12 +208,16 @@
             }
             // Tasks that lose little are preempted soon, others only after a longer wait.
             let waited_s = self.schedulable_wait_s(job_idx, now).unwrap_or(0.0);
-            let checkpointed_only = waited_s < options.preempt_after_s;
+            let scope = if waited_s < options.preempt_after_s {
+                PreemptionScope::CheckpointingTasks
+            } else {
+                PreemptionScope::AllTasks
+            };
             if job.gang {
-                search.search_for_gang(position, checkpointed_only);
+                search.search_for_gang(position, scope);
                 continue;
             }
-            search.search_for_tasks(position, checkpointed_only);
+            search.search_for_tasks(position, scope);
             if search.lacks_cached_image(position) {
                 self.give_up_on_cached_image(job_idx);
             }
@@ -244,7 +247,8 @@
         });
         let Some(preemptor) = preemptor else { return };
         let mut candidates = PreemptionCandidates::new(input.machines.len(), gangs.into_values());
-        let victims = candidates.preempt_for(&mut input.cycle, preemptor, 1, false);
+        let victims =
+            candidates.preempt_for(&mut input.cycle, preemptor, 1, PreemptionScope::AllTasks);
         let victim = victims.first().copied().map(AttemptId::from_logged);
         let victim = victim.and_then(|id| self.attempts.get(id));
         if let Some(gang) = victim.map(|attempt| attempt.job) {
--- /dev/null
+++ b/crates/gladekeel-sched/src/cycle/state.rs
@@ -0,0 +1,116 @@
+//! The state of a scheduling cycle, and the questions that placing and preemption ask of it.
+
+use crate::fair_share::{Demand, FairShare};
+use crate::snapshot::{SchedulableJob, SchedulableMachine, TeamQuota};
+use crate::{DenseIndex, Resources};
+
+/// The largest share of the cluster that one task counts for: keeps the share finite for a task
+/// that requests a resource of which the cluster has nothing.
+const MAX_TASK_SHARE: f64 = 1e6;
+/// The smallest share by which an allocation is divided: a task that requests nothing has none.
+const MIN_TASK_SHARE: f64 = 1e-12;
+/// Keeps rounding errors from taking a whole task off an allocation.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+/// The maximum of tasks in an allocation, before it is bounded by the job's remaining tasks.
+const MAX_TASKS: f64 = 1e9;
+
+/// The snapshot that a scheduling cycle works on. Binding and preemption update it.
+#[derive(Debug, Clone, Default)]
+pub struct SchedulingCycle {
+    /// The machines; ones without free resources may be left out.
+    pub machines: Vec<SchedulableMachine>,
+    /// The capacity of all machines, those left out included.
+    pub total_capacity: Resources,
+    /// The teams, by [`TeamIdx`](crate::TeamIdx).
+    pub teams: Vec<TeamQuota>,
+    /// The jobs, oldest first.
+    pub jobs: Vec<SchedulableJob>,
+    /// The maximum of bindings; further tasks wait for the next cycle.
+    pub max_bindings: usize,
+    /// How often a machine was examined: the cost of a cycle, for metrics and load tests.
+    pub machines_examined: u64,
+}
+
+impl SchedulingCycle {
+    /// Positions of the jobs: overdue ones first, then by priority, virtual size and age.
+    pub fn job_order(&self) -> Vec<usize> {
+        let mut order: Vec<usize> = (0..self.jobs.len()).collect();
+        order.sort_by_key(|position| {
+            let job = &self.jobs[*position];
+            (u32::MAX - job.overdue_s, u8::MAX - job.priority, job.remaining)
+        });
+        order
+    }
+
+    /// How many tasks of each job its fair share covers, by the job's position. Higher
+    /// priorities get their shares first; [`FairShare`] divides within a priority.
+    pub fn task_allocations(&self, fair_share: &FairShare) -> Vec<u32> {
+        let mut allocations = vec![0; self.jobs.len()];
+        let mut unallocated = 1.0;
+        for priority in self.priorities_descending() {
+            let jobs: Vec<usize> = (0..self.jobs.len())
+                .filter(|position| self.jobs[*position].priority == priority)
+                .collect();
+            let demands: Vec<Demand> = jobs.iter().map(|job| self.demand(*job)).collect();
+            let shares = fair_share.allocate(&demands, unallocated);
+            for ((job, demand), share) in jobs.into_iter().zip(demands).zip(shares) {
+                allocations[job] = whole_tasks(share, demand);
+                unallocated -= f64::from(allocations[job]) * demand.task_share;
+            }
+            unallocated = unallocated.max(0.0);
+        }
+        allocations
+    }
+
+    fn priorities_descending(&self) -> impl Iterator<Item = u8> + use<> {
+        let mut priorities: Vec<u8> = self.jobs.iter().map(|job| job.priority).collect();
+        priorities.sort_unstable();
+        priorities.dedup();
+        priorities.into_iter().rev()
+    }
+
+    fn demand(&self, position: usize) -> Demand {
+        let job = &self.jobs[position];
+        let task_share = job.task_request.dominant_share_of(self.total_capacity);
+        Demand { remaining: job.remaining, task_share: task_share.min(MAX_TASK_SHARE) }
+    }
+
+    /// The quota of a job's team.
+    pub(crate) fn team_of(&self, job: &SchedulableJob) -> &TeamQuota {
+        &self.teams[job.team.position()]
+    }
+
+    /// Whether the machines could hold all of a gang if nothing else were on them.
+    pub(super) fn could_hold_gang(&self, position: usize) -> bool {
+        let job = &self.jobs[position];
+        let usable = self.machines.iter().filter(|m| m.schedulable && job.is_feasible_on(m));
+        let tasks = usable.map(|m| job.task_request.times_in(m.capacity, job.remaining));
+        tasks.sum::<u32>() >= job.remaining
+    }
+
+    /// Counts as many of a job's pending tasks on free resources as fit: preemption for a gang
+    /// looks for the rest of it only.
+    pub(crate) fn reserve_free(&mut self, position: usize) {
+        let job = &mut self.jobs[position];
+        let team = &mut self.teams[job.team.position()];
+        for machine in &mut self.machines {
+            if !machine.schedulable || !job.is_feasible_on(machine) {
+                continue;
+            }
+            let mut tasks = job.task_request.times_in(machine.free, job.pending);
+            while tasks > 0 && !team.within_limit(job.task_request * i64::from(tasks)) {
+                tasks -= 1;
+            }
+            let requested = job.task_request * i64::from(tasks);
+            machine.free -= requested;
+            team.used += requested;
+            job.pending -= tasks;
+        }
+    }
+}
+
+/// The whole tasks that a share covers.
+fn whole_tasks(share: f64, demand: Demand) -> u32 {
+    let tasks = (share / demand.task_share.max(MIN_TASK_SHARE) + ROUNDING_TOLERANCE).floor();
+    (tasks.min(MAX_TASKS) as u32).min(demand.remaining)
+}
--- a/crates/gladekeel-sched/src/fair_share.rs
+++ b/crates/gladekeel-sched/src/fair_share.rs
@@ -1,20 +1,34 @@
-//! Virtual sizes and the division of room (the thesis's Pseudocode 1 with its floors).
+//! Virtual sizes of jobs, and the division of the cluster between them.
+//!
+//! This is Hopper's rule (X. Ren, G. Ananthanarayanan, A. Wierman, M. Yu, "Hopper: Decentralized
+//! Speculation-aware Cluster Scheduling at Scale", SIGCOMM 2015; here as in chapter 3 of the
+//! thesis "Speculation-aware Resource Allocation for Cluster Schedulers", guidelines 1 and 2 and
+//! pseudocode 1):
+//!
+//! - a job's virtual size is V = 2/β × its remaining tasks (equation 3.5), β being the tail of the
+//!   Pareto distribution of run times: what is beyond the tasks is for speculative restarts;
+//! - if the sum of V exceeds the capacity, jobs get their V, smallest first, until it is used up;
+//! - otherwise each gets capacity in proportion to its V;
+//! - each of N jobs keeps its floor of S/N − ε of the capacity S, unless its V is less.
+//!
+//! [`SchedulingCycle::task_allocations`](crate::cycle::SchedulingCycle::task_allocations) applies
+//! it to the jobs of each priority and rounds to whole tasks.
 
-/// A job as the division sees it.
+/// What a job asks of the division.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
     /// Tasks that have not completed, running ones included.
     pub remaining: u32,
-    /// Room that one task takes, as a part of all room.
+    /// The share of the cluster that one task requests.
     pub task_share: f64,
 }
 
-/// What is open to measurement in the design.
+/// The parameters of the rule; operators can set them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FairShare {
-    /// Tail of the Pareto distribution of run times.
+    /// Tail index of the Pareto distribution of run times, above 1.
     pub beta: f64,
-    /// Part of an equal share by which a floor may fall below it.
+    /// The part of an equal share by which a floor may fall below it, from 0 to 1.
     pub epsilon: f64,
 }
 
@@ -25,41 +39,49 @@
 }
 
 impl FairShare {
-    /// V = 2/β × remaining tasks.
+    /// The virtual size of a job, in tasks.
     pub fn virtual_size(&self, remaining: u32) -> f64 {
         2.0 / self.beta * f64::from(remaining)
     }
 
-    /// Divides `room` between jobs; returns each one's part, in the unit of `room`.
+    /// Divides `capacity` between jobs; returns the allocation of each, in the unit of
+    /// `capacity`.
     ///
-    /// Sizes count in tasks for the order of jobs, and in the room that these
-    /// tasks take for how far the room reaches, so that with tasks of one size
-    /// this is the thesis's rule to the letter.
-    pub fn allocate(&self, claims: &[Demand], room: f64) -> Vec<f64> {
-        let wants: Vec<f64> =
-            claims.iter().map(|c| self.virtual_size(c.remaining) * c.task_share).collect();
-        let total: f64 = wants.iter().sum();
-        if total <= 0.0 || room <= 0.0 {
-            return vec![0.0; claims.len()];
+    /// Jobs are ordered by their virtual size in tasks, and get the share of the cluster that
+    /// these tasks request. If all tasks request the same, this is the paper's rule.
+    pub fn allocate(&self, demands: &[Demand], capacity: f64) -> Vec<f64> {
+        let requested: Vec<f64> = demands
+            .iter()
+            .map(|demand| self.virtual_size(demand.remaining) * demand.task_share)
+            .collect();
+        let total: f64 = requested.iter().sum();
+        if total <= 0.0 || capacity <= 0.0 {
+            vec![0.0; demands.len()]
+        } else if total <= capacity {
+            requested.iter().map(|share| capacity * share / total).collect()
+        } else {
+            self.allocate_scarce(demands, &requested, capacity)
         }
-        if total <= room {
-            return wants.iter().map(|want| room * want / total).collect();
-        }
-        let floor = room / claims.len() as f64 * (1.0 - self.epsilon);
-        let mut parts: Vec<f64> = wants.iter().map(|want| want.min(floor)).collect();
-        let mut left = room - parts.iter().sum::<f64>();
-        for index in self.smallest_first(claims) {
-            let more = (wants[index] - parts[index]).clamp(0.0, left.max(0.0));
-            parts[index] += more;
-            left -= more;
-        }
-        parts
     }
 
-    /// Indices of the jobs, smallest virtual size first; ties keep their order.
-    pub fn smallest_first(&self, claims: &[Demand]) -> Vec<usize> {
-        let mut order: Vec<usize> = (0..claims.len()).collect();
-        order.sort_by_key(|index| claims[*index].remaining);
-        order
+    /// Gives each job its floor, and then jobs what they request, smallest first.
+    fn allocate_scarce(&self, demands: &[Demand], requested: &[f64], capacity: f64) -> Vec<f64> {
+        let floor = capacity / demands.len() as f64 * (1.0 - self.epsilon);
+        let mut allocations: Vec<f64> = requested.iter().map(|share| share.min(floor)).collect();
+        let mut unallocated = capacity - allocations.iter().sum::<f64>();
+        for job in smallest_first(demands) {
+            let missing = requested[job] - allocations[job];
+            let granted = missing.clamp(0.0, unallocated.max(0.0));
+            allocations[job] += granted;
+            unallocated -= granted;
+        }
+        allocations
     }
 }
+
+/// Positions of the jobs, smallest virtual size first; ties keep their order.
+fn smallest_first(demands: &[Demand]) -> Vec<usize> {
+    let mut order: Vec<usize> = (0..demands.len()).collect();
+    order.sort_by_key(|job| demands[*job].remaining);
+    order
+}
--- a/crates/gladekeel-sched/src/intern.rs
+++ b/crates/gladekeel-sched/src/intern.rs
@@ -1,4 +1,4 @@
-//! Names as dense indices.
+//! Interning of names: each gets a dense index that does not change.
 
 use crate::DenseIndex;
 use std::{collections::HashMap, hash::Hash};
@@ -48,12 +48,12 @@
         &self.names
     }
 
-    /// How many there are.
+    /// How many names there are.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/crates/gladekeel-sched/src/lib.rs
+++ b/crates/gladekeel-sched/src/lib.rs
@@ -1,23 +1,26 @@
 //! Scheduling decisions, without I/O, clocks or names.
 //!
-//! - [`Interner`] maps names to dense indices at the door;
-//! - [`fair_share`] sizes jobs and divides room between them;
-//! - [`cycle`] turns the division into placements on machines;
-//! - [`preemption`] tells what is stopped for those with a better claim;
-//! - [`straggler`] tells which tasks are slow enough to start anew;
-//! - [`autoscaling`] says how many machines there should be.
+//! - [`Interner`] maps names to dense indices, so that decisions are made on small numbers;
+//! - [`snapshot`] describes machines, jobs and teams as a decision sees them;
+//! - [`fair_share`] divides the cluster between jobs;
+//! - [`cycle`] binds pending tasks to machines;
+//! - [`preemption`] chooses running tasks to stop for those with a better claim;
+//! - [`straggler`] finds the tasks that are slow enough to restart;
+//! - [`autoscaling`] plans how many machines there should be.
 //!
-//! Time and random choices are passed in: the same input gives the same output.
+//! The leader of `gladekeel-controller` calls all of these. Time is passed in and nothing is
+//! random: the same input gives the same output.
 
 pub mod autoscaling;
 pub mod cycle;
 pub mod fair_share;
 pub mod preemption;
+pub mod snapshot;
 pub mod straggler;
 
+mod candidate_index;
 mod indices;
 mod intern;
-mod machine_index;
 mod resources;
 
 pub use indices::{DenseIndex, ImageIdx, JobIdx, MachineIdx, MachineTypeIdx, TeamIdx, ZoneIdx};
--- a/crates/gladekeel-sched/src/preemption.rs
+++ b/crates/gladekeel-sched/src/preemption.rs
@@ -1,181 +1,253 @@
-//! What is stopped to make room for those with a better claim.
+//! Preemption: which running tasks are stopped for pending ones with a better claim.
+//!
+//! The leader calls this after a [`SchedulingCycle`] has run, for jobs that are still pending
+//! and have waited long enough, with the tasks that may be stopped at all.
+//!
+//! A task may be preempted if it has a lower priority, or if its team has borrowed beyond its
+//! guarantee while the preempting job's team stays within its own. Machines where the least
+//! work is lost come first. For a gang, room is made for all of it or not at all.
 
-use crate::{DenseIndex, TeamIdx, ZoneIdx};
 use crate::{
-    Resources,
-    cycle::{SchedulableJob, SchedulingCycle, TeamQuota},
+    DenseIndex, Resources, TeamIdx, ZoneIdx,
+    cycle::SchedulingCycle,
+    snapshot::{SchedulableJob, SchedulableMachine},
 };
 use std::{
     cmp::Reverse,
     collections::{BTreeSet, BinaryHeap},
 };
 
-/// A task on a machine that could be stopped for another.
+/// A running task, or a gang's tasks on one machine, that may be preempted.
 #[derive(Debug, Clone, Copy)]
 pub struct PreemptionCandidate {
-    /// Whose it is, for the caller.
+    /// Identifies it to the caller.
     pub id: u64,
-    /// The machine, as an index into the round's machines.
+    /// Position of its machine in the cycle.
     pub machine: usize,
     /// Its team.
     pub team: TeamIdx,
     /// Its priority.
     pub priority: u8,
-    /// What it takes.
+    /// What it has requested.
     pub resources: Resources,
-    /// Work that stopping it would lose, in CPU-seconds.
+    /// Work that is lost if it is stopped, in CPU-seconds; never negative.
     pub lost_work: f64,
-    /// Whether it saves its progress.
+    /// Whether it saves its progress in checkpoints.
     pub checkpoints: bool,
 }
 
-/// Tasks that could be stopped, by machine.
+/// Which tasks a job may preempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum PreemptionScope {
+    /// Only tasks that save their progress.
+    CheckpointingTasks,
+    /// All tasks.
+    AllTasks,
+}
+
+impl PreemptionScope {
+    fn includes(self, candidate: &PreemptionCandidate) -> bool {
+        self == PreemptionScope::AllTasks || candidate.checkpoints
+    }
+}
+
+/// Tasks that may be preempted, by machine, those that lose the least work first.
 #[derive(Debug, Clone)]
-pub struct PreemptionCandidates(Vec<Vec<PreemptionCandidate>>);
+pub struct PreemptionCandidates {
+    by_machine: Vec<Vec<PreemptionCandidate>>,
+}
+
+/// The candidates of one machine to stop so that a task fits there.
+struct Eviction {
+    lost_work: f64,
+    ids: Vec<u64>,
+}
 
-/// What making room for a task costs on a machine: work lost, and how many of the
-/// machine's victims are stopped.
-type PreemptionCost = (f64, Vec<u64>);
+/// Machines by the work that is lost if a task is placed there, the least first.
+#[derive(Default)]
+struct EvictionQueue(BinaryHeap<Reverse<(u64, usize)>>);
+
+impl EvictionQueue {
+    fn push(&mut self, eviction: &Eviction, machine: usize) {
+        // Lost work is never negative: the bits of such numbers are in their order.
+        self.0.push(Reverse((eviction.lost_work.to_bits(), machine)));
+    }
+
+    /// The machine with the least lost work, with the bits of that.
+    fn pop(&mut self) -> Option<(u64, usize)> {
+        self.0.pop().map(|Reverse(entry)| entry)
+    }
+}
 
 impl PreemptionCandidates {
-    /// Groups victims by machine, those that lose least first.
+    /// Groups candidates by machine, for a cycle with so many machines.
     pub fn new(
-        machines: usize,
-        victims: impl IntoIterator<Item = PreemptionCandidate>,
+        machine_count: usize,
+        candidates: impl IntoIterator<Item = PreemptionCandidate>,
     ) -> PreemptionCandidates {
-        let mut groups = vec![Vec::new(); machines];
-        for victim in victims {
-            groups[victim.machine].push(victim);
+        let mut by_machine = vec![Vec::new(); machine_count];
+        for candidate in candidates {
+            by_machine[candidate.machine].push(candidate);
         }
-        for group in &mut groups {
+        for group in &mut by_machine {
             group.sort_by(|a: &PreemptionCandidate, b| {
                 a.lost_work.total_cmp(&b.lost_work).then(a.id.cmp(&b.id))
             });
         }
-        PreemptionCandidates(groups)
+        PreemptionCandidates { by_machine }
     }
 
-    /// Chooses tasks to stop for up to `most` waiting tasks of a job, and returns
-    /// them; `saving` takes only ones that save their progress. The round counts
-    /// their room as the job's from then on.
+    /// Chooses tasks to stop for the pending tasks of the job at this position, and returns
+    /// their identifiers. Chooses no further ones once there are `max_preemptions`.
     ///
-    /// A victim has a lower priority, or belongs to another team that runs beyond
-    /// its guarantee while the claimant stays within its own. Machines where least
-    /// work is lost come first.
+    /// The cycle counts the pending tasks that fit thereby as placed.
     pub fn preempt_for(
         &mut self,
-        round: &mut SchedulingCycle,
-        index: usize,
-        most: usize,
-        saving: bool,
+        cycle: &mut SchedulingCycle,
+        position: usize,
+        max_preemptions: usize,
+        scope: PreemptionScope,
     ) -> Vec<u64> {
-        let job = round.jobs[index].clone();
-        let mut heap: BinaryHeap<Reverse<(u64, usize)>> = BinaryHeap::new();
-        // Losses are never negative, so that their bits are in their order.
-        for machine in 0..round.machines.len() {
-            if let Some((loss, _)) = self.cost_on(round, &job, machine, saving) {
-                heap.push(Reverse((loss.to_bits(), machine)));
-            }
-        }
-        let mut stopped = Vec::new();
-        while round.jobs[index].pending > 0
-            && stopped.len() < most
-            && let Some(Reverse((known, machine))) = heap.pop()
+        let job = cycle.jobs[position].clone();
+        let mut queue = self.eviction_queue(cycle, &job, scope);
+        let mut preempted = Vec::new();
+        while cycle.jobs[position].pending > 0
+            && preempted.len() < max_preemptions
+            && let Some((queued_loss, machine)) = queue.pop()
         {
-            // Uses of teams have changed since; what an offer costs may have too.
-            let Some((loss, ids)) = self.cost_on(round, &job, machine, saving) else { continue };
-            if loss.to_bits() > known {
-                heap.push(Reverse((loss.to_bits(), machine)));
+            // What the teams use has changed since, and with it what may be preempted.
+            let Some(eviction) = self.eviction_on(cycle, &job, machine, scope) else { continue };
+            if eviction.lost_work.to_bits() > queued_loss {
+                queue.push(&eviction, machine);
                 continue;
             }
-            let group = &mut self.0[machine];
-            for victim in group.iter().filter(|victim| ids.contains(&victim.id)) {
-                round.machines[machine].free += victim.resources;
-                round.teams[victim.team.position()].used -= victim.resources;
-            }
-            group.retain(|victim| !ids.contains(&victim.id));
-            round.machines[machine].free -= job.task_request;
-            round.teams[job.team.position()].used += job.task_request;
-            round.jobs[index].pending -= 1;
-            stopped.extend(ids);
-            if let Some((loss, _)) = self.cost_on(round, &job, machine, saving) {
-                heap.push(Reverse((loss.to_bits(), machine)));
+            self.evict(cycle, machine, &eviction);
+            cycle.machines[machine].free -= job.task_request;
+            cycle.teams[job.team.position()].used += job.task_request;
+            cycle.jobs[position].pending -= 1;
+            preempted.extend(eviction.ids);
+            if let Some(next) = self.eviction_on(cycle, &job, machine, scope) {
+                queue.push(&next, machine);
             }
         }
-        stopped
+        preempted
     }
 
-    /// The same for a whole gang, together with what is free, or nothing: half of the
-    /// room would help nobody. Machines that have its image come before others.
+    /// As [`PreemptionCandidates::preempt_for`], for all pending tasks of a gang together with
+    /// what is free, or for none: half of a gang cannot start. Machines that have its image
+    /// come before others.
     pub fn preempt_for_gang(
         &mut self,
-        round: &mut SchedulingCycle,
-        index: usize,
-        most: usize,
-        saving: bool,
+        cycle: &mut SchedulingCycle,
+        position: usize,
+        max_preemptions: usize,
+        scope: PreemptionScope,
     ) -> Vec<u64> {
-        let zones: BTreeSet<ZoneIdx> = round.machines.iter().map(|machine| machine.zone).collect();
-        let only = |zone: ZoneIdx| Some(zone);
-        let tries: Vec<Option<ZoneIdx>> = match round.jobs[index].single_zone {
-            true => zones.into_iter().map(only).collect(),
-            false => vec![round.jobs[index].zone],
-        };
-        for ready in [true, false] {
-            for zone in &tries {
-                let (mut round_then, mut victims_then) = (round.clone(), self.clone());
-                let job = &mut round_then.jobs[index];
-                if job.zone.is_some_and(|own| Some(own) != *zone) {
+        let zones = allowed_zones(cycle, &cycle.jobs[position]);
+        for requires_cached_image in [true, false] {
+            for zone in &zones {
+                let (mut trial_cycle, mut trial_candidates) = (cycle.clone(), self.clone());
+                let job = &mut trial_cycle.jobs[position];
+                if job.zone.is_some_and(|only| Some(only) != *zone) {
                     continue;
                 }
-                let before = (job.zone, job.requires_cached_image);
-                (job.zone, job.requires_cached_image) = (*zone, ready);
-                round_then.reserve_free(index);
-                let stopped = victims_then.preempt_for(&mut round_then, index, most, saving);
-                if round_then.jobs[index].pending == 0 {
-                    let job = &mut round_then.jobs[index];
-                    (job.zone, job.requires_cached_image) = before;
-                    (*round, *self) = (round_then, victims_then);
-                    return stopped;
+                (job.zone, job.requires_cached_image) = (*zone, requires_cached_image);
+                trial_cycle.reserve_free(position);
+                let preempted = trial_candidates.preempt_for(
+                    &mut trial_cycle,
+                    position,
+                    max_preemptions,
+                    scope,
+                );
+                if trial_cycle.jobs[position].pending == 0 {
+                    let original = &cycle.jobs[position];
+                    let job = &mut trial_cycle.jobs[position];
+                    job.zone = original.zone;
+                    job.requires_cached_image = original.requires_cached_image;
+                    (*cycle, *self) = (trial_cycle, trial_candidates);
+                    return preempted;
                 }
             }
         }
         Vec::new()
     }
 
-    fn cost_on(
+    fn eviction_queue(
+        &self,
+        cycle: &SchedulingCycle,
+        job: &SchedulableJob,
+        scope: PreemptionScope,
+    ) -> EvictionQueue {
+        let mut queue = EvictionQueue::default();
+        for machine in 0..cycle.machines.len() {
+            if let Some(eviction) = self.eviction_on(cycle, job, machine, scope) {
+                queue.push(&eviction, machine);
+            }
+        }
+        queue
+    }
+
+    /// What must be stopped on a machine so that a task of the job fits; `None` if that cannot
+    /// be had, or if nothing need be stopped.
+    fn eviction_on(
         &self,
-        round: &SchedulingCycle,
+        cycle: &SchedulingCycle,
         job: &SchedulableJob,
-        at: usize,
-        saving: bool,
-    ) -> Option<PreemptionCost> {
-        let machine = &round.machines[at];
-        let team: &TeamQuota = &round.teams[job.team.position()];
-        if !machine.schedulable
-            || (machine.warm_pool && !job.gang)
-            || self.0[at].is_empty()
+        position: usize,
+        scope: PreemptionScope,
+    ) -> Option<Eviction> {
+        let machine = &cycle.machines[position];
+        let candidates = &self.by_machine[position];
+        let team = cycle.team_of(job);
+        if candidates.is_empty()
             || !team.within_limit(job.task_request)
-            || !job.task_request.fits_in(machine.capacity)
-            || (job.requires_cached_image && !machine.cached_images.contains(&job.image))
-            || !job.may_use(machine.machine_type, machine.zone, machine.spot)
+            || !could_run_on(job, machine)
         {
             return None;
         }
-        let claims_guarantee = team.within_guarantee(job.task_request);
-        let (mut free, mut loss, mut ids) = (machine.free, 0.0, Vec::new());
-        for victim in &self.0[at] {
+        let reclaims_guarantee = team.within_guarantee(job.task_request);
+        let mut free = machine.free;
+        let mut eviction = Eviction { lost_work: 0.0, ids: Vec::new() };
+        for candidate in candidates {
             if job.task_request.fits_in(free) {
                 break;
             }
-            let borrowed = claims_guarantee
-                && victim.team != job.team
-                && round.teams[victim.team.position()].exceeds_guarantee();
-            if (victim.checkpoints || !saving) && (victim.priority < job.priority || borrowed) {
-                free += victim.resources;
-                loss += victim.lost_work;
-                ids.push(victim.id);
+            let borrowed = reclaims_guarantee
+                && candidate.team != job.team
+                && cycle.teams[candidate.team.position()].exceeds_guarantee();
+            if scope.includes(candidate) && (candidate.priority < job.priority || borrowed) {
+                free += candidate.resources;
+                eviction.lost_work += candidate.lost_work;
+                eviction.ids.push(candidate.id);
             }
         }
-        (job.task_request.fits_in(free) && !ids.is_empty()).then_some((loss, ids))
+        (job.task_request.fits_in(free) && !eviction.ids.is_empty()).then_some(eviction)
+    }
+
+    /// Counts candidates of a machine as stopped.
+    fn evict(&mut self, cycle: &mut SchedulingCycle, machine: usize, eviction: &Eviction) {
+        let group = &mut self.by_machine[machine];
+        for candidate in group.iter().filter(|candidate| eviction.ids.contains(&candidate.id)) {
+            cycle.machines[machine].free += candidate.resources;
+            cycle.teams[candidate.team.position()].used -= candidate.resources;
+        }
+        group.retain(|candidate| !eviction.ids.contains(&candidate.id));
+    }
+}
+
+/// Whether a machine could run a task of the job if it were empty.
+fn could_run_on(job: &SchedulableJob, machine: &SchedulableMachine) -> bool {
+    machine.schedulable
+        && (!machine.warm_pool || job.gang)
+        && job.task_request.fits_in(machine.capacity)
+        && job.is_feasible_on(machine)
+}
+
+/// The zones that are tried for a gang, one after the other; `None` stands for all at once.
+fn allowed_zones(cycle: &SchedulingCycle, gang: &SchedulableJob) -> Vec<Option<ZoneIdx>> {
+    if !gang.single_zone {
+        return vec![gang.zone];
     }
+    let zones: BTreeSet<ZoneIdx> = cycle.machines.iter().map(|machine| machine.zone).collect();
+    zones.into_iter().map(Some).collect()
 }
--- a/crates/gladekeel-sched/src/resources.rs
+++ b/crates/gladekeel-sched/src/resources.rs
@@ -1,29 +1,36 @@
 //! Amounts of CPU, GPU and memory.
+//!
+//! Requests are rounded up and capacities down, so that no machine gets more than it has.
 
 use std::ops::{Add, AddAssign, Mul, Sub, SubAssign};
 
+/// Amounts are kept in thousandths.
+const UNIT: f64 = 1000.0;
+/// Keeps errors of the floating-point product from changing an exact amount.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+
 /// An amount of CPU, GPU and memory, in thousandths, so that sums are exact.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Resources {
-    /// CPUs.
+    /// CPUs, in thousandths.
     pub cpus: i64,
-    /// GPUs.
+    /// GPUs, in thousandths.
     pub gpus: i64,
-    /// Memory in GB.
+    /// Memory, in thousandths of a GB.
     pub memory: i64,
 }
 
 impl Resources {
-    /// What a task takes: rounded up.
+    /// What a task requests: rounded up.
     pub fn requested(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
-        let up = |v: f64| (v * 1000.0 - 1e-6).ceil() as i64;
-        Resources { cpus: up(cpus), gpus: up(gpus), memory: up(memory_gb) }
+        let round_up = |amount: f64| (amount * UNIT - ROUNDING_TOLERANCE).ceil() as i64;
+        Resources { cpus: round_up(cpus), gpus: round_up(gpus), memory: round_up(memory_gb) }
     }
 
     /// What a machine offers: rounded down.
     pub fn allocatable(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
-        let down = |v: f64| (v * 1000.0 + 1e-6).floor() as i64;
-        Resources { cpus: down(cpus), gpus: down(gpus), memory: down(memory_gb) }
+        let round_down = |amount: f64| (amount * UNIT + ROUNDING_TOLERANCE).floor() as i64;
+        Resources { cpus: round_down(cpus), gpus: round_down(gpus), memory: round_down(memory_gb) }
     }
 
     /// Whether this much fits into `other`.
@@ -31,25 +38,37 @@
         self.cpus <= other.cpus && self.gpus <= other.gpus && self.memory <= other.memory
     }
 
-    /// How many times this much fits into `other`, up to `most`.
-    pub fn times_in(self, other: Resources, most: u32) -> u32 {
-        let part = |own: i64, all: i64| if own <= 0 { i64::MAX } else { all.max(0) / own };
-        part(self.cpus, other.cpus)
-            .min(part(self.gpus, other.gpus))
-            .min(part(self.memory, other.memory))
-            .min(i64::from(most)) as u32
+    /// How many times this much fits into `other`, up to `max`.
+    pub fn times_in(self, other: Resources, max: u32) -> u32 {
+        let times = |request: i64, available: i64| {
+            if request <= 0 { i64::MAX } else { available.max(0) / request }
+        };
+        times(self.cpus, other.cpus)
+            .min(times(self.gpus, other.gpus))
+            .min(times(self.memory, other.memory))
+            .min(i64::from(max)) as u32
     }
 
-    /// The largest of the three parts that this is of `whole`.
-    pub fn dominant_share_of(self, whole: Resources) -> f64 {
-        let part = |own: i64, all: i64| match (own, all) {
+    /// The largest of the shares that this is of a capacity's CPUs, GPUs and memory; infinite
+    /// if it asks for something of which there is none.
+    pub fn dominant_share_of(self, capacity: Resources) -> f64 {
+        let share = |request: i64, capacity: i64| match (request, capacity) {
             (0, _) => 0.0,
-            (_, all) if all <= 0 => f64::INFINITY,
-            (own, all) => own as f64 / all as f64,
+            (_, capacity) if capacity <= 0 => f64::INFINITY,
+            (request, capacity) => request as f64 / capacity as f64,
         };
-        part(self.cpus, whole.cpus)
-            .max(part(self.gpus, whole.gpus))
-            .max(part(self.memory, whole.memory))
+        share(self.cpus, capacity.cpus)
+            .max(share(self.gpus, capacity.gpus))
+            .max(share(self.memory, capacity.memory))
+    }
+
+    /// The lesser of the two amounts of each resource.
+    pub(crate) fn component_min(self, other: Resources) -> Resources {
+        Resources {
+            cpus: self.cpus.min(other.cpus),
+            gpus: self.gpus.min(other.gpus),
+            memory: self.memory.min(other.memory),
+        }
     }
 }
 
--- a/crates/gladekeel-sched/tests/common/mod.rs
+++ b/crates/gladekeel-sched/tests/common/mod.rs
@@ -1,22 +1,23 @@
-//! Machines, jobs, teams and rounds for tests.
+//! Machines, jobs, teams and scheduling cycles for tests.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use gladekeel_sched::{
     ImageIdx, MachineTypeIdx, Resources, TeamIdx, ZoneIdx,
-    cycle::{SchedulableJob, SchedulableMachine, SchedulingCycle, TeamQuota},
+    cycle::SchedulingCycle,
+    snapshot::{SchedulableJob, SchedulableMachine, TeamQuota},
 };
 
-/// So many CPUs and as much memory.
-pub fn room(cpus: f64) -> Resources {
+/// So many CPUs, and a GB of memory for each.
+pub fn resources(cpus: f64) -> Resources {
     Resources::requested(cpus, 0.0, cpus)
 }
 
-/// An empty, open machine with 32 CPUs.
+/// An empty, schedulable machine with 32 CPUs.
 pub fn machine(zone: u32, spot: bool) -> SchedulableMachine {
     SchedulableMachine {
-        capacity: room(32.0),
-        free: room(32.0),
+        capacity: resources(32.0),
+        free: resources(32.0),
         machine_type: MachineTypeIdx::new(0),
         zone: ZoneIdx::new(zone),
         spot,
@@ -28,12 +29,12 @@
     }
 }
 
-/// A job whose tasks all wait.
+/// A job whose tasks are all pending.
 pub fn job(team: u32, cpus: f64, tasks: u32) -> SchedulableJob {
     SchedulableJob {
         team: TeamIdx::new(team),
         priority: 1,
-        task_request: room(cpus),
+        task_request: resources(cpus),
         remaining: tasks,
         pending: tasks,
         speculative_restarts: 0,
@@ -53,19 +54,23 @@
 
 /// A team that uses nothing.
 pub fn team(guarantee: f64, limit: f64) -> TeamQuota {
-    TeamQuota { guaranteed: room(guarantee), limit: room(limit), used: Resources::default() }
+    TeamQuota {
+        guaranteed: resources(guarantee),
+        limit: resources(limit),
+        used: Resources::default(),
+    }
 }
 
-/// A round with all of these machines.
-pub fn round(
+/// A scheduling cycle with all of these machines.
+pub fn cycle(
     machines: Vec<SchedulableMachine>,
     teams: Vec<TeamQuota>,
     jobs: Vec<SchedulableJob>,
 ) -> SchedulingCycle {
-    let whole = machines.iter().fold(Resources::default(), |sum, m| sum + m.capacity);
+    let total_capacity = machines.iter().fold(Resources::default(), |sum, m| sum + m.capacity);
     SchedulingCycle {
         machines,
-        total_capacity: whole,
+        total_capacity,
         teams,
         jobs,
         max_bindings: 1000,
--- a/crates/gladekeel-sched/tests/gangs.rs
+++ b/crates/gladekeel-sched/tests/gangs.rs
@@ -1,123 +1,128 @@
-//! Gangs: placed whole or not at all, and what is made room and kept for them.
+//! Gangs: bound whole or not at all; preemption, the warm pool and scale-out for them.
 
 mod common;
 
-use common::{job, machine, room, round, team};
+use common::{cycle, job, machine, resources, team};
 use gladekeel_sched::{
     ImageIdx, TeamIdx,
-    autoscaling::{Autoscaler, AutoscalerConfig, JobDemand, ScalingPlan, Supply},
-    cycle::{Binding, SchedulableJob},
+    autoscaling::{Autoscaler, AutoscalerConfig, JobDemand, ScalingInput, ScalingPlan, Supply},
+    cycle::Binding,
     fair_share::FairShare,
-    preemption::{PreemptionCandidate, PreemptionCandidates},
+    preemption::{PreemptionCandidate, PreemptionCandidates, PreemptionScope},
+    snapshot::SchedulableJob,
 };
 
-fn count(placed: &[Binding], job: usize) -> usize {
-    placed.iter().filter(|p| p.job == job).count()
+fn count(bindings: &[Binding], job: usize) -> usize {
+    bindings.iter().filter(|p| p.job == job).count()
 }
 
-fn plan(needs: &[JobDemand], up: f64, booting: &[f64]) -> ScalingPlan {
+fn plan(demands: &[JobDemand], up: f64, booting: &[f64]) -> ScalingPlan {
     let supply = Supply { up, booting: booting.to_vec() };
-    let sizing =
+    let input = ScalingInput { demands, supply: &supply, arrivals: &[], boot_s: 50.0 };
+    let config =
         AutoscalerConfig { smoothing_s: 60.0, spot_retention: 1.0, target_utilization: 1.0 };
-    Autoscaler::default().plan(0.0, needs, &supply, &[], 50.0, &sizing)
+    Autoscaler::default().plan(0.0, &input, &config)
 }
 
 #[test]
-fn gangs_of_one_zone_take_the_zone_that_holds_them_whole() {
+fn a_single_zone_gang_goes_to_the_zone_that_holds_all_of_it() {
     let mut machines = vec![machine(0, false), machine(1, false), machine(1, false)];
     machines[0].cached_images = vec![ImageIdx::new(0)];
     let mut gang = job(0, 16.0, 4);
     (gang.gang, gang.single_zone) = (true, true);
-    let place = |gang: &SchedulableJob| {
+    let run = |gang: &SchedulableJob| {
         let teams = vec![team(0.0, 1000.0)];
-        let mut round = round(machines.clone(), teams, vec![gang.clone()]);
-        let placed = round.run(&FairShare::default());
-        [0, 1, 2].map(|m| placed.iter().filter(|p| p.machine == m).count())
+        let mut cycle = cycle(machines.clone(), teams, vec![gang.clone()]);
+        let bindings = cycle.run(&FairShare::default());
+        [0, 1, 2].map(|m| bindings.iter().filter(|p| p.machine == m).count())
     };
-    assert_eq!(place(&gang), [0, 2, 2], "the machine with the image holds half of it");
+    assert_eq!(run(&gang), [0, 2, 2], "the machine with the image holds only half of it");
     (gang.remaining, gang.pending) = (2, 2);
-    assert_eq!(place(&gang), [2, 0, 0]);
+    assert_eq!(run(&gang), [2, 0, 0]);
     (gang.single_zone, gang.max_tasks_per_zone) = (false, 1);
-    assert_eq!(place(&gang), [1, 1, 0], "scattered");
+    assert_eq!(run(&gang), [1, 1, 0], "at most one task in each zone");
 }
 
 #[test]
-fn what_a_waiting_gang_lacks_is_placed_beside_the_rest() {
+fn a_missing_gang_member_is_replaced_in_the_zone_of_the_others() {
     let mut gang = job(0, 16.0, 3);
     (gang.gang, gang.single_zone, gang.pending, gang.tasks_by_zone) = (true, true, 1, vec![0, 2]);
-    let place = |gang: &SchedulableJob| {
+    let run = |gang: &SchedulableJob| {
         let machines = vec![machine(0, false), machine(1, false)];
-        let mut round = round(machines, vec![team(0.0, 1000.0)], vec![gang.clone()]);
-        round.run(&FairShare::default())
+        let mut cycle = cycle(machines, vec![team(0.0, 1000.0)], vec![gang.clone()]);
+        cycle.run(&FairShare::default())
     };
-    assert!(place(&gang).is_empty(), "the old attempt is not gone yet");
+    assert!(run(&gang).is_empty(), "the earlier attempt is not released yet");
     gang.replaces_gang_members = true;
-    assert_eq!(place(&gang), [Binding { job: 0, machine: 1 }]);
+    assert_eq!(run(&gang), [Binding { job: 0, machine: 1 }]);
 }
 
 #[test]
-fn a_gang_larger_than_a_round_still_starts_whole() {
+fn a_gang_larger_than_a_cycle_is_bound_whole() {
     let mut gang = job(0, 4.0, 9);
     gang.gang = true;
-    let place = |jobs: Vec<SchedulableJob>| {
-        let mut round = round(vec![machine(0, false); 2], vec![team(0.0, 1000.0)], jobs);
-        round.max_bindings = 4;
-        let placed = round.run(&FairShare::default());
-        [0, 1].map(|at| count(&placed, at))
+    let run = |jobs: Vec<SchedulableJob>| {
+        let mut cycle = cycle(vec![machine(0, false); 2], vec![team(0.0, 1000.0)], jobs);
+        cycle.max_bindings = 4;
+        let bindings = cycle.run(&FairShare::default());
+        [0, 1].map(|job| count(&bindings, job))
     };
-    assert_eq!(place(vec![gang.clone()]), [9, 0]);
-    assert_eq!(place(vec![gang, job(0, 4.0, 3)]), [0, 3], "when it is its turn");
+    assert_eq!(run(vec![gang.clone()]), [9, 0]);
+    assert_eq!(
+        run(vec![gang, job(0, 4.0, 3)]),
+        [0, 3],
+        "a gang that no longer fits into the cycle waits for the next one"
+    );
 }
 
 #[test]
-fn what_is_kept_for_gangs_is_left_to_them() {
+fn the_warm_pool_is_used_by_gangs_only() {
     let mut machines = vec![machine(0, false); 2];
     machines[1].warm_pool = true;
     let mut gang = job(0, 8.0, 2);
     gang.gang = true;
     let teams = vec![team(0.0, 1000.0)];
-    let mut round = round(machines, teams, vec![gang, job(0, 8.0, 9)]);
-    let placed = round.run(&FairShare::default());
+    let mut cycle = cycle(machines, teams, vec![gang, job(0, 8.0, 9)]);
+    let bindings = cycle.run(&FairShare::default());
     let on =
-        |job: usize, m: usize| placed.iter().filter(|p| p.job == job && p.machine == m).count();
+        |job: usize, m: usize| bindings.iter().filter(|p| p.job == job && p.machine == m).count();
     assert_eq!([on(0, 0), on(0, 1), on(1, 0), on(1, 1)], [0, 2, 4, 0]);
 }
 
 #[test]
-fn room_is_made_for_a_whole_gang_or_not_at_all() {
+fn preemption_frees_machines_for_a_whole_gang_or_stops_nothing() {
     let mut machines = vec![machine(0, false), machine(1, false), machine(1, false)];
-    machines.iter_mut().for_each(|m| m.free = room(16.0));
+    machines.iter_mut().for_each(|m| m.free = resources(16.0));
     machines[0].cached_images = vec![ImageIdx::new(0)];
-    let victim = |id, machine, loss| PreemptionCandidate {
+    let candidate = |id, machine, lost_work| PreemptionCandidate {
         id,
         machine,
         team: TeamIdx::new(0),
         priority: 1,
-        resources: room(16.0),
-        lost_work: loss,
+        resources: resources(16.0),
+        lost_work,
         checkpoints: true,
     };
-    let stop = |tasks: u32| {
+    let preempt = |tasks: u32| {
         let mut gang = SchedulableJob { priority: 2, ..job(0, 16.0, tasks) };
         (gang.gang, gang.single_zone) = (true, true);
-        let mut round = round(machines.clone(), vec![team(0.0, 1000.0)], vec![gang]);
-        let mut victims =
-            PreemptionCandidates::new(3, [victim(1, 0, 9.0), victim(2, 1, 1.0), victim(3, 2, 2.0)]);
-        victims.preempt_for_gang(&mut round, 0, 8, true)
+        let mut cycle = cycle(machines.clone(), vec![team(0.0, 1000.0)], vec![gang]);
+        let candidates = [candidate(1, 0, 9.0), candidate(2, 1, 1.0), candidate(3, 2, 2.0)];
+        let mut candidates = PreemptionCandidates::new(3, candidates);
+        let scope = PreemptionScope::CheckpointingTasks;
+        candidates.preempt_for_gang(&mut cycle, 0, 8, scope)
     };
-    assert_eq!(stop(2), [1], "where the image is, and beside what is free");
-    assert_eq!(stop(3), [2], "the other zone holds it, and little is lost there");
-    assert!(stop(5).is_empty(), "no zone holds it: nothing is stopped in vain");
+    assert_eq!(preempt(2), [1], "in the zone with the image, beside the free resources");
+    assert_eq!(preempt(3), [2], "the other zone holds it, on the machine with the least lost work");
+    assert!(preempt(5).is_empty(), "no zone holds it: nothing is preempted");
 }
 
 #[test]
-fn a_gang_needs_its_machines_at_once() {
-    let need =
-        |together| JobDemand { pending: 6.2, run_s: 15.0, gang: together, ..JobDemand::default() };
+fn a_pending_gang_scales_out_to_run_beside_all_other_tasks() {
+    let demand = |gang| JobDemand { pending: 6.2, run_s: 15.0, gang, ..JobDemand::default() };
     let others =
         JobDemand { running: 2.0, run_s: 15.0, time_left_s: 900.0, ..JobDemand::default() };
-    let late =
-        |together| plan(&[JobDemand { time_left_s: 900.0, ..need(together) }, others], 5.0, &[]);
+    let late = |gang| plan(&[JobDemand { time_left_s: 900.0, ..demand(gang) }, others], 5.0, &[]);
     assert_eq!(late(false).scale_out, 0.0, "its tasks can run one after the other");
     assert_eq!((late(true).scale_out, late(true).required), (4.0, 8.2));
 }
--- /dev/null
+++ b/crates/gladekeel-sched/tests/preemption.rs
@@ -0,0 +1,47 @@
+//! Which tasks are preempted for others.
+
+mod common;
+
+use common::{cycle, job, machine, resources, team};
+use gladekeel_sched::{
+    Resources, TeamIdx,
+    preemption::{PreemptionCandidate, PreemptionCandidates, PreemptionScope},
+    snapshot::SchedulableJob,
+};
+
+use PreemptionScope::{AllTasks, CheckpointingTasks};
+
+#[test]
+fn only_lower_priorities_and_borrowed_resources_are_preempted() {
+    let mut machines = vec![machine(0, false); 2];
+    machines.iter_mut().for_each(|m| m.free = Resources::default());
+    let mut teams = vec![team(32.0, 64.0), team(0.0, 64.0)];
+    teams[1].used = resources(64.0);
+    let preempt = |job: SchedulableJob, scope: PreemptionScope| {
+        let candidate = |id, machine, team, lost_work, checkpoints| PreemptionCandidate {
+            id,
+            machine,
+            team: TeamIdx::new(team),
+            priority: 1,
+            resources: resources(16.0),
+            lost_work,
+            checkpoints,
+        };
+        let candidates = [
+            candidate(1, 0, 1, 9.0, true),
+            candidate(2, 1, 1, 3.0, false),
+            candidate(3, 1, 0, 1.0, false),
+        ];
+        let mut cycle = cycle(machines.clone(), teams.clone(), vec![job]);
+        PreemptionCandidates::new(2, candidates).preempt_for(&mut cycle, 0, 8, scope)
+    };
+    // Same priority: only what team 1 borrowed, and the least lost work of that.
+    assert_eq!(preempt(job(0, 16.0, 1), AllTasks), [2]);
+    assert_eq!(preempt(job(0, 16.0, 1), CheckpointingTasks), [1], "only tasks with checkpoints");
+    assert_eq!(preempt(job(0, 16.0, 9), AllTasks), [2, 1], "and no more than is borrowed");
+    // A team that exceeds its own guarantee may not reclaim from others.
+    assert!(preempt(job(0, 48.0, 1), AllTasks).is_empty());
+    let urgent = |team| SchedulableJob { priority: 2, ..job(team, 16.0, 1) };
+    assert_eq!(preempt(urgent(0), AllTasks), [3], "the least lost work of a lower priority");
+    assert!(preempt(urgent(1), AllTasks).is_empty(), "the limit holds for urgent work too");
+}
