--- a/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
@@ -172,7 +172,7 @@
 fn settle_tasks(job: &mut Job, assigned: Option<&HashSet<u32>>) {
     if job.is_gang() && job.done.count() > 0 {
         // One of a gang's tasks tells of all: they complete together.
-        (0..job.spec.tasks).for_each(|index| _ = job.done.insert(index));
+        job.mark_all_done();
     }
     let Job { pending, done, .. } = job;
     let is_assigned = |index: &u32| assigned.is_some_and(|tasks| tasks.contains(index));
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer.rs
@@ -11,6 +11,7 @@
 
 mod write_batch;
 
+use crate::leader::token_renewal::TokenRenewalReason;
 use crate::leader::{AssignmentPhase, AttemptId, Job, Leader, StopReason};
 use crate::{assignment_log, keys, store_view::StoreView};
 use gladekeel_sched::JobIdx;
@@ -203,7 +204,7 @@
         budget: &mut TokenBucket,
     ) -> Option<Transaction> {
         if self.log_writer.sent.is_some()
-            || self.needs_new_token
+            || self.token_renewal.is_required()
             || now < self.log_writer.not_before
             || self.log_writer.idle()
         {
@@ -312,14 +313,15 @@
                 self.log_writer.not_before = now + 0.25;
                 // A job that was cancelled meanwhile is somebody else's write; anything
                 // else means that the leader's picture of the store is wrong.
-                self.needs_new_token |= failed.is_empty() || !failed.iter().all(theirs);
+                if failed.is_empty() || !failed.iter().all(theirs) {
+                    self.token_renewal.require(TokenRenewalReason::UnexpectedConflict);
+                }
                 true
             }
             _ => {
                 // No answer: it may apply at any later time. A new token makes it fail
                 // if it has not yet, and the store is read again after that.
-                tracing::warn!("a commit had no answer; asking for a new token");
-                self.needs_new_token = true;
+                self.token_renewal.require(TokenRenewalReason::UnansweredCommit);
                 true
             }
         }
--- a/crates/gladekeel-controller/src/leader/catalog.rs
+++ b/crates/gladekeel-controller/src/leader/catalog.rs
@@ -21,7 +21,7 @@
     pub machine_type_names: Interner<String, MachineTypeIdx>,
     pub images: Interner<String, ImageIdx>,
     /// By index; `None` for those that jobs name but the cloud does not offer.
-    pub machine_types: Vec<Option<MachineType>>,
+    machine_types: Vec<Option<MachineType>>,
 }
 
 impl Catalog {
--- a/crates/gladekeel-controller/src/leader/commands/answer.rs
+++ b/crates/gladekeel-controller/src/leader/commands/outcome.rs
@@ -8,7 +8,7 @@
 use gladekeel_sched::MachineIdx;
 use gladekeel_wire::worker::{Heartbeat, TaskStatus};
 
-/// For so long after this node has lagged, missing answers do not count against machines.
+/// For so long after this node has lagged, missing responses do not count against machines.
 const LAG_GRACE_S: f64 = 3.0;
 
 /// What came of a request to a worker.
@@ -20,7 +20,7 @@
     NotExecuted,
     /// The worker was not reached: it has not received the request and never will.
     NotSent,
-    /// No answer: it may have been executed, or still be.
+    /// No response: it may have been executed, or still be.
     Unknown,
 }
 
@@ -37,16 +37,16 @@
         machine.commands.end_request();
         self.settle_starts(now, request, outcome);
         match outcome {
-            WorkerOutcome::Done(heartbeat) => self.on_answer(now, request.machine, heartbeat),
+            WorkerOutcome::Done(heartbeat) => self.on_response(now, request.machine, heartbeat),
             WorkerOutcome::NotExecuted => self.on_refusal_to_execute(request.machine),
             WorkerOutcome::NotSent | WorkerOutcome::Unknown => {
                 self.resend_stops(request.machine);
-                self.on_no_answer(now, request.machine);
+                self.on_no_response(now, request.machine);
             }
         }
     }
 
-    /// A refusal is an answer: the worker receives what is sent to it.
+    /// A refusal is a response: the worker receives what is sent to it.
     fn on_refusal_to_execute(&mut self, machine_idx: MachineIdx) {
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
         machine.liveness.record_refusal();
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Counts a request that had no answer against its machine, unless this node was late itself.
-    fn on_no_answer(&mut self, now: f64, machine_idx: MachineIdx) {
+    /// Counts a request that had no response against its machine, unless this node was late itself.
+    fn on_no_response(&mut self, now: f64, machine_idx: MachineIdx) {
         if self.timers.lagged_within(LAG_GRACE_S, now) {
             return;
         }
@@ -80,15 +80,15 @@
         }
     }
 
-    /// Applies the heartbeat with which a worker has answered.
-    fn on_answer(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
+    /// Applies the heartbeat with which a worker has responded.
+    fn on_response(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
         // An address may by now be another machine's.
         let sender = self.cluster.machine_names.get(heartbeat.machine.as_str());
         if sender != Some(machine_idx) {
             return;
         }
         let is_newest = self.apply_heartbeat(now, heartbeat).is_some();
-        self.record_answer(now, machine_idx, heartbeat);
+        self.record_response(now, machine_idx, heartbeat);
         if is_newest {
             self.apply_listed_tasks(now, machine_idx, heartbeat);
             self.commands.request_commands(machine_idx);
@@ -96,14 +96,14 @@
     }
 
     /// Records that a machine was reached and receives what is sent to it.
-    fn record_answer(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
+    fn record_response(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
         machine.liveness.record_probe_answer(now, heartbeat.incarnation);
         machine.acknowledgements.confirm();
     }
 
-    /// Applies the states of the tasks that an answer lists. Those that it lacks prove nothing,
-    /// since answers to heartbeats may still be under way and start them.
+    /// Applies the states of the tasks that a response lists. Those that it lacks prove nothing,
+    /// since responses to heartbeats may still be under way and start them.
     fn apply_listed_tasks(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
         for status in &heartbeat.tasks {
             let id = self.attempt_id(status);
--- a/crates/gladekeel-controller/src/leader/commands/request.rs
+++ b/crates/gladekeel-controller/src/leader/commands/request.rs
@@ -8,7 +8,7 @@
 };
 use std::collections::BTreeSet;
 
-/// A request to a worker, which it answers with a heartbeat.
+/// A request to a worker, to which it responds with a heartbeat.
 #[derive(Debug, Clone)]
 pub struct WorkerRequest {
     /// The worker's address.
@@ -92,7 +92,8 @@
         }
         let addr = machine.addr.clone()?;
         let incarnation = machine.newest_message.incarnation;
-        let may_start = may_start && !self.needs_new_token && machine.may_receive_starts();
+        let may_start =
+            may_start && !self.token_renewal.is_required() && machine.may_receive_starts();
         let attempts = machine.attempts().clone();
         let DueCommands { mut commands, starts } =
             self.due_commands(attempts, incarnation, may_start);
--- a/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
+++ b/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
@@ -1,4 +1,4 @@
-//! Starts that had no answer, until it is certain that they can no longer be executed.
+//! Starts that had no response, until it is certain that they can no longer be executed.
 //!
 //! A worker may execute an unanswered start at any later time while its fencing token and
 //! incarnation match. A newer incarnation, the machine's deletion and a new token settle it; the
@@ -26,7 +26,7 @@
 }
 
 impl Leader {
-    /// Settles the starts of a request that has an outcome, or notes that they had no answer.
+    /// Settles the starts of a request that has an outcome, or notes that they had no response.
     pub(super) fn settle_starts(
         &mut self,
         now: f64,
--- a/crates/gladekeel-controller/src/leader/job/mod.rs
+++ b/crates/gladekeel-controller/src/leader/job/mod.rs
@@ -160,6 +160,16 @@
         }
     }
 
+    /// Marks all tasks as done: those of a gang complete together.
+    pub(super) fn mark_all_done(&mut self) {
+        (0..self.spec.tasks).for_each(|task_index| _ = self.done.insert(task_index));
+    }
+
+    /// Marks all tasks as preempted: those of a gang are preempted together.
+    pub(super) fn mark_all_preempted(&mut self) {
+        (0..self.spec.tasks).for_each(|task_index| _ = self.preempted.insert(task_index));
+    }
+
     /// Records how long a task has run that is about to be marked as done.
     pub(super) fn record_run_time(&mut self, run_s: f64) {
         self.run_times.record(run_s, self.done.count());
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -7,12 +7,12 @@
 //!
 //! | concern | module |
 //! | --- | --- |
-//! | observed against desired state of tasks | [`reconciliation`] |
-//! | machines and zones that cannot be reached | [`failure_detection`] |
-//! | which task goes where, preemption, stragglers, gangs | [`scheduling`] |
-//! | how many machines to rent | [`autoscaling`] |
-//! | what is committed | [`assignment_log`] |
-//! | commands that do not wait for a heartbeat | [`commands`] |
+//! | observed against desired state of tasks | `reconciliation` |
+//! | machines and zones that cannot be reached | `failure_detection` |
+//! | which task goes where, preemption, stragglers, gangs | `scheduling` |
+//! | how many machines to rent | `autoscaling` |
+//! | what is committed | `assignment_log` |
+//! | commands that do not wait for a heartbeat | `commands` |
 //!
 //! Every step follows the rules of `docs/safety.md`.
 
@@ -33,6 +33,7 @@
 mod scheduling;
 mod status;
 mod timers;
+mod token_renewal;
 
 pub use assignment_log::writer::LogRow;
 pub use attempt::{AssignmentPhase, Attempt, AttemptOutcome, StopReason};
@@ -67,6 +68,7 @@
     rc::Rc,
 };
 use timers::Timers;
+use token_renewal::{TokenRenewal, TokenRenewalReason};
 
 /// What a leader is given when it begins to lead under a token.
 #[derive(Debug)]
@@ -116,7 +118,7 @@
 
     /// Failure detection.
     failure_detector: FailureDetector,
-    /// When the request was sent whose answer is the last one of the store.
+    /// When the request was sent whose response is the last one of the store.
     store_contact_at: f64,
     /// Cancelled jobs that may still have attempts on machines.
     cancelled_on_machines: BTreeSet<JobIdx>,
@@ -128,8 +130,7 @@
 
     /// Commands to workers.
     commands: CommandQueue,
-    /// Whether a commit or a start had no answer, and only a new token settles what became of it.
-    needs_new_token: bool,
+    token_renewal: TokenRenewal,
 
     /// Cost accounting.
     cost_counted_at: f64,
@@ -199,7 +200,7 @@
             straggler_scan: StragglerScan::default(),
             scheduling_suspended: false,
             commands: CommandQueue::new(SocketBudget::new(&deployment.limits).worker_calls),
-            needs_new_token: false,
+            token_renewal: TokenRenewal::default(),
             cost_counted_at: now,
             cost_logged_at: now,
             changed_progress: BTreeSet::new(),
@@ -232,7 +233,9 @@
         self.timers.tick(now);
         self.cluster.counters.attempt_lookups += self.attempts.take_lookups();
         self.evacuate_leaving_machines(now);
-        self.needs_new_token |= self.unsettled_start_needs_new_token(now);
+        if self.unsettled_start_needs_new_token(now) {
+            self.token_renewal.require(TokenRenewalReason::UnansweredStart);
+        }
         let maintenance_due = self.timers.maintenance_due(now, options);
         if maintenance_due {
             // Also while a new token is awaited: that may take as long as an outage of the store.
@@ -240,7 +243,7 @@
             self.detect_failures(now, options, zone, peer_zones);
             self.enforce_cancellation_deadlines(now);
         }
-        if self.needs_new_token || self.scheduling_suspended {
+        if self.token_renewal.is_required() || self.scheduling_suspended {
             return;
         }
         if self.timers.cycle_due(now, options) {
@@ -270,12 +273,12 @@
         self.next_cloud_call(now)
     }
 
-    /// Applies an answer of the cloud.
+    /// Applies a response of the cloud.
     pub fn cloud_answered(&mut self, now: f64, call: &CloudRequest, outcome: CloudOutcome) {
         self.on_cloud(now, call, outcome);
     }
 
-    /// Records when the request was sent whose answer is the last one of the store, if there has
+    /// Records when the request was sent whose response is the last one of the store, if there has
     /// been one.
     pub fn note_store_contact(&mut self, at: Option<f64>) {
         self.store_contact_at = at.unwrap_or(self.store_contact_at);
@@ -284,7 +287,7 @@
     /// Whether the leader needs a new token before it goes on: it cannot know what became of a
     /// commit or a start, or is about to run out of attempt numbers.
     pub fn needs_new_token(&self) -> bool {
-        self.needs_new_token || self.attempt_numbers.are_nearly_used_up()
+        self.token_renewal.is_required() || self.attempt_numbers.are_nearly_used_up()
     }
 
     /// Binds and preempts nothing as long as `suspended` holds: something in the store cannot be
--- a/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
@@ -49,7 +49,7 @@
         // The commit of a gang may take several transactions; it is started after the last.
         let is_gang = self.jobs.get(&attempt.job).is_some_and(Job::is_gang);
         let is_uncommitted = is_gang && self.attempts.of_job(attempt.job).uncommitted() > 0;
-        !self.needs_new_token
+        !self.token_renewal.is_required()
             && !self.is_job_finished(attempt.job)
             && !is_uncommitted
             && attempt.stop_reason.is_none()
--- a/crates/gladekeel-controller/src/leader/reconciliation/release.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/release.rs
@@ -36,7 +36,7 @@
         let Some(job) = self.jobs.get_mut(&job_idx).filter(|job| job.is_gang()) else { return };
         if outcome == AttemptOutcome::Done {
             if job.done.count() < job.spec.tasks {
-                (0..job.spec.tasks).for_each(|task_index| _ = job.done.insert(task_index));
+                job.mark_all_done();
             }
             self.changed_progress.insert(job_idx);
             self.finish_job_if_done(job_idx);
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -259,7 +259,7 @@
     fn preempt_gang(&mut self, job_idx: JobIdx) {
         let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         self.cluster.counters.preemptions += u64::from(job.spec.tasks);
-        (0..job.spec.tasks).for_each(|task_index| _ = job.preempted.insert(task_index));
+        job.mark_all_preempted();
         tracing::info!(job = %job.id, tasks = job.spec.tasks, reason = "preempted", "gang stopped");
         self.stop_gang(job_idx, StopReason::Preempted);
     }
