--- a/crates/gladekeel-controller/src/leader/attempt.rs
+++ b/crates/gladekeel-controller/src/leader/attempt.rs
@@ -1,18 +1,18 @@
-//! A task on a machine, from its proposal to the commit of its release.
+//! An attempt: one assignment of a task to a machine, from the proposal to the commit of its
+//! release.
 
 pub use crate::assignment_log::AttemptOutcome;
-use gladekeel_sched::Resources;
-use gladekeel_sched::{ImageIdx, JobIdx, MachineIdx, ZoneIdx};
+use gladekeel_sched::{ImageIdx, JobIdx, MachineIdx, Resources, ZoneIdx};
 use gladekeel_wire::worker::TaskState;
 
-/// How far an attempt's assignment is.
+/// How far the assignment of an attempt is. It holds its resources in every phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AssignmentPhase {
-    /// Decided, not committed: no `run` may be sent.
+    /// Decided, not committed: no start may be sent.
     Proposed,
-    /// In the committed log: it may be on its machine.
+    /// Committed in the assignment log: the task may be on its machine.
     Committed,
-    /// Proved to be off its machine; the log does not say so yet.
+    /// Proven to be off its machine; the release is not committed yet.
     Releasing(AttemptOutcome),
 }
 
@@ -21,56 +21,58 @@
 pub enum StopReason {
     /// The job is cancelled.
     Cancelled,
-    /// To make room.
+    /// A waiting job has a better claim to the resources.
     Preempted,
-    /// It is slow and starts anew elsewhere.
+    /// It is slow and restarts on another machine.
     Straggler,
-    /// The machine is going away.
+    /// The machine is drained or reclaimed.
     Drained,
-    /// Another task of its gang is gone, and what has not been saved is lost.
+    /// Another task of its gang is gone: the gang restarts, and progress since its last
+    /// checkpoint is lost.
     GangRestart,
-    /// Its gang was not complete in time. A fetch goes on to its end, so that the next
-    /// attempt finds the image; stopped before, the gang might never meet.
+    /// Its gang was not complete in time. An image fetch is left to complete, so that the next
+    /// attempt finds the image: if it were stopped, the gang might never be complete.
     GangIncomplete,
 }
 
-/// A task on a machine.
+/// An assignment of a task to a machine.
 #[derive(Debug)]
 pub struct Attempt {
     /// The job.
     pub job: JobIdx,
-    /// The task's number.
+    /// The index of the task in its job.
     pub task_index: u32,
     /// The machine.
     pub machine: MachineIdx,
-    /// The machine's zone, as far as known.
+    /// The zone of the machine, once known.
     pub zone: Option<ZoneIdx>,
-    /// The machine's incarnation.
+    /// The incarnation of the machine's worker for which the attempt was made.
     pub incarnation: u64,
     /// How far the assignment is.
     pub phase: AssignmentPhase,
-    /// What the worker last said of it under this token.
+    /// The state that the worker reported last to this leader, if it has reported any.
     pub reported_state: Option<TaskState>,
-    /// When it was first seen running.
+    /// When this leader first saw it running.
     pub running_since: Option<f64>,
-    /// Why it should stop, if it should.
+    /// Why it is to stop, if it is.
     pub stop_reason: Option<StopReason>,
-    /// How often the stop was sent.
+    /// How often a stop was sent since the reason was set, or since a stop may have been lost.
     pub stops_sent: u32,
-    /// Whether its start was sent directly.
+    /// Whether no direct start is to be sent any more: one was, or an earlier leader made the
+    /// attempt. Starts in responses to heartbeats do not count.
     pub start_sent: bool,
-    /// What it takes.
+    /// The resources that it requests.
     pub resources: Resources,
-    /// Its image.
+    /// The image of its job.
     pub image: ImageIdx,
-    /// Whether an earlier token placed it: how long it has run is not known then.
+    /// Whether an earlier leader made it, so that it is not known how long it has run.
     pub recovered: bool,
-    /// The newest segment of the log that assigns it.
+    /// The newest segment of the assignment log that contains the assignment.
     pub segment: u64,
 }
 
 impl Attempt {
-    /// Whether it counts as on its machine, in this incarnation of it.
+    /// Whether it counts as on its machine, in this incarnation of the worker.
     pub fn is_committed_in(&self, incarnation: u64) -> bool {
         self.phase == AssignmentPhase::Committed && self.incarnation == incarnation
     }
--- a/crates/gladekeel-controller/src/leader/attempt_id.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_id.rs
@@ -1,29 +1,33 @@
-//! Ids of attempts.
+//! Ids of attempts, and the numbers by which workers know them.
 
-/// Names a task on a machine, from the proposal to the commit of its release; also in the
-/// log. Workers know the same attempt by a number, which the tasks of a gang share.
+/// Names one assignment of a task to a machine, in this process and in the assignment log. It
+/// is never used twice.
+///
+/// Workers know the same attempt by a number. The tasks of a gang share one number, by which they
+/// find one another; the id of each is that number plus the index of the task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(u64);
 
 impl AttemptId {
-    /// The id that stands in the log as this number.
+    /// The id with this value in the assignment log.
     pub fn from_logged(logged: u64) -> AttemptId {
         AttemptId(logged)
     }
 
-    /// The id of a gang's task whose attempt workers know by a number. The sum with an
-    /// index that no such attempt has is the id of none.
-    pub fn of_gang_task(number: u64, index: u32) -> AttemptId {
-        AttemptId(number.saturating_add(u64::from(index)))
+    /// The id of a task of a gang whose attempt workers know by a number. A worker may report any
+    /// number and index; a pair that was never assigned gives an id that no attempt has, or
+    /// that of an attempt of another task, so callers compare job and index.
+    pub fn of_gang_task(number: u64, task_index: u32) -> AttemptId {
+        AttemptId(number.saturating_add(u64::from(task_index)))
     }
 
-    /// As it stands in the log.
+    /// The value in the assignment log.
     pub fn logged(self) -> u64 {
         self.0
     }
 
-    /// The number by which workers know the attempt of a gang's task.
-    pub fn gang_number(self, index: u32) -> u64 {
-        self.0 - u64::from(index)
+    /// The number by which workers know the attempt, if it is of a gang's task.
+    pub fn gang_number(self, task_index: u32) -> u64 {
+        self.0 - u64::from(task_index)
     }
 }
--- a/crates/gladekeel-controller/src/leader/attempt_table.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_table.rs
@@ -1,8 +1,9 @@
-//! All attempts, with tallies by job and by machine.
+//! All attempts, with counts by job and by machine.
 //!
-//! A gang may have a hundred thousand tasks. Whether it still waits, or whether all of it
-//! is being stopped, is asked whenever one of its tasks ends, so these answers are kept
-//! up to date with each change of an attempt instead of being worked out from all of them.
+//! A gang may have a hundred thousand tasks, and whether it has started or is being stopped as a
+//! whole is asked whenever one of them ends. The counts that answer this are kept up to date with
+//! each change of an attempt instead of being worked out from all of them. Attempts therefore
+//! change through [`AttemptTable::update`] only.
 
 use super::{
     AttemptId,
@@ -15,44 +16,44 @@
     collections::{BTreeMap, BTreeSet},
 };
 
-/// The attempts of one job.
+/// The attempts of one job, those that are being released included.
 #[derive(Debug, Default)]
 pub(super) struct JobAttempts {
     ids: BTreeSet<AttemptId>,
-    /// Proposed, not committed.
+    /// Attempts that are proposed and not committed.
     uncommitted: u32,
-    /// Being stopped.
+    /// Attempts that are being stopped.
     stopping: u32,
-    /// Seen running, being stopped, or placed by an earlier leader.
-    begun: u32,
-    /// Committed, and not seen exited.
+    /// Attempts that were seen running, are being stopped, or were made by an earlier leader.
+    started: u32,
+    /// Attempts that are committed and were not seen to have exited.
     unfinished: u32,
-    /// How many there are on each machine.
+    /// Attempts on each machine.
     machines: BTreeMap<MachineIdx, u32>,
 }
 
-/// The attempts of a job that has none.
-static NONE: JobAttempts = JobAttempts {
+/// The attempts of a job without any.
+static NO_ATTEMPTS: JobAttempts = JobAttempts {
     ids: BTreeSet::new(),
     uncommitted: 0,
     stopping: 0,
-    begun: 0,
+    started: 0,
     unfinished: 0,
     machines: BTreeMap::new(),
 };
 
 impl JobAttempts {
-    /// Their ids, releasing ones included.
+    /// Their ids.
     pub fn ids(&self) -> &BTreeSet<AttemptId> {
         &self.ids
     }
 
-    /// How many there are, releasing ones included.
+    /// How many there are.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Whether there is none, not even a releasing one.
+    /// Whether there is none, so that nothing of the job is on any machine.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
@@ -67,10 +68,10 @@
         self.unfinished
     }
 
-    /// Whether none has run or is being stopped, as far as known. Of what an earlier
-    /// leader placed it is not known whether it has run.
+    /// Whether none has run or is being stopped. An attempt of an earlier leader counts as
+    /// started, since it is not known whether it has run.
     pub fn none_started(&self) -> bool {
-        self.begun == 0
+        self.started == 0
     }
 
     /// Whether each of them is being stopped.
@@ -78,7 +79,7 @@
         self.stopping as usize == self.ids.len()
     }
 
-    /// The machines that they are on.
+    /// The machines that they are on, each once.
     pub fn machines(&self) -> impl Iterator<Item = MachineIdx> {
         self.machines.keys().copied()
     }
@@ -89,33 +90,33 @@
 pub(super) struct AttemptTable {
     all: BTreeMap<AttemptId, Attempt>,
     by_job: BTreeMap<JobIdx, JobAttempts>,
-    /// By machine and image, how many wait for the image or have not been seen to run.
-    not_run: BTreeMap<MachineIdx, BTreeMap<ImageIdx, u32>>,
-    /// How often a single attempt was looked at.
+    /// Attempts that were not seen running yet, by machine and image.
+    not_yet_running: BTreeMap<MachineIdx, BTreeMap<ImageIdx, u32>>,
+    /// Attempts looked at since that was last taken.
     lookups: Cell<u64>,
 }
 
 impl AttemptTable {
-    /// How many there are.
+    /// How many attempts there are.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// One of them.
+    /// The attempt with this id.
     pub fn get(&self, id: AttemptId) -> Option<&Attempt> {
         self.lookups.set(self.lookups.get() + 1);
         self.all.get(&id)
     }
 
-    /// All of them, by id.
+    /// All attempts, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (AttemptId, &Attempt)> {
         self.lookups.set(self.lookups.get() + self.all.len() as u64);
         self.all.iter().map(|(id, attempt)| (*id, attempt))
     }
 
-    /// Those of a job.
+    /// The attempts of a job.
     pub fn of_job(&self, job: JobIdx) -> &JobAttempts {
-        self.by_job.get(&job).unwrap_or(&NONE)
+        self.by_job.get(&job).unwrap_or(&NO_ATTEMPTS)
     }
 
     /// The ids of a job's attempts, to change them one by one.
@@ -123,25 +124,26 @@
         self.of_job(job).ids.iter().copied().collect()
     }
 
-    /// Images that attempts on a machine have not been seen to run with.
+    /// Images of attempts on a machine that were not seen running yet.
     pub fn images_not_yet_running(&self, machine: MachineIdx) -> impl Iterator<Item = ImageIdx> {
-        self.not_run.get(&machine).into_iter().flat_map(|images| images.keys().copied())
+        self.not_yet_running.get(&machine).into_iter().flat_map(|images| images.keys().copied())
     }
 
-    /// Adds a new one.
+    /// Adds a new attempt.
     pub fn insert(&mut self, id: AttemptId, attempt: Attempt) {
-        self.count(id, &attempt, Change::Add);
+        self.index(id, &attempt, Change::Add);
         self.all.insert(id, attempt);
     }
 
-    /// Takes one away.
+    /// Removes an attempt.
     pub fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
         let attempt = self.all.remove(&id)?;
-        self.count(id, &attempt, Change::Remove);
+        self.index(id, &attempt, Change::Remove);
         Some(attempt)
     }
 
-    /// Changes one, by any of its fields but job, machine and image.
+    /// Changes an attempt. The change must leave its job, machine and image as they are: the
+    /// attempt is indexed by them.
     pub fn update<R>(
         &mut self,
         id: AttemptId,
@@ -149,31 +151,31 @@
     ) -> Option<R> {
         self.lookups.set(self.lookups.get() + 1);
         let attempt = self.all.get_mut(&id)?;
-        let before = Tally::of(attempt);
+        let before = Categories::of(attempt);
         let result = change(attempt);
         let (job, machine, image) = (attempt.job, attempt.machine, attempt.image);
-        let after = Tally::of(attempt);
+        let after = Categories::of(attempt);
         if before != after {
-            self.tally(job, before, Change::Remove);
-            self.tally(job, after, Change::Add);
-            if before.not_run != after.not_run {
-                self.count_not_run(machine, image, before.not_run, Change::Remove);
-                self.count_not_run(machine, image, after.not_run, Change::Add);
-            }
+            self.count_in_job(job, before, Change::Remove);
+            self.count_in_job(job, after, Change::Add);
+        }
+        if before.not_yet_running != after.not_yet_running {
+            let change = if after.not_yet_running { Change::Add } else { Change::Remove };
+            self.count_not_yet_running(machine, image, change);
         }
         Some(result)
     }
 
-    /// How often a single attempt was looked at since this was last asked.
+    /// Takes how often an attempt was looked at since this was last called.
     pub fn take_lookups(&self) -> u64 {
         self.lookups.take()
     }
 
-    fn count(&mut self, id: AttemptId, attempt: &Attempt, change: Change) {
-        let tally = Tally::of(attempt);
+    /// Adds an attempt to the counts, or removes it.
+    fn index(&mut self, id: AttemptId, attempt: &Attempt, change: Change) {
         let of_job = self.by_job.entry(attempt.job).or_default();
         let on_machine = of_job.machines.entry(attempt.machine).or_default();
-        change.apply(on_machine, true);
+        change.apply(on_machine);
         if *on_machine == 0 {
             of_job.machines.remove(&attempt.machine);
         }
@@ -181,44 +183,38 @@
             Change::Add => of_job.ids.insert(id),
             Change::Remove => of_job.ids.remove(&id),
         };
-        self.tally(attempt.job, tally, change);
-        self.count_not_run(attempt.machine, attempt.image, tally.not_run, change);
+        let categories = Categories::of(attempt);
+        self.count_in_job(attempt.job, categories, change);
+        if categories.not_yet_running {
+            self.count_not_yet_running(attempt.machine, attempt.image, change);
+        }
         if self.of_job(attempt.job).is_empty() {
             self.by_job.remove(&attempt.job);
         }
     }
 
-    fn tally(&mut self, job: JobIdx, tally: Tally, change: Change) {
+    fn count_in_job(&mut self, job: JobIdx, categories: Categories, change: Change) {
         let of_job = self.by_job.entry(job).or_default();
-        change.apply(&mut of_job.uncommitted, tally.uncommitted);
-        change.apply(&mut of_job.stopping, tally.stopping);
-        change.apply(&mut of_job.begun, tally.begun);
-        change.apply(&mut of_job.unfinished, tally.unfinished);
+        change.apply_if(categories.uncommitted, &mut of_job.uncommitted);
+        change.apply_if(categories.stopping, &mut of_job.stopping);
+        change.apply_if(categories.started, &mut of_job.started);
+        change.apply_if(categories.unfinished, &mut of_job.unfinished);
     }
 
-    fn count_not_run(
-        &mut self,
-        machine: MachineIdx,
-        image: ImageIdx,
-        counts: bool,
-        change: Change,
-    ) {
-        if !counts {
-            return;
-        }
-        let images = self.not_run.entry(machine).or_default();
-        let waiting = images.entry(image).or_default();
-        change.apply(waiting, true);
-        if *waiting == 0 {
+    fn count_not_yet_running(&mut self, machine: MachineIdx, image: ImageIdx, change: Change) {
+        let images = self.not_yet_running.entry(machine).or_default();
+        let attempts = images.entry(image).or_default();
+        change.apply(attempts);
+        if *attempts == 0 {
             images.remove(&image);
         }
         if images.is_empty() {
-            self.not_run.remove(&machine);
+            self.not_yet_running.remove(&machine);
         }
     }
 }
 
-/// Whether an attempt joins the tallies or leaves them.
+/// Whether an attempt is added to counts or removed from them.
 #[derive(Debug, Clone, Copy)]
 enum Change {
     Add,
@@ -226,34 +222,40 @@
 }
 
 impl Change {
-    fn apply(self, count: &mut u32, counts: bool) {
+    fn apply(self, count: &mut u32) {
         match self {
-            Change::Add => *count += u32::from(counts),
-            Change::Remove => *count -= u32::from(counts),
+            Change::Add => *count += 1,
+            Change::Remove => *count -= 1,
+        }
+    }
+
+    fn apply_if(self, is_counted: bool, count: &mut u32) {
+        if is_counted {
+            self.apply(count);
         }
     }
 }
 
-/// In which tallies an attempt counts.
+/// In which counts an attempt is included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Tally {
+struct Categories {
     uncommitted: bool,
     stopping: bool,
-    begun: bool,
+    started: bool,
     unfinished: bool,
-    not_run: bool,
+    not_yet_running: bool,
 }
 
-impl Tally {
-    fn of(attempt: &Attempt) -> Tally {
-        let exited = attempt.reported_state == Some(TaskState::Exited);
-        let stopping = attempt.stop_reason.is_some();
-        Tally {
+impl Categories {
+    fn of(attempt: &Attempt) -> Categories {
+        let has_exited = attempt.reported_state == Some(TaskState::Exited);
+        let is_stopping = attempt.stop_reason.is_some();
+        Categories {
             uncommitted: attempt.phase == AssignmentPhase::Proposed,
-            stopping,
-            begun: attempt.running_since.is_some() || stopping || attempt.recovered,
-            unfinished: attempt.phase == AssignmentPhase::Committed && !exited,
-            not_run: attempt.running_since.is_none() && !exited,
+            stopping: is_stopping,
+            started: attempt.running_since.is_some() || is_stopping || attempt.recovered,
+            unfinished: attempt.phase == AssignmentPhase::Committed && !has_exited,
+            not_yet_running: attempt.running_since.is_none() && !has_exited,
         }
     }
 }
