--- a/crates/gladekeel-controller/src/leader/assignment_log/writer.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer.rs
@@ -361,7 +361,7 @@
         for id in sent.released {
             self.log_writer.released.remove(&id);
             if let Some(AssignmentPhase::Releasing(end)) = self.attempts.get(id).map(|a| a.phase) {
-                self.free(id, end, now);
+                self.remove_attempt(id, end, now);
             }
         }
         self.reclaim();
@@ -436,7 +436,7 @@
         let sent = self.log_writer.sent.as_ref().is_some_and(|sent| sent.proposed.contains(&id));
         if proposed && !sent {
             self.log_writer.proposed.remove(&id);
-            self.free(id, assignment_log::AttemptOutcome::Requeued, now);
+            self.remove_attempt(id, assignment_log::AttemptOutcome::Requeued, now);
         }
     }
 }
--- a/crates/gladekeel-controller/src/leader/reconciliation/release.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/release.rs
@@ -53,20 +53,25 @@
         }
     }
 
-    /// Frees the resources of an attempt whose release is committed, or whose assignment
+    /// Removes an attempt and frees its resources: its release is committed, or its assignment
     /// never was.
-    pub(in crate::leader) fn free(&mut self, id: AttemptId, outcome: AttemptOutcome, now: f64) {
+    pub(in crate::leader) fn remove_attempt(
+        &mut self,
+        id: AttemptId,
+        outcome: AttemptOutcome,
+        now: f64,
+    ) {
         let Some(attempt) = self.attempts.remove(id) else { return };
         if let Some(machine) = self.cluster.machines.get_mut(&attempt.machine) {
             machine.workload.remove(id, attempt.resources, now);
         }
-        self.remove_from_job(&attempt, outcome, now);
+        self.apply_removal_to_job(&attempt, outcome, now);
         self.timers.request_cycle();
     }
 
     /// Requeues the task unless it is done, and has a final job cleared from the log once
     /// nothing of it is left on any machine.
-    fn remove_from_job(&mut self, attempt: &Attempt, outcome: AttemptOutcome, now: f64) {
+    fn apply_removal_to_job(&mut self, attempt: &Attempt, outcome: AttemptOutcome, now: f64) {
         let Some(job) = self.jobs.get_mut(&attempt.job) else { return };
         self.teams[job.team.position()].used -= attempt.resources;
         job.zone_placement.remove(attempt.zone);
