--- a/crates/gladekeel-controller/src/leader/machine/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/machine/liveness.rs
@@ -1,7 +1,7 @@
 //! When a machine's worker was last seen, and whether it responds to direct commands.
 //!
-//! Heartbeats and direct commands are told apart: only a heartbeat that reaches a controller
-//! renews the worker's lease, so a worker that responds to commands but whose heartbeats
+//! Heartbeats and responses to direct commands are recorded apart: only a heartbeat that reaches
+//! a controller renews the worker's lease, so a worker that responds to commands but whose heartbeats
 //! get lost will still lose its tasks.
 
 /// Direct commands in a row without a response, after which a machine is unresponsive.
--- a/crates/gladekeel-controller/src/leader/machine/mod.rs
+++ b/crates/gladekeel-controller/src/leader/machine/mod.rs
@@ -27,7 +27,7 @@
 use super::AttemptId;
 use gladekeel_sched::{MachineTypeIdx, Resources, ZoneIdx};
 use gladekeel_wire::{cloud::MachineState, worker::Heartbeat};
-use std::collections::BTreeSet;
+use std::{collections::BTreeSet, fmt};
 
 /// Orders the messages of a worker: by incarnation, then by their sequence number in it.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -63,6 +63,33 @@
     }
 }
 
+/// The condition of a machine as the admin API shows it; `Display` gives the API's word.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum MachineCondition {
+    /// Operators ordered it drained, and its deletion is not planned yet.
+    Draining,
+    /// It is reclaimed or deleted.
+    Leaving,
+    /// Its worker was not seen yet.
+    Booting,
+    /// It has no attempts.
+    Idle,
+    /// It has attempts.
+    Working,
+}
+
+impl fmt::Display for MachineCondition {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            MachineCondition::Draining => "draining",
+            MachineCondition::Leaving => "leaving",
+            MachineCondition::Booting => "booting",
+            MachineCondition::Idle => "idle",
+            MachineCondition::Working => "working",
+        })
+    }
+}
+
 /// A machine of the cluster.
 #[derive(Debug)]
 pub struct Machine {
@@ -183,24 +210,24 @@
         self.listing.state().is_some() || self.provisioned_at == ProvisionedAt::BeforeTerm
     }
 
-    /// Whether it may get new work as far as its connection goes: its existence is
+    /// Whether it may get new work as far as its messages go: its existence is
     /// confirmed, and its worker acts on the responses to its heartbeats.
     pub fn is_reachable(&self) -> bool {
         self.existence_confirmed && self.acknowledgements.missed() == 0
     }
 
-    /// Its state as the admin API names it.
-    pub fn state(&self) -> &'static str {
+    /// Its condition as operators see it.
+    pub fn condition(&self) -> MachineCondition {
         if self.draining && !self.deletion.is_planned() {
-            "draining"
+            MachineCondition::Draining
         } else if self.is_leaving() {
-            "leaving"
+            MachineCondition::Leaving
         } else if !self.liveness.was_seen() {
-            "booting"
+            MachineCondition::Booting
         } else if self.is_idle() {
-            "idle"
+            MachineCondition::Idle
         } else {
-            "working"
+            MachineCondition::Working
         }
     }
 
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -42,8 +42,9 @@
 pub use cluster_state::ClusterState;
 pub use commands::{WorkerOutcome, WorkerRequest};
 pub use counters::LeaderCounters;
+pub use failure_detection::reachability::HeartbeatSilence;
 pub use job::{FailureBackoff, Job, RunTimeHistory, TaskQueue, ZonePlacement};
-pub use machine::Machine;
+pub use machine::{Machine, MachineCondition};
 pub use status::Backlog;
 
 use crate::{
@@ -59,7 +60,6 @@
 use catalog::Catalog;
 use commands::CommandQueue;
 use failure_detection::detector::FailureDetector;
-pub use failure_detection::reachability::HeartbeatSilence;
 use gladekeel_sched::{Interner, JobIdx, MachineIdx, Resources, ZoneIdx, snapshot::TeamQuota};
 use gladekeel_wire::{JobId, settings::Deployment, store::Transaction};
 use scheduling::stragglers::StragglerScan;
--- a/crates/gladekeel-controller/src/leader/status.rs
+++ b/crates/gladekeel-controller/src/leader/status.rs
@@ -40,7 +40,7 @@
     fn status_of(&self, machine: &Machine, now: f64) -> MachineStatus {
         MachineStatus {
             machine: machine.name.clone(),
-            state: machine.state().into(),
+            state: machine.condition().to_string(),
             machine_type: name_of(&self.catalog.machine_type_names, machine.machine_type),
             zone: name_of(&self.catalog.zones, machine.zone),
             spot: machine.spot,
