--- a/crates/gladekeel-controller/src/leader/job/objectives.rs
+++ b/crates/gladekeel-controller/src/leader/job/objectives.rs
@@ -3,7 +3,7 @@
 use super::Job;
 use gladekeel_wire::{
     job::JobKind,
-    settings::{Deployment, Objective},
+    settings::{Deployment, Objective, ObjectiveKind},
 };
 
 /// Without deadline and objective, a job should be complete within this multiple of its tasks'
@@ -14,25 +14,6 @@
 /// A job waits for machines that have its image for this part of the time in which it should start.
 const CACHED_IMAGE_WAIT_SHARE: f64 = 0.5;
 
-/// The objectives that scheduling takes into account.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ObjectiveKind {
-    /// Time from submission to completion.
-    Completion,
-    /// Time from submission to the start.
-    Start,
-}
-
-impl ObjectiveKind {
-    /// The name that the settings use.
-    fn name(self) -> &'static str {
-        match self {
-            ObjectiveKind::Completion => "finished",
-            ObjectiveKind::Start => "wait",
-        }
-    }
-}
-
 impl Job {
     /// In how many seconds after its submission the job should be complete: by its deadline, else
     /// by the objective of its class, else by a multiple of `run_s`, the run time of a task. 0 for
@@ -41,7 +22,7 @@
         if self.spec.kind != JobKind::Array {
             return 0.0;
         }
-        let objective_s = self.strictest_objective_s(deployment, ObjectiveKind::Completion);
+        let objective_s = self.strictest_objective_s(deployment, &ObjectiveKind::Completion);
         self.spec.deadline_s.or(objective_s).unwrap_or(DEFAULT_COMPLETION_RUNS * run_s)
     }
 
@@ -51,7 +32,7 @@
         if self.gave_up_on_cached_image {
             return false;
         }
-        let objective_s = self.strictest_objective_s(deployment, ObjectiveKind::Start);
+        let objective_s = self.strictest_objective_s(deployment, &ObjectiveKind::Start);
         objective_s.is_some_and(|objective_s| {
             let fetch_too_long = fetch_s > MAX_FETCH_SHARE * objective_s;
             fetch_too_long && now - self.submitted_at < CACHED_IMAGE_WAIT_SHARE * objective_s
@@ -60,11 +41,11 @@
 
     /// Whether the job's class has an objective for the time until the start.
     pub fn has_start_objective(&self, deployment: &Deployment) -> bool {
-        self.objectives(deployment, ObjectiveKind::Start).next().is_some()
+        self.objectives(deployment, &ObjectiveKind::Start).next().is_some()
     }
 
     /// The shortest time that the objectives of one kind allow the job's class.
-    fn strictest_objective_s(&self, deployment: &Deployment, kind: ObjectiveKind) -> Option<f64> {
+    fn strictest_objective_s(&self, deployment: &Deployment, kind: &ObjectiveKind) -> Option<f64> {
         let objectives = self.objectives(deployment, kind);
         objectives.filter_map(|objective| objective.within_s).min_by(f64::total_cmp)
     }
@@ -72,10 +53,9 @@
     fn objectives<'a>(
         &'a self,
         deployment: &'a Deployment,
-        kind: ObjectiveKind,
+        kind: &'a ObjectiveKind,
     ) -> impl Iterator<Item = &'a Objective> {
-        deployment.objectives.iter().filter(move |objective| {
-            objective.kind == kind.name() && objective.class.as_deref() == Some(&self.spec.class)
-        })
+        let objectives = deployment.objectives.iter();
+        objectives.filter(move |objective| objective.applies_to(kind, &self.spec.class))
     }
 }
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -128,7 +128,7 @@
         let has_attempts = !self.attempts.of_job(job_idx).is_empty();
         SchedulableJob {
             team: job.team,
-            priority: job.spec.priority as u8,
+            priority: job.spec.priority.level(),
             task_request: job.task_request,
             remaining: job.remaining(),
             pending: if is_held { 0 } else { job.pending.len() as u32 },
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -129,11 +129,11 @@
     /// than it is guaranteed.
     fn has_preemptor(&self, now: f64, options: &RuntimeSettings) -> bool {
         let mut unfinished = self.jobs.iter().filter(|(_, job)| !job.is_finished());
-        let lowest = unfinished.clone().map(|(_, job)| job.spec.priority as u8).min();
+        let lowest = unfinished.clone().map(|(_, job)| job.spec.priority.level()).min();
         unfinished.any(|(job_idx, job)| {
             let team = &self.teams[job.team.position()];
             self.may_preempt(*job_idx, now, options)
-                && (Some(job.spec.priority as u8) > lowest
+                && (Some(job.spec.priority.level()) > lowest
                     || team.within_guarantee(job.task_request))
         })
     }
@@ -309,7 +309,7 @@
         id: id.logged(),
         machine: position,
         team: job.team,
-        priority: job.spec.priority as u8,
+        priority: job.spec.priority.level(),
         resources: attempt.resources,
         lost_work: lost_s * job.spec.cpus,
         checkpoints,
--- a/crates/gladekeel-controller/src/leader/status.rs
+++ b/crates/gladekeel-controller/src/leader/status.rs
@@ -45,7 +45,7 @@
             zone: name_of(&self.catalog.zones, machine.zone),
             spot: machine.spot,
             tasks: machine.attempts().len(),
-            quiet_s: machine.liveness.last_seen().map(|at| now - at),
+            last_heartbeat_age_s: machine.liveness.last_seen().map(|at| now - at),
         }
     }
 
--- a/crates/gladekeel-controller/src/node/admin_requests.rs
+++ b/crates/gladekeel-controller/src/node/admin_requests.rs
@@ -199,7 +199,7 @@
             node: self.settings.node.clone(),
             leader: view.leader.as_ref().map(|(record, _)| record.node.clone()),
             token: view.highest_token,
-            contact_s: self.store.last_contact().map(|contact| now - contact),
+            store_contact_age_s: self.store.last_contact().map(|contact| now - contact),
             nodes: self.node_status(now),
             teams: self.team_status(),
             machines: self.leadership.leader().map(|leader| machines_by_state(leader, now)),
@@ -209,8 +209,8 @@
     fn node_status(&self, now: f64) -> Vec<NodeStatus> {
         let status = self.peers.iter().map(|peer| NodeStatus {
             node: peer.name.clone(),
-            heard_s: peer.last_seen.map(|last_seen| now - last_seen),
-            contact_s: peer.store_contact_age_s(),
+            last_heartbeat_age_s: peer.last_seen.map(|last_seen| now - last_seen),
+            store_contact_age_s: peer.store_contact_age_s(),
         });
         status.collect()
     }
--- a/crates/gladekeel-controller/src/node/peers/cancellations.rs
+++ b/crates/gladekeel-controller/src/node/peers/cancellations.rs
@@ -7,14 +7,12 @@
 use crate::node::Node;
 use gladekeel_wire::{
     JobId,
-    mesh::{self, FrameKind},
+    mesh::{self, CANCELLATIONS_LEVEL, FrameKind},
 };
 
 /// How long a cancellation that a peer has reported is kept. By then its tasks are gone, or the
 /// store has shown it; one that the store never shows was no job of this deployment.
 const PENDING_CANCELLATION_TTL_S: f64 = 300.0;
-/// The protocol level from which peers accept [`FrameKind::Cancellations`].
-const CANCELLATIONS_LEVEL: u16 = 1;
 
 impl Node {
     pub(super) fn on_peer_cancellations(&mut self, payload: &[u8]) {
--- a/crates/gladekeel-controller/src/node/peers/job_progress.rs
+++ b/crates/gladekeel-controller/src/node/peers/job_progress.rs
@@ -4,7 +4,7 @@
 use crate::{node::Node, store_view::JobProgress};
 use gladekeel_wire::{
     JobId,
-    mesh::{self, FrameKind},
+    mesh::{self, FrameKind, JobProgressEntry},
 };
 
 /// Time between publications of job progress.
@@ -29,9 +29,12 @@
         } else {
             changed.iter().map(|(id, progress)| (id, progress)).collect()
         };
-        let rows =
-            published.into_iter().map(|(id, progress)| (id, progress.done, progress.running));
-        for payload in mesh::encode_job_progress(rows) {
+        let entries = published.into_iter().map(|(id, progress)| JobProgressEntry {
+            id: id.clone(),
+            done: progress.done,
+            running: progress.running,
+        });
+        for payload in mesh::encode_job_progress(entries) {
             self.send_to_all_peers(PeerMessage::one_way(FrameKind::JobProgress, &payload));
         }
     }
@@ -42,7 +45,8 @@
         if view.leader.as_ref().is_none_or(|(record, _)| record.node != *sender) {
             return;
         }
-        for (id, done, running) in mesh::decode_job_progress(payload).unwrap_or_default() {
+        let entries = mesh::decode_job_progress(payload).unwrap_or_default();
+        for JobProgressEntry { id, done, running } in entries {
             // The leader publishes again the progress of jobs that are not in this view yet.
             if view.jobs.contains_key(&id) {
                 view.job_progress.insert(id, JobProgress { done, running });
--- a/crates/gladekeel-controller/src/shell.rs
+++ b/crates/gladekeel-controller/src/shell.rs
@@ -12,7 +12,7 @@
 };
 use gladekeel_store::StoreOutcome;
 use gladekeel_wire::{
-    mesh::{FrameHeader, FrameKind},
+    mesh::FrameHeader,
     settings::{Peer, Settings},
 };
 use std::{
@@ -376,10 +376,8 @@
     let mut head = [0; FrameHeader::SIZE];
     loop {
         timeout(MESH_SILENCE, stream.read_exact(&mut head)).await??;
-        let Some((header, kind)): Option<(FrameHeader, FrameKind)> = FrameHeader::read(&head)
-        else {
-            return Err(io::ErrorKind::InvalidData.into());
-        };
+        let (header, kind) = FrameHeader::read(&head)
+            .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?;
         let mut payload = vec![0; header.payload_len.get() as usize];
         timeout(MESH_SILENCE, stream.read_exact(&mut payload)).await??;
         shell.handle(Event::Peer { header, kind, payload });
--- a/crates/gladekeel-testkit/src/simulation/nodes.rs
+++ b/crates/gladekeel-testkit/src/simulation/nodes.rs
@@ -138,7 +138,7 @@
                 let Some(to) = to else { return };
                 self.deliver(&Endpoint::Node(node), &Endpoint::Node(to), move |sim| {
                     let (head, payload) = frame.split_at(FrameHeader::SIZE);
-                    let read = head.try_into().ok().and_then(|head| FrameHeader::read(&head));
+                    let read = head.try_into().ok().and_then(|head| FrameHeader::read(&head).ok());
                     let Some((header, kind)) = read else { return };
                     let incarnation = sim.nodes[to].incarnation;
                     sim.event(
--- a/crates/gladekeel-testkit/tests/two_versions.rs
+++ b/crates/gladekeel-testkit/tests/two_versions.rs
@@ -17,7 +17,10 @@
     admin::VersionedSettings,
     cloud::MachineTypes,
     job::{JobState, JobStatus},
-    mesh::{FrameHeader, FrameKind, PROTOCOL_LEVEL, decode_job_ids, decode_job_progress},
+    mesh::{
+        FrameHeader, FrameKind, JobProgressEntry, PROTOCOL_LEVEL, decode_job_ids,
+        decode_job_progress,
+    },
     store::{Transaction, Write},
     worker::{Command, HeartbeatResponse},
 };
@@ -399,11 +402,11 @@
         rig.run(3);
         for peer in 0..2 {
             let counts = rig.frames.iter().filter(|(to, _, kind, _)| *to == peer && *kind == 5);
-            let rows: Vec<(JobId, u32, u32)> = counts
+            let entries: Vec<JobProgressEntry> = counts
                 .flat_map(|(.., payload)| decode_job_progress(payload).expect("counts"))
                 .collect();
-            let row = ("job-1".parse().unwrap(), 0, 0);
-            assert_eq!(rows, vec![row; expected], "processes {processes}, peer {peer}");
+            let entry = JobProgressEntry { id: "job-1".parse().unwrap(), done: 0, running: 0 };
+            assert_eq!(entries, vec![entry; expected], "processes {processes}, peer {peer}");
         }
     }
 }
--- a/crates/gladekeel-wire/src/admin.rs
+++ b/crates/gladekeel-wire/src/admin.rs
@@ -1,9 +1,11 @@
-//! The administration API.
+//! The administration API: cluster status, machines, runtime settings, cordons.
+//!
+//! Served under `/admin/` by every controller; `gladekeel` commands are its usual client.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The operators' settings with their version: the answer to `GET` and `PUT
+/// The runtime settings with their version: the response to `GET` and `PUT
 /// /admin/settings`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VersionedSettings {
@@ -14,94 +16,101 @@
     pub settings: BTreeMap<String, f64>,
 }
 
-/// What a `PUT /admin/settings` asks for; the values are checked one by one, so that an
-/// error can name the setting and its range.
+/// The body of `PUT /admin/settings`. Values are any JSON here and are validated one by
+/// one, so that an error can name the setting and its range.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SettingsChange {
-    /// Version of the settings that are changed.
+    /// Version of the settings that this change was made from; the change is refused if
+    /// another one has been stored since.
     pub version: u64,
-    /// The new values by name.
+    /// The new values by name; settings that are not named keep their values.
     pub settings: BTreeMap<String, serde_json::Value>,
 }
 
-/// The answer to a drain or undrain.
+/// The response to `POST /admin/machines/NAME/drain` and `.../undrain`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DrainStatus {
-    /// The machine.
+    /// Name of the machine.
     pub machine: String,
-    /// Whether it gets no more work.
+    /// Whether the machine is cordoned: no new tasks are assigned to it, and it is deleted
+    /// once it is empty.
     pub draining: bool,
 }
 
-/// Another controller as this one sees it.
+/// A peer controller as seen by the one that responds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Its name.
+    /// Name of the peer.
     pub node: String,
-    /// Seconds since it was heard.
-    pub heard_s: Option<f64>,
-    /// Seconds between its last contact to the state service and its last message.
-    pub contact_s: Option<f64>,
+    /// Seconds since its last heartbeat; `None` before the first one.
+    #[serde(rename = "heard_s")]
+    pub last_heartbeat_age_s: Option<f64>,
+    /// Seconds between the peer's last successful read of the store and its last
+    /// heartbeat; `None` if it has not read the store.
+    #[serde(rename = "contact_s")]
+    pub store_contact_age_s: Option<f64>,
 }
 
-/// A team's use.
+/// Resource usage of a team against its quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamStatus {
-    /// Its name.
+    /// Name of the team.
     pub team: String,
-    /// CPUs of its tasks on machines.
+    /// CPUs of its assigned tasks.
     pub cpus: f64,
-    /// GPUs of its tasks on machines.
+    /// GPUs of its assigned tasks.
     pub gpus: f64,
-    /// Guaranteed CPUs.
+    /// CPUs that the team is guaranteed.
     pub guaranteed_cpus: f64,
-    /// CPUs it may use at most.
+    /// Maximum of CPUs that its tasks may hold together.
     pub limit_cpus: f64,
-    /// Unfinished jobs.
+    /// Jobs that are neither done nor cancelled.
     pub jobs: u32,
-    /// Tasks of them on no machine.
+    /// Tasks of these jobs that are not assigned to a machine.
     pub waiting: u64,
 }
 
 /// A machine as the leader sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineStatus {
-    /// Its name.
+    /// Name of the machine.
     pub machine: String,
     /// `booting`, `idle`, `working`, `draining` or `leaving`.
     pub state: String,
-    /// Its type, once known.
+    /// Machine type; `None` until the cloud or the worker has reported it.
     pub machine_type: Option<String>,
-    /// Its zone, once known.
+    /// Zone; `None` until the cloud or the worker has reported it.
     pub zone: Option<String>,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// Tasks on it.
+    /// Number of tasks assigned to it.
     pub tasks: usize,
-    /// Seconds since its last report.
-    pub quiet_s: Option<f64>,
+    /// Seconds since its last heartbeat; `None` before the first one.
+    #[serde(rename = "quiet_s")]
+    pub last_heartbeat_age_s: Option<f64>,
 }
 
-/// The answer to `GET /admin/status`.
+/// The response to `GET /admin/status`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The node that answers.
+    /// Name of the controller that responds.
     pub node: String,
-    /// Who leads, if anybody does.
+    /// Name of the leader as this controller knows it.
     pub leader: Option<String>,
-    /// The fencing token.
+    /// Highest fencing token that this controller knows.
     pub token: u64,
-    /// Seconds since this node's last contact to the state service.
-    pub contact_s: Option<f64>,
-    /// The other nodes.
+    /// Seconds since this controller's last successful read of the store.
+    #[serde(rename = "contact_s")]
+    pub store_contact_age_s: Option<f64>,
+    /// The other controllers.
     pub nodes: Vec<NodeStatus>,
-    /// Use against guarantees and limits.
+    /// Usage by team.
     pub teams: Vec<TeamStatus>,
-    /// Machines by state; only the leader knows.
+    /// Number of machines by state; `None` unless the leader responds.
     pub machines: Option<BTreeMap<String, u32>>,
 }
 
-/// The answer to `GET /admin/machines`.
+/// The response to `GET /admin/machines`; only the leader serves it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machines {
     /// All machines that the leader knows.
--- a/crates/gladekeel-wire/src/cloud.rs
+++ b/crates/gladekeel-wire/src/cloud.rs
@@ -1,43 +1,46 @@
-//! What controllers and the cloud say to each other.
+//! The cloud provider's API: machine types, creating, listing and deleting machines.
+//!
+//! Calls are rate limited for all controllers together (see
+//! [`CloudLimits`](crate::settings::CloudLimits)), and the machine list lags behind.
 
 use serde::{Deserialize, Serialize};
 
-/// The most machines one rental may ask for.
+/// Maximum of machines that one [`RentRequest`] may ask for.
 pub const MAX_MACHINES_PER_RENT_REQUEST: u32 = 50;
-/// The most machines one deletion may name.
+/// Maximum of machines that one deletion may name.
 pub const MAX_MACHINES_PER_DELETE_REQUEST: usize = 100;
-/// The most machines one page of the list may hold.
+/// Maximum of machines in one page of the list.
 pub const MAX_MACHINES_PER_PAGE: usize = 500;
 
-/// A machine type.
+/// A machine type that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     pub name: String,
-    /// CPUs.
+    /// CPU capacity.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// GPUs.
+    /// GPU capacity.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory in GB.
+    /// Memory capacity in GB.
     #[serde(rename = "ram_gb")]
     pub memory_gb: f64,
-    /// Room for images in GB.
+    /// Capacity of the image cache in GB.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Rate of image fetches.
+    /// Rate at which images are fetched, in GB per second.
     #[serde(rename = "pull_gb_per_s", default)]
     pub fetch_gb_per_s: f64,
-    /// Price per hour.
+    /// On-demand price per hour.
     pub price: f64,
-    /// Current spot price per hour.
+    /// Current spot price per hour; `None` if there are no spot instances of this type.
     #[serde(rename = "market_price", default)]
     pub spot_price: Option<f64>,
-    /// Usual boot time in seconds.
+    /// Usual time from the request to a running worker, in seconds.
     #[serde(rename = "ready_s", default)]
     pub boot_s: f64,
-    /// Zones where it exists.
+    /// Zones that offer the type.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
@@ -45,15 +48,16 @@
 /// All machine types.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// The types.
+    /// The types, in the cloud's order.
     #[serde(rename = "hulls")]
     pub types: Vec<MachineType>,
 }
 
-/// A rental request.
+/// A request to create machines. Idempotent by [`request_id`](RentRequest::request_id):
+/// repeating a request whose outcome is unknown creates nothing more.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// The request's name; never used for a second request.
+    /// Idempotency key; never reused for another request.
     #[serde(rename = "charter")]
     pub request_id: String,
     /// Machine type.
@@ -62,45 +66,45 @@
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether to create spot instances instead of on-demand ones.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines, at most [`MAX_MACHINES_PER_RENT_REQUEST`].
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Machines by name: the answer to a rental, and the body of a deletion.
+/// Machines by name: the response to a [`RentRequest`], and the body of a deletion.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Names of the machines.
     #[serde(rename = "berths")]
     pub machines: Vec<String>,
 }
 
-/// What the cloud says of a machine.
+/// State of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Not up yet.
+    /// Created and not running yet.
     #[serde(rename = "starting")]
     Booting,
-    /// Up.
+    /// Running; its worker may have started.
     Running,
-    /// Stopped by itself.
+    /// Crashed or terminated by the cloud, as a reclaimed spot instance is.
     Failed,
     /// A state that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// A row of the machine list.
+/// An entry of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// The machine's name; names are ordered by creation.
+    /// Name of the machine; names sort by time of creation.
     #[serde(rename = "name_id")]
     pub name: String,
-    /// Its worker's address.
+    /// Address of its worker; `None` until it has one.
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
     /// Machine type.
@@ -109,13 +113,14 @@
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot instance.
     #[serde(rename = "driftwood")]
     pub spot: bool,
     /// State.
     #[serde(rename = "trim")]
     pub state: MachineState,
-    /// Age since the rental request, at the time that the list describes.
+    /// Seconds since the request that created it, at the time that the list describes
+    /// (which lies [`list_lag_s`](crate::settings::CloudLimits::list_lag_s) in the past).
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
@@ -123,10 +128,10 @@
 /// A page of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// The rows.
+    /// The entries, sorted by name.
     #[serde(rename = "berths")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there is more.
+    /// Whether another page follows.
     #[serde(rename = "truncated", default)]
     pub truncated: bool,
 }
--- a/crates/gladekeel-wire/src/id.rs
+++ b/crates/gladekeel-wire/src/id.rs
@@ -1,19 +1,19 @@
-//! Validated names of jobs and tasks.
+//! Validated ids of jobs and tasks.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use std::{fmt, str::FromStr, sync::Arc};
 
-/// Longest accepted job id; well below the 200 bytes of a state-service key.
-const MAX_ID: usize = 80;
+/// Maximum length of a job id in bytes; well below the 200 bytes of a store key.
+const MAX_ID_LEN: usize = 80;
 
-/// An id that does not have the form the protocol prescribes.
+/// The text, shortened, is not an id in the form that the protocol prescribes.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("not a valid id: {0:?}")]
 pub struct InvalidId(pub String);
 
 /// The id of a job: `job-` followed by letters, digits, `_`, `-` or `.`.
 ///
-/// Ids become parts of state-service keys and URL paths, so nothing else is let in.
+/// Ids become parts of store keys and URL paths, so other characters are refused.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(Arc<str>);
 
@@ -29,9 +29,10 @@
 
     fn from_str(text: &str) -> Result<Self, InvalidId> {
         let rest = text.strip_prefix("job-").unwrap_or("");
-        let fine = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'_' | b'-' | b'.');
-        if rest.is_empty() || text.len() > MAX_ID || !rest.bytes().all(fine) {
-            return Err(InvalidId(text.chars().take(MAX_ID).collect()));
+        let is_allowed =
+            |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'-' | b'.');
+        if rest.is_empty() || text.len() > MAX_ID_LEN || !rest.bytes().all(is_allowed) {
+            return Err(InvalidId(text.chars().take(MAX_ID_LEN).collect()));
         }
         Ok(JobId(text.into()))
     }
@@ -61,12 +62,12 @@
     }
 }
 
-/// One task of a job, written `job-000412/3`.
+/// The id of a task: its job and its index, written `job-000412/3`.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// The task's number within the job, from 0.
+    /// Index of the task within the job, from 0.
     pub index: u32,
 }
 
@@ -74,14 +75,14 @@
     type Err = InvalidId;
 
     fn from_str(text: &str) -> Result<Self, InvalidId> {
-        let bad = || InvalidId(text.chars().take(MAX_ID).collect());
-        let (job, index) = text.split_once('/').ok_or_else(bad)?;
-        // `u32::from_str` takes a plus sign and leading zeros, which are other names for the same task.
-        if !index.bytes().all(|b| b.is_ascii_digit()) || (index.len() > 1 && index.starts_with('0'))
-        {
-            return Err(bad());
+        let invalid = || InvalidId(text.chars().take(MAX_ID_LEN).collect());
+        let (job, index) = text.split_once('/').ok_or_else(invalid)?;
+        // `u32::from_str` accepts a plus sign and leading zeros: a second id of the same task.
+        let has_leading_zero = index.len() > 1 && index.starts_with('0');
+        if has_leading_zero || !index.bytes().all(|byte| byte.is_ascii_digit()) {
+            return Err(invalid());
         }
-        Ok(TaskId { job: job.parse()?, index: index.parse().map_err(|_| bad())? })
+        Ok(TaskId { job: job.parse()?, index: index.parse().map_err(|_| invalid())? })
     }
 }
 
--- /dev/null
+++ b/crates/gladekeel-wire/src/job/validation.rs
@@ -0,0 +1,81 @@
+//! Validation of submissions: nothing out of range reaches the scheduler.
+
+use super::{JobSpec, MAX_TASKS, json_names};
+
+/// Maximum of a resource amount or a duration; rules out infinite and absurd values.
+const MAX_AMOUNT: f64 = 1e9;
+/// Maximum length of a class, team, image, zone or machine type, in bytes.
+const MAX_NAME_LEN: usize = 200;
+/// Maximum of machine types that a job may name.
+const MAX_MACHINE_TYPES: usize = 200;
+
+/// Why a submission is refused.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidJob {
+    /// The body is no JSON object.
+    #[error("not a job: not an object")]
+    NotAnObject,
+    /// The body is not the JSON of a job: a syntax error, or a field that is missing or of the
+    /// wrong type.
+    #[error("not a job: {0}")]
+    Json(#[source] serde_json::Error),
+    /// The value of the field with this JSON name is out of range.
+    #[error("field {0} is out of range")]
+    Field(&'static str),
+}
+
+impl JobSpec {
+    /// Parses and validates the body of a submission.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidJob`] if the body is not the JSON of a job or a value is out of range.
+    pub fn parse(body: &[u8]) -> Result<JobSpec, InvalidJob> {
+        // serde would accept an array for a struct; the protocol requires an object.
+        if body.iter().find(|byte| !byte.is_ascii_whitespace()) != Some(&b'{') {
+            return Err(InvalidJob::NotAnObject);
+        }
+        let spec: JobSpec = serde_json::from_slice(body).map_err(InvalidJob::Json)?;
+        spec.check()?;
+        Ok(spec)
+    }
+
+    /// Checks that every value is in range.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidJob::Field`] with the first field that is not.
+    pub fn check(&self) -> Result<(), InvalidJob> {
+        require((1..=MAX_TASKS).contains(&self.tasks), json_names::TASKS)?;
+        require(is_amount(self.cpus) && self.cpus > 0.0, json_names::CPUS)?;
+        require(is_amount(self.gpus), json_names::GPUS)?;
+        require(is_amount(self.memory_gb), json_names::MEMORY_GB)?;
+        require(is_amount(self.image_gb), json_names::IMAGE_GB)?;
+        require(is_amount(self.estimate_s), json_names::ESTIMATE_S)?;
+        require(is_amount(self.checkpoint_interval_s), json_names::CHECKPOINT_INTERVAL_S)?;
+        require(is_amount(self.checkpoint_write_s), json_names::CHECKPOINT_WRITE_S)?;
+        require(self.deadline_s.is_none_or(is_amount), json_names::DEADLINE_S)?;
+        require(is_name(&self.class), json_names::CLASS)?;
+        require(is_name(&self.team), json_names::TEAM)?;
+        require(is_name(&self.image), json_names::IMAGE)?;
+        require(self.zone.as_deref().is_none_or(is_name), json_names::ZONE)?;
+        let machine_types = self.machine_types.as_deref();
+        require(machine_types.is_none_or(are_machine_types), json_names::MACHINE_TYPES)
+    }
+}
+
+fn require(holds: bool, field: &'static str) -> Result<(), InvalidJob> {
+    if holds { Ok(()) } else { Err(InvalidJob::Field(field)) }
+}
+
+fn is_amount(value: f64) -> bool {
+    value.is_finite() && (0.0..=MAX_AMOUNT).contains(&value)
+}
+
+fn is_name(text: &str) -> bool {
+    !text.is_empty() && text.len() <= MAX_NAME_LEN && !text.chars().any(char::is_control)
+}
+
+fn are_machine_types(names: &[String]) -> bool {
+    names.len() <= MAX_MACHINE_TYPES && names.iter().all(|name| is_name(name))
+}
--- a/crates/gladekeel-wire/src/lib.rs
+++ b/crates/gladekeel-wire/src/lib.rs
@@ -1,10 +1,20 @@
-//! The formats spoken by gladekeel.
+//! Every format that crosses a process boundary.
 //!
-//! Everything that crosses a process boundary is described here and nowhere
-//! else: the JSON of users, workers, cloud and state service, and the fixed
-//! layouts that controllers exchange with one another. The odd field names of
-//! the platform's protocol appear only as serde renames in this crate; the rest
-//! of the code uses the words of the field (task, attempt, lease, zone, spot).
+//! | module | between | form |
+//! | --- | --- | --- |
+//! | [`job`] | users and controllers | JSON over HTTP |
+//! | [`admin`] | operators and controllers | JSON over HTTP |
+//! | [`worker`] | workers and controllers | JSON over HTTP |
+//! | [`cloud`] | controllers and the cloud provider | JSON over HTTP |
+//! | [`store`] | controllers and the key-value store | JSON over HTTP |
+//! | [`mesh`] | controllers | binary frames over TCP |
+//! | [`settings`] | the platform and a controller | a TOML file |
+//!
+//! This crate does no I/O and knows no clock. The field names of the platform's protocol
+//! stand only in serde attributes here; the Rust names are the usual terms (task, attempt,
+//! lease, fencing token, zone, spot), and the glossary in `docs/` maps one to the other.
+//! Readers ignore fields that they do not know, so that both sides can be upgraded one
+//! after the other.
 
 pub mod admin;
 pub mod cloud;
@@ -17,5 +27,5 @@
 
 pub use id::{InvalidId, JobId, TaskId};
 
-/// The largest request body that the protocol allows, in bytes.
+/// Largest request body that the protocol allows, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
--- /dev/null
+++ b/crates/gladekeel-wire/src/settings/mod.rs
@@ -0,0 +1,226 @@
+//! The settings file that the platform hands to a controller when it starts (TOML).
+//!
+//! Unknown fields are ignored, so that the platform can be upgraded first. After parsing,
+//! [`Settings::check`] validates what a type cannot.
+
+mod objective;
+mod validation;
+
+pub use objective::{Objective, ObjectiveKind};
+pub use validation::{InvalidSetting, Requirement};
+
+use serde::Deserialize;
+use std::net::SocketAddr;
+
+/// The whole file.
+#[derive(Debug, Clone, PartialEq, Deserialize)]
+pub struct Settings {
+    /// Name of this controller.
+    pub node: String,
+    /// Zone of this controller.
+    #[serde(rename = "site")]
+    pub zone: String,
+    /// Address on which it serves users, workers and health checks.
+    #[serde(rename = "bind")]
+    pub listen: SocketAddr,
+    /// Address on which it accepts connections of its peers.
+    #[serde(rename = "mesh_addr")]
+    pub peer_listen: SocketAddr,
+    /// The other controllers.
+    #[serde(rename = "siblings", default)]
+    pub peers: Vec<Peer>,
+    /// Addresses of the services that it calls.
+    pub services: Services,
+    /// What is the same for every controller of the cluster.
+    #[serde(rename = "deployment")]
+    pub deployment: Deployment,
+}
+
+/// Another controller of the cluster.
+#[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
+pub struct Peer {
+    /// Its name.
+    pub node: String,
+    /// Its zone.
+    #[serde(rename = "site")]
+    pub zone: String,
+    /// Its address for peers.
+    #[serde(rename = "peer_addr")]
+    pub addr: SocketAddr,
+}
+
+/// Addresses of the services that controllers call.
+#[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
+pub struct Services {
+    /// The cloud provider's API.
+    pub cloud: SocketAddr,
+    /// The key-value store.
+    #[serde(rename = "state")]
+    pub store: SocketAddr,
+}
+
+/// What is the same for every controller of the cluster.
+#[derive(Debug, Clone, PartialEq, Deserialize)]
+pub struct Deployment {
+    /// Number of controllers.
+    #[serde(rename = "count")]
+    pub controllers: u32,
+    /// Names of the zones.
+    #[serde(default)]
+    pub zones: Vec<String>,
+    /// Maximum error of the wall clock, in milliseconds.
+    #[serde(rename = "time_bound_ms", default)]
+    pub clock_error_bound_ms: f64,
+    /// Teams with their quotas.
+    #[serde(default)]
+    pub teams: Vec<Team>,
+    /// Service-level objectives.
+    #[serde(default)]
+    pub objectives: Vec<Objective>,
+    /// Timings that workers keep.
+    pub workers: WorkerTimings,
+    /// Limits of the key-value store.
+    #[serde(rename = "state")]
+    pub store: StoreLimits,
+    /// Limits of the cloud provider's API.
+    pub cloud: CloudLimits,
+    /// Limits of each controller process.
+    pub limits: ProcessLimits,
+}
+
+/// A team's quota: what it is guaranteed, and what it may use at most.
+#[derive(Debug, Clone, PartialEq, Deserialize)]
+pub struct Team {
+    /// Name of the team.
+    pub name: String,
+    /// Guaranteed CPUs.
+    #[serde(default)]
+    pub cpus: f64,
+    /// Maximum of CPUs.
+    #[serde(default)]
+    pub cpus_max: f64,
+    /// Guaranteed GPUs.
+    #[serde(default)]
+    pub gpus: f64,
+    /// Maximum of GPUs.
+    #[serde(default)]
+    pub gpus_max: f64,
+}
+
+/// Timings that workers keep, in seconds.
+#[derive(Debug, Clone, PartialEq, Deserialize)]
+pub struct WorkerTimings {
+    /// Time between two heartbeats of a worker.
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
+    /// Length of a worker's lease: it kills its tasks after this long without a response to
+    /// a heartbeat.
+    pub lease_s: f64,
+    /// Time after a cancellation within which the job's tasks must have stopped.
+    #[serde(rename = "cancel_s")]
+    pub cancellation_deadline_s: f64,
+    /// Time that a task of a gang waits for the others before it exits.
+    #[serde(default = "default_gang_wait_s")]
+    pub gang_wait_s: f64,
+    /// Time within which the tasks of a running gang notice that one has exited, and within
+    /// which all of them must be told to stop.
+    #[serde(default = "default_gang_peer_s")]
+    pub gang_peer_s: f64,
+}
+
+fn default_gang_wait_s() -> f64 {
+    30.0
+}
+
+fn default_gang_peer_s() -> f64 {
+    4.0
+}
+
+/// Largest heartbeat interval, as a multiple of the configured one: workers add jitter of a
+/// quarter.
+const HEARTBEAT_JITTER_FACTOR: f64 = 1.25;
+/// Time that a heartbeat may take to arrive, in seconds.
+const HEARTBEAT_LATENCY_S: f64 = 2.0;
+/// Part of the heartbeat interval after which a missing heartbeat is worth a probe.
+const PROBE_INTERVAL_FACTOR: f64 = 0.3;
+/// Minimum time without a heartbeat before a probe, in seconds.
+const PROBE_MIN_SILENCE_S: f64 = 1.5;
+
+impl WorkerTimings {
+    /// Maximum time between two heartbeats of a healthy worker, in seconds.
+    pub fn heartbeat_timeout_s(&self) -> f64 {
+        HEARTBEAT_JITTER_FACTOR * self.heartbeat_interval_s + HEARTBEAT_LATENCY_S
+    }
+
+    /// Time without a heartbeat after which the leader probes the worker, in seconds.
+    pub fn probe_after_s(&self) -> f64 {
+        PROBE_INTERVAL_FACTOR * self.heartbeat_interval_s + PROBE_MIN_SILENCE_S
+    }
+}
+
+/// Limits of the key-value store, for all controllers together.
+#[derive(Debug, Clone, PartialEq, Deserialize)]
+pub struct StoreLimits {
+    /// Maximum of requests per second.
+    pub rps: f64,
+    /// Maximum of puts and deletes per second.
+    pub write_rps: f64,
+    /// Maximum size of a value in KiB.
+    pub value_kb: f64,
+    /// Maximum of puts and deletes in a transaction.
+    pub txn_ops: usize,
+    /// Limits that will take effect at a time that is not announced.
+    #[serde(rename = "next", default)]
+    pub upcoming: Option<UpcomingStoreLimits>,
+}
+
+/// Limits of the key-value store that will take effect later. A limit that is `None` does
+/// not change.
+#[derive(Debug, Clone, Default, PartialEq, Deserialize)]
+#[serde(default)]
+pub struct UpcomingStoreLimits {
+    /// Maximum of requests per second.
+    pub rps: Option<f64>,
+    /// Maximum of puts and deletes per second.
+    pub write_rps: Option<f64>,
+    /// Maximum size of a value in KiB.
+    pub value_kb: Option<f64>,
+    /// Maximum of puts and deletes in a transaction.
+    pub txn_ops: Option<usize>,
+}
+
+impl StoreLimits {
+    /// The limits to keep: the lower one of the current and the upcoming limit, from the
+    /// start, because the time of the change is not announced.
+    pub fn lowest(&self) -> StoreLimits {
+        let upcoming = self.upcoming.clone().unwrap_or_default();
+        StoreLimits {
+            rps: upcoming.rps.map_or(self.rps, |rps| rps.min(self.rps)),
+            write_rps: upcoming.write_rps.map_or(self.write_rps, |rps| rps.min(self.write_rps)),
+            value_kb: upcoming.value_kb.map_or(self.value_kb, |size| size.min(self.value_kb)),
+            txn_ops: upcoming.txn_ops.map_or(self.txn_ops, |count| count.min(self.txn_ops)),
+            upcoming: None,
+        }
+    }
+}
+
+/// Limits of the cloud provider's API.
+#[derive(Debug, Clone, PartialEq, Deserialize)]
+pub struct CloudLimits {
+    /// Maximum of requests per second, for all controllers together.
+    pub rps: f64,
+    /// Age of the machine list when it is served, in seconds.
+    pub list_lag_s: f64,
+}
+
+/// Limits of each controller process.
+#[derive(Debug, Clone, PartialEq, Deserialize)]
+pub struct ProcessLimits {
+    /// Part of a core that it may use.
+    pub cpu_share: f64,
+    /// Memory that it may use, in MB.
+    #[serde(rename = "ram_mb")]
+    pub memory_mb: f64,
+    /// Maximum of open sockets.
+    pub max_connections: usize,
+}
--- a/crates/gladekeel-wire/src/store.rs
+++ b/crates/gladekeel-wire/src/store.rs
@@ -1,35 +1,38 @@
-//! What controllers and the state service say to each other.
+//! The key-value store's API: reads, compare-and-swap transactions, leases and watches.
+//!
+//! The store is linearizable. Its *revision* counts committed transactions; the *version*
+//! of a key is the revision at which it was last written.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A condition of a transaction: the key has this version (0: it does not exist).
+/// A precondition of a compare-and-swap transaction: the key has exactly this version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Precondition {
-    /// The key.
+    /// The key that is compared.
     #[serde(rename = "path")]
     pub key: String,
-    /// Its expected version.
+    /// The version that it must have; 0 if it must not exist.
     #[serde(rename = "entry")]
     pub version: u64,
 }
 
-/// A change of a transaction.
+/// A write of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
-    /// Store a value.
+    /// Create or overwrite a key.
     Put {
         /// The key.
         #[serde(rename = "write")]
         key: String,
         /// The value.
         value: Value,
-        /// The lease that the key hangs on, if any.
+        /// Lease that the key is attached to: the key is deleted when the lease expires.
         #[serde(rename = "mooring", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Remove a key.
+    /// Delete a key.
     Delete {
         /// The key.
         #[serde(rename = "remove")]
@@ -38,7 +41,7 @@
 }
 
 impl Write {
-    /// The key that the change is about.
+    /// The key that is written or deleted.
     pub fn key(&self) -> &str {
         match self {
             Write::Put { key, .. } | Write::Delete { key } => key,
@@ -46,28 +49,29 @@
     }
 }
 
-/// A transaction.
+/// A compare-and-swap transaction: all writes are applied if every precondition holds,
+/// and none otherwise.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions.
+    /// Versions that the keys must have.
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
-    /// Changes, made together if every condition holds.
+    /// Writes, applied together.
     pub writes: Vec<Write>,
 }
 
-/// The answer to a transaction, and the head of other answers.
+/// The response to a transaction. Other responses begin with the same revision.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TransactionResponse {
-    /// The revision.
+    /// Revision of the store when it answered; of the commit, if there was one.
     #[serde(rename = "logline", default)]
     pub revision: u64,
-    /// The keys whose condition failed.
+    /// Keys whose precondition failed; empty if the transaction was committed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed: Vec<String>,
 }
 
-/// A stored row.
+/// A key with its value and version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue {
     /// The key.
@@ -75,73 +79,73 @@
     pub key: String,
     /// The value.
     pub value: Value,
-    /// The revision of its last change.
+    /// Revision at which it was last written.
     #[serde(rename = "entry")]
     pub version: u64,
 }
 
-/// A page of rows.
+/// A page of a range read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValuePage {
-    /// The rows.
+    /// The entries, sorted by key.
     #[serde(rename = "rows")]
     pub entries: Vec<KeyValue>,
-    /// Whether there are more.
+    /// Whether another page follows.
     #[serde(rename = "truncated", default)]
     pub truncated: bool,
-    /// The revision at which they were read.
+    /// Revision at which the page was read.
     #[serde(rename = "logline")]
     pub revision: u64,
 }
 
-/// A change seen by a follower.
+/// A change that a watch delivers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
-    /// A key was stored.
+    /// A key was created or overwritten.
     Put {
         /// The key.
         #[serde(rename = "write")]
         key: String,
-        /// The value.
+        /// The new value.
         value: Value,
-        /// The revision.
+        /// Revision of the write.
         #[serde(rename = "entry")]
         version: u64,
     },
-    /// A key was removed.
+    /// A key was deleted, or expired with its lease.
     Delete {
         /// The key.
         #[serde(rename = "remove")]
         key: String,
-        /// The revision.
+        /// Revision of the deletion.
         #[serde(rename = "entry")]
         version: u64,
     },
 }
 
-/// The answer to a follow.
+/// The response to a watch: the changes since the revision that the request names.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// The revision that the events lead to.
+    /// Revision that the events lead to; the next watch starts after it.
     #[serde(rename = "logline")]
     pub revision: u64,
-    /// The changes.
+    /// Changes in the order of their revisions.
     #[serde(rename = "news", default)]
     pub events: Vec<WatchEvent>,
 }
 
-/// A request for a lease.
+/// A request to grant a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// How long it lasts without renewal.
+    /// Time to live in milliseconds: the lease expires if it is not renewed for this long.
     pub ttl_ms: u64,
 }
 
 /// A granted lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantedLease {
-    /// Its id.
+    /// Id of the lease, for renewals and [`Write::Put`].
     #[serde(rename = "mooring")]
     pub id: u64,
 }
--- a/crates/gladekeel-wire/tests/frames_37c5e95.rs
+++ b/crates/gladekeel-wire/tests/frames_37c5e95.rs
@@ -10,8 +10,8 @@
 use common::{ExpectedHeader, RecordedFrames, job, open, peer_heartbeat, write};
 use gladekeel_wire::{
     mesh::{
-        FrameHeader, FrameKind, MAX_PAYLOAD, PROTOCOL_LEVEL, PeerHeartbeat, decode_job_progress,
-        encode_job_progress,
+        FrameHeader, FrameKind, JobProgressEntry, MAX_PAYLOAD, PROTOCOL_LEVEL, PeerHeartbeat,
+        decode_job_progress, encode_job_progress,
     },
     worker::{Command, TaskState},
 };
@@ -91,8 +91,9 @@
     let bytes = FRAMES.frame("counts");
     let (_, _, payload) = open(&bytes);
     let rows = decode_job_progress(payload).expect("production's counts");
-    assert_eq!(rows, [(job("job-000412"), 0, 3), (job("job-a_b.c-9"), 0, 1)]);
-    let ours = encode_job_progress(rows.iter().map(|(id, done, running)| (id, *done, *running)));
+    let entry = |id, running| JobProgressEntry { id: job(id), done: 0, running };
+    assert_eq!(rows, [entry("job-000412", 3), entry("job-a_b.c-9", 1)]);
+    let ours = encode_job_progress(rows.iter().cloned());
     assert_eq!(ours, [payload.to_vec()]);
 }
 
--- a/crates/gladekeel-wire/tests/frames_fe9a16c.rs
+++ b/crates/gladekeel-wire/tests/frames_fe9a16c.rs
@@ -11,8 +11,8 @@
 use common::{ExpectedHeader, RecordedFrames, job, open, peer_heartbeat, write};
 use gladekeel_wire::{
     mesh::{
-        FrameHeader, FrameKind, MAX_PAYLOAD, PROTOCOL_LEVEL, PeerHeartbeat, decode_job_ids,
-        decode_job_progress, encode_job_ids, encode_job_progress,
+        FrameHeader, FrameKind, JobProgressEntry, MAX_PAYLOAD, PROTOCOL_LEVEL, PeerHeartbeat,
+        decode_job_ids, decode_job_progress, encode_job_ids, encode_job_progress,
     },
     worker::{Command, ExitCause, TaskState, TaskStatus},
 };
@@ -118,8 +118,9 @@
     let bytes = FRAMES.frame("counts");
     let (_, _, payload) = open(&bytes);
     let rows = decode_job_progress(payload).expect("counts");
-    assert_eq!(rows, [(job("job-g_2"), 0, 2), (job("job-a-3"), 0, 4), (job("job-s.4"), 0, 2)]);
-    let ours = encode_job_progress(rows.iter().map(|(id, done, running)| (id, *done, *running)));
+    let entry = |id, done, running| JobProgressEntry { id: job(id), done, running };
+    assert_eq!(rows, [entry("job-g_2", 0, 2), entry("job-a-3", 0, 4), entry("job-s.4", 0, 2)]);
+    let ours = encode_job_progress(rows.iter().cloned());
     assert_eq!(ours, [payload.to_vec()]);
 }
 
--- a/crates/gladekeel-wire/tests/job.rs
+++ b/crates/gladekeel-wire/tests/job.rs
@@ -1,6 +1,6 @@
 //! Submissions: what is accepted and what is not.
 
-use gladekeel_wire::job::{JobSpec, Priority};
+use gladekeel_wire::job::{InvalidJob, JobSpec, Priority};
 
 const GOOD: &str = r#"{"name_id":"job-000412","rig":"train","crew":"vision","build":"array",
     "urgency":"high","pieces":16,"vcpus":8.0,"gpus":1.0,"ram_gb":64.0,"pattern":"img-07",
@@ -35,3 +35,30 @@
         assert!(JobSpec::parse(text.as_bytes()).is_err(), "{text}");
     }
 }
+
+#[test]
+fn values_out_of_range_are_named_as_the_user_wrote_them() {
+    for (from, to, field) in [
+        ("\"pieces\":16", "\"pieces\":0", "pieces"),
+        ("\"vcpus\":8.0", "\"vcpus\":0", "vcpus"),
+        ("\"gpus\":1.0", "\"gpus\":-1", "gpus"),
+        ("\"ram_gb\":64.0", "\"ram_gb\":-1", "ram_gb"),
+        ("\"size_gb\":6.2", "\"size_gb\":1e10", "size_gb"),
+        ("\"reckon_s\":240.0", "\"reckon_s\":-1", "reckon_s"),
+        ("\"mark_s\":30.0", "\"mark_s\":-1", "mark_s"),
+        ("\"stow_s\":4.0", "\"stow_s\":-1", "stow_s"),
+        ("\"launch_s\":900.0", "\"launch_s\":-1", "launch_s"),
+        ("\"train\"", "\"\"", "rig"),
+        ("\"vision\"", "\"\"", "crew"),
+        ("\"img-07\"", "\"\"", "pattern"),
+        ("\"yard\":null", "\"yard\":\"\"", "yard"),
+        ("[\"g8\"]", "[\"\"]", "hulls"),
+    ] {
+        let text = GOOD.replace(from, to);
+        let error = JobSpec::parse(text.as_bytes()).unwrap_err();
+        assert!(matches!(error, InvalidJob::Field(name) if name == field), "{to}: {error}");
+        assert_eq!(error.to_string(), format!("field {field} is out of range"));
+    }
+    let error = JobSpec::parse(b"[]").unwrap_err();
+    assert_eq!(error.to_string(), "not a job: not an object");
+}
--- a/crates/gladekeel-wire/tests/settings.rs
+++ b/crates/gladekeel-wire/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file: a wrong value is named by its field.
 
-use gladekeel_wire::settings::Settings;
+use gladekeel_wire::settings::{ObjectiveKind, Settings};
 
 const GOOD: &str = r#"
     node = "n-0"
@@ -52,3 +52,22 @@
         assert!(toml::from_str::<Settings>(&GOOD.replacen(from, to, 1)).is_err(), "{to}");
     }
 }
+
+#[test]
+fn kinds_of_objectives_are_typed_and_unknown_ones_accepted() {
+    for (name, kind) in [
+        ("finished", ObjectiveKind::Completion),
+        ("wait", ObjectiveKind::Start),
+        ("deadline", ObjectiveKind::Deadline),
+        ("guarantee", ObjectiveKind::Guarantee),
+        ("later", ObjectiveKind::Other("later".to_owned())),
+        ("Wait", ObjectiveKind::Other("Wait".to_owned())),
+    ] {
+        let objectives = format!("count = 2\nobjectives = [{{ kind = \"{name}\", times = 2.0 }}]");
+        let text = GOOD.replace("count = 2", &objectives);
+        let settings: Settings = toml::from_str(&text).unwrap();
+        settings.check().unwrap();
+        let [objective] = &settings.deployment.objectives[..] else { panic!("one is named") };
+        assert_eq!((&objective.kind, objective.deadline_multiple), (&kind, Some(2.0)));
+    }
+}
--- a/crates/gladekeel-wire/tests/state.rs
+++ b/crates/gladekeel-wire/tests/store.rs
@@ -1,4 +1,4 @@
-//! The state service's JSON.
+//! The JSON of the key-value store.
 
 use gladekeel_wire::store::{WatchEvent, WatchResponse, Write};
 use serde_json::Value;
--- a/crates/gladekeel-wire/tests/limits_to_come.rs
+++ b/crates/gladekeel-wire/tests/upcoming_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that the state service will have are kept to from the first moment.
+//! Upcoming limits of the store are kept from the start.
 
 use gladekeel_wire::settings::Settings;
 
@@ -17,7 +17,7 @@
 "#;
 
 #[test]
-fn limits_to_come_are_kept_to_at_once() {
+fn upcoming_limits_are_kept_from_the_start() {
     let settings = |next: &str| {
         let text = GOOD.replace("txn_ops = 8", &format!("txn_ops = 8{next}"));
         toml::from_str::<Settings>(&text).unwrap().deployment.store
--- a/crates/gladekeel-wire/tests/worker.rs
+++ b/crates/gladekeel-wire/tests/worker.rs
@@ -1,17 +1,17 @@
-//! Workers' reports and commands have the names of the protocol.
+//! Heartbeats and commands: their JSON is the one of the protocol.
 
 use gladekeel_wire::worker::{Command, ExitCause, Heartbeat};
 
 #[test]
-fn reports_and_commands_have_the_protocols_names() {
-    let report: Heartbeat = serde_json::from_str(
+fn heartbeats_and_commands_have_the_json_names_of_the_protocol() {
+    let heartbeat: Heartbeat = serde_json::from_str(
         r#"{"berth":"n-000231","endpoint":"10.1.0.232:9000","hull":"g8","yard":"a","driftwood":true,
          "watch":1,"tally":88,"helm":41,"warning_s":null,"later":true,
          "pieces":[{"piece":"job-000412/3","try":2,"trim":"running"},
           {"piece":"job-000398/0","try":1,"trim":"exited","cause":"done"}]}"#,
     )
     .unwrap();
-    assert_eq!(report.tasks[1].cause, Some(ExitCause::Done));
+    assert_eq!(heartbeat.tasks[1].cause, Some(ExitCause::Done));
     let stop = Command::Stop { task: "job-1/1".parse().unwrap(), attempt: 1, grace_s: 10.0 };
     assert_eq!(
         serde_json::to_string(&stop).unwrap(),
--- a/crates/gladekeel/src/client.rs
+++ b/crates/gladekeel/src/client.rs
@@ -221,12 +221,12 @@
         let mut text = format!(
             "node {}, state service reached {}\nleader {}, token {}\n",
             status.node,
-            seconds(status.contact_s),
+            seconds(status.store_contact_age_s),
             status.leader.as_deref().unwrap_or("none"),
             status.token
         );
         for node in status.nodes {
-            text += &format!("node {}, heard {}\n", node.node, seconds(node.heard_s));
+            text += &format!("node {}, heard {}\n", node.node, seconds(node.last_heartbeat_age_s));
         }
         for team in status.teams {
             text += &format!(
