--- a/crates/gladekeel-controller/src/node/metrics.rs
+++ b/crates/gladekeel-controller/src/node/metrics.rs
@@ -8,7 +8,7 @@
     http_api::Route,
     leader::Leader,
     prometheus::{DurationHistogram, Exposition, MetricType},
-    socket_budget::SocketUse,
+    socket_budget::SocketUsage,
 };
 use std::collections::{BTreeMap, HashMap};
 
@@ -54,19 +54,19 @@
 #[derive(Debug, Default)]
 pub(super) struct ProcessMetrics {
     scheduling_cycles: DurationHistogram,
-    sockets: SocketUse,
+    sockets: SocketUsage,
 }
 
 impl ProcessMetrics {
     fn expose(&self, max_sockets: usize, out: &mut Exposition) {
         expose_scheduling_cycles(&self.scheduling_cycles, out);
-        let SocketUse { users, workers, unknown, calls, mesh } = self.sockets;
+        let SocketUsage { users, workers, unclassified, worker_calls, peers } = self.sockets;
         let uses = [
             ("users", users),
             ("workers", workers),
-            ("unknown", unknown),
-            ("calls", calls),
-            ("mesh", mesh),
+            ("unknown", unclassified),
+            ("calls", worker_calls),
+            ("mesh", peers),
         ];
         let samples = uses.map(|(name, count)| (name, count as f64));
         out.family(MetricType::Gauge, "sockets", "Connections held, by use.", "use", samples);
@@ -93,7 +93,7 @@
     }
 
     /// Records how many connections the process holds.
-    pub fn record_sockets(&mut self, sockets: SocketUse) {
+    pub fn record_sockets(&mut self, sockets: SocketUsage) {
         self.process_metrics.sockets = sockets;
     }
 
--- /dev/null
+++ b/crates/gladekeel-controller/src/shell/tick_loop.rs
@@ -0,0 +1,60 @@
+//! The clock: ticks, and the wait at the start until the leader is known.
+
+use super::Shell;
+use crate::{node::Event, socket_budget::SocketBudget};
+use gladekeel_http::ConnectionCounts;
+use std::{
+    rc::Rc,
+    time::{Duration, Instant},
+};
+use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
+
+/// Time between two ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum time after the start of the process before it serves, whether or not the leader
+/// is known.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Lets the node act on the time that passes, and keeps the worker pool within what the
+/// inbound connections leave of the socket budget.
+pub(super) async fn run(shell: Rc<Shell>, sockets: SocketBudget, inbound: Rc<ConnectionCounts>) {
+    let mut ticks = interval(TICK_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    loop {
+        ticks.tick().await;
+        shell.calls.resize_worker_pool(sockets.worker_calls_beside(inbound.open()));
+        shell.node.borrow_mut().record_sockets(shell.socket_usage(&inbound));
+        tick(&shell);
+    }
+}
+
+/// Handles a tick, and records its duration if it ran a scheduling cycle.
+fn tick(shell: &Rc<Shell>) {
+    let cycles_before = scheduling_cycles(shell);
+    let start = Instant::now();
+    shell.handle(Event::Tick);
+    let cycles_after = scheduling_cycles(shell);
+    if cycles_after.is_some() && cycles_after != cycles_before {
+        shell.node.borrow_mut().record_scheduling_cycle(start.elapsed().as_secs_f64());
+    }
+}
+
+/// Scheduling cycles since this node began to lead; `None` unless it leads.
+fn scheduling_cycles(shell: &Shell) -> Option<u64> {
+    shell.node.borrow().leader().map(|leader| leader.counters().scheduling_cycles)
+}
+
+/// Waits until the node has read the store and knows the leader, for [`SETTLE_TIMEOUT`] at
+/// most. After all controllers have restarted, thousands of workers connect at once; serving
+/// them first would keep a small processor busy for seconds before there is a leader. They
+/// wait in the listener's backlog.
+pub(super) async fn wait_until_settled(shell: &Shell) {
+    let settled = async {
+        while !shell.node.borrow().is_settled(shell.now_s()) {
+            sleep(TICK_INTERVAL).await;
+        }
+    };
+    if timeout(SETTLE_TIMEOUT, settled).await.is_err() {
+        tracing::info!("serving before the leader is known");
+    }
+}
--- a/crates/gladekeel-controller/tests/metrics.rs
+++ b/crates/gladekeel-controller/tests/metrics.rs
@@ -2,7 +2,7 @@
 
 use gladekeel_controller::{
     node::{Action, Event, Node},
-    socket_budget::SocketUse,
+    socket_budget::SocketUsage,
 };
 
 const SETTINGS: &str = r#"
@@ -36,7 +36,13 @@
     for seconds in [0.25, 0.5, 0.25] {
         node.record_scheduling_cycle(seconds);
     }
-    node.record_sockets(SocketUse { users: 3, workers: 40, unknown: 1, calls: 5, mesh: 4 });
+    node.record_sockets(SocketUsage {
+        users: 3,
+        workers: 40,
+        unclassified: 1,
+        worker_calls: 5,
+        peers: 4,
+    });
     let text = metrics(&mut node);
     for line in [
         "# TYPE gladekeel_round_seconds summary",
