--- /dev/null
+++ b/crates/gladekeel/src/service.rs
@@ -0,0 +1,78 @@
+//! Calls to a running service.
+
+use crate::{arguments::ServiceArguments, error::CommandError};
+use gladekeel_http::{Client, ClientError, Reply};
+use gladekeel_wire::job::ErrorBody;
+use serde::de::DeserializeOwned;
+use std::{net::SocketAddr, time::Duration};
+
+/// Maximum time for a response.
+const TIMEOUT: Duration = Duration::from_secs(8);
+
+/// A call to the service.
+pub struct Call<'a> {
+    pub method: &'static str,
+    pub path: &'a str,
+    pub body: &'a [u8],
+}
+
+impl Call<'_> {
+    pub fn get(path: &str) -> Call<'_> {
+        Call { method: "GET", path, body: b"" }
+    }
+}
+
+impl ServiceArguments {
+    /// Calls the service and parses the JSON of its response.
+    pub fn fetch<T: DeserializeOwned>(&self, call: &Call<'_>) -> Result<T, CommandError> {
+        self.parse(&self.send(call)?)
+    }
+
+    /// Calls the service and prints the response: the JSON itself, or what `format` makes of it.
+    pub fn print<T: DeserializeOwned>(
+        &self,
+        call: &Call<'_>,
+        format: impl FnOnce(T) -> String,
+    ) -> Result<(), CommandError> {
+        let reply = self.send(call)?;
+        let text = if self.json {
+            String::from_utf8_lossy(&reply.body).into_owned()
+        } else {
+            format(self.parse(&reply)?)
+        };
+        println!("{}", text.trim_end());
+        Ok(())
+    }
+
+    fn send(&self, call: &Call<'_>) -> Result<Reply, CommandError> {
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .map_err(CommandError::Runtime)?;
+        let client = Client::new(self.server, 0);
+        let reply = runtime
+            .block_on(client.send(call.method, call.path, call.body, TIMEOUT))
+            .map_err(|error| no_response(self.server, error))?;
+        if reply.status < 300 { Ok(reply) } else { Err(refused(&reply)) }
+    }
+
+    fn parse<T: DeserializeOwned>(&self, reply: &Reply) -> Result<T, CommandError> {
+        serde_json::from_slice(&reply.body)
+            .map_err(|source| CommandError::UnreadableResponse { server: self.server, source })
+    }
+}
+
+fn no_response(server: SocketAddr, error: ClientError) -> CommandError {
+    match error {
+        ClientError::NotSent(source) => CommandError::Unreachable { server, source },
+        ClientError::NoAnswer(source) => CommandError::NoResponse { server, source },
+    }
+}
+
+fn refused(reply: &Reply) -> CommandError {
+    let message = match serde_json::from_slice::<ErrorBody>(&reply.body) {
+        Ok(body) => body.error,
+        Err(_) => String::from_utf8_lossy(&reply.body).into_owned(),
+    };
+    CommandError::Refused { status: reply.status, message: message.trim().to_owned() }
+}
