--- a/crates/gladekeel-controller/src/keys.rs
+++ b/crates/gladekeel-controller/src/keys.rs
@@ -1,40 +1,41 @@
-//! The layout of the state service's keys and the values behind them.
+//! The keys of the store, and what each holds.
 //!
 //! | key | value | written by |
 //! | --- | --- | --- |
-//! | `gk/job/<id>` | the job's description and when it was accepted | any node, once |
-//! | `gk/fate/<id>` | `"done"` or `"aborted"` | the leader, or any node for a cancellation; once |
-//! | `gk/leader` | who leads; its version is the fencing token | the leader |
-//! | `gk/types` | machine types | the leader |
-//! | `gk/types/<n>` | those that `gk/types` has no room for | the leader |
-//! | `gk/options` | the operators' settings | any node, for an operator |
-//! | `gk/drain/<machine>` | the machine is to be drained | any node, for an operator |
-//! | `gl/<slot>` | a segment of the leader's log, see [`crate::assignment_log`] | the leader |
+//! | `gk/job/<id>` | a [`JobSpec`](gladekeel_wire::job::JobSpec) with [`ACCEPTED_AT`] | any node, once; removed by the leader |
+//! | `gk/fate/<id>` | a [`JobState`](gladekeel_wire::job::JobState): `"done"` or `"aborted"` | the leader, or any node for a cancellation; once |
+//! | `gk/leader` | a [`LeaderRecord`]; its version is the fencing token | the leader, on its lease |
+//! | `gk/types` | machine types, see [`crate::stored_types`] | the leader |
+//! | `gk/types/<n>` | the machine types that `gk/types` has no room for | the leader |
+//! | `gk/options` | runtime settings by name | any node, for an operator |
+//! | `gk/drain/<machine>` | `true`: the machine is to be drained | any node, for an operator |
+//! | `gl/<slot>` | a segment, see [`crate::assignment_log`] | the leader |
 //!
-//! Every node follows `gk/`. Only a node that begins to lead reads `gl/`.
+//! Every node replicates `gk/`. Only a node that begins to lead reads `gl/`. The keys are shared
+//! with earlier versions that run side by side with this one.
 
 use gladekeel_wire::JobId;
 use serde::{Deserialize, Serialize};
 
-/// Prefix of all keys.
+/// Prefix of the keys that every node replicates.
 pub const REPLICATED_PREFIX: &str = "gk/";
-/// Who leads.
+/// The key of the leader's record.
 pub const LEADER: &str = "gk/leader";
-/// Machine types.
+/// The key of the first part of the machine types, and the prefix of the others.
 pub const MACHINE_TYPES: &str = "gk/types";
-/// The operators' settings.
+/// The key of the runtime settings.
 pub const OPTIONS: &str = "gk/options";
-/// Prefix of machines to drain.
+/// Prefix of drain orders.
 pub const DRAIN_PREFIX: &str = "gk/drain/";
 /// Prefix of jobs.
 pub const JOB_PREFIX: &str = "gk/job/";
-/// Field of a stored job: the time of day at which it was accepted.
+/// Field of a stored job: when it was accepted, as a time of day in seconds.
 pub const ACCEPTED_AT: &str = "accepted_at";
 /// Prefix of final states.
 pub const FINAL_STATE_PREFIX: &str = "gk/fate/";
-/// Prefix of the log's segments.
+/// Prefix of the slots of the assignment log.
 pub const ASSIGNMENT_LOG_PREFIX: &str = "gl/";
-/// Prefix of the pages in which the first version kept assignments.
+/// Prefix under which the first version kept assignments.
 pub const LEGACY_ASSIGNMENTS_PREFIX: &str = "gk/assign/";
 
 /// The key of a job.
@@ -47,23 +48,23 @@
     format!("{FINAL_STATE_PREFIX}{id}")
 }
 
-/// The key that says that a machine is to be drained.
+/// The key of a machine's drain order.
 pub fn drain(machine: &str) -> String {
     format!("{DRAIN_PREFIX}{machine}")
 }
 
-/// The key of a part of the machine types: the first one stands alone where it can.
+/// The key of a part of the machine types. Part 0 is all of them if they fit.
 pub fn machine_types_part(part: u32) -> String {
     if part == 0 { MACHINE_TYPES.to_owned() } else { format!("{MACHINE_TYPES}/{part}") }
 }
 
-/// The part of the machine types that a key holds, if it does.
+/// The part of the machine types that a key holds, if it holds any.
 pub fn parse_machine_types_part(key: &str) -> Option<u32> {
     let rest = key.strip_prefix(MACHINE_TYPES)?;
     if rest.is_empty() { Some(0) } else { rest.strip_prefix('/')?.parse().ok() }
 }
 
-/// The key of a slot of the log.
+/// The key of a slot of the assignment log.
 pub fn log(slot: u32) -> String {
     format!("{ASSIGNMENT_LOG_PREFIX}{slot:06}")
 }
@@ -73,7 +74,7 @@
 pub struct LeaderRecord {
     /// The node's name.
     pub node: String,
-    /// Its incarnation: a node that was restarted is another candidate.
+    /// The node's incarnation: a node that was restarted is another candidate.
     #[serde(rename = "run")]
     pub incarnation: u64,
 }
--- a/crates/gladekeel-controller/src/store_view.rs
+++ b/crates/gladekeel-controller/src/store_view.rs
@@ -1,4 +1,9 @@
-//! What the store says, in types: the view that every node has.
+//! The typed view of the store that every node has.
+//!
+//! [`gladekeel_store::Replica`] says which keys have changed; [`StoreView::apply`] puts each
+//! change into the field for its kind of key. The view is as old as the last read of the store:
+//! who needs a current one reads the store first. A value that this version cannot read is never
+//! taken for an absent one ("What cannot be read" in `docs/safety.md`).
 
 use crate::{
     keys::{self, LeaderRecord},
@@ -19,80 +24,76 @@
 /// A job as the store has it.
 #[derive(Debug, Clone)]
 pub struct StoredJob {
-    /// Its description.
+    /// What its user submitted.
     pub spec: Rc<JobSpec>,
-    /// Version of its key; orders jobs by acceptance.
+    /// The version of its key. Jobs were accepted in the order of their versions.
     pub version: u64,
-    /// Time of day at which it was accepted, in seconds.
+    /// When it was accepted, as a time of day in seconds.
     pub accepted_at: Option<f64>,
 }
 
-/// The store, typed.
+/// The content of the store that all nodes replicate.
 #[derive(Debug, Default)]
 pub struct StoreView {
-    /// Jobs that are not cleared away.
+    /// Jobs whose keys the leader has not removed yet.
     pub jobs: BTreeMap<JobId, StoredJob>,
-    /// Final states, for ever.
+    /// Final states of all jobs ever. They never change.
     pub final_states: HashMap<JobId, JobState>,
-    /// Jobs that are cancelled and not cleared away: the last time at which that was not
-    /// so yet, on this node's clock. Their users cannot have been told earlier.
+    /// Cancelled jobs in `jobs`: a time on this node's clock at which each was not cancelled yet,
+    /// as late as known. Their users cannot have been told of the cancellation earlier.
     pub cancelled_no_earlier_than: HashMap<JobId, f64>,
-    /// Jobs of which another controller told that it has committed their cancellation,
-    /// and when: it ends work, starts nothing and makes no user's answer.
+    /// Jobs whose cancellation another controller has committed, as it says, and when it said so
+    /// on this node's clock. Their tasks are stopped and none is started, but no user is answered
+    /// by it.
     pub pending_cancellations: HashMap<JobId, f64>,
-    /// Finished and running tasks as the leader last told, for display.
+    /// Progress as the leader last published it, for display only.
     pub job_progress: BTreeMap<JobId, JobProgress>,
-    /// Whether the store holds assignments in a layout that this version cannot read.
+    /// Whether the store holds assignments in the layout of the first version, which this one
+    /// cannot read.
     pub has_legacy_assignments: bool,
-    /// Keys of jobs and final states whose values cannot be read. As long as there are any,
-    /// nothing is placed and nothing is said of these jobs.
+    /// Keys of jobs and final states whose values cannot be read. While there are any, nothing is
+    /// scheduled, and users who ask for these jobs get no state.
     pub unreadable: BTreeSet<String>,
-    /// Who leads, and the token.
+    /// The leader, and the version of its key: the fencing token.
     pub leader: Option<(LeaderRecord, u64)>,
-    /// Highest token ever seen.
+    /// The highest fencing token ever seen.
     pub highest_token: u64,
     /// Machine types.
     pub machine_types: StoredTypes,
-    /// The operators' settings.
+    /// Runtime settings that operators have changed, by name.
     pub options: BTreeMap<String, f64>,
-    /// Version of their key.
+    /// The version of the key of `options`; 0 if it does not exist.
     pub options_version: u64,
-    /// Machines to drain, with versions.
+    /// Machines that operators want drained, with the versions of the keys.
     pub drain_orders: BTreeMap<String, u64>,
 }
 
-/// How many of a job's tasks are finished and running, for display.
+/// How many of a job's tasks are done and running.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobProgress {
-    /// Finished.
+    /// Tasks that have completed.
     pub done: u32,
-    /// On machines.
+    /// Tasks on machines.
     pub running: u32,
 }
 
-/// What a change was about.
+/// What a change of the store concerns.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// A new job.
+    /// A job was added or removed.
     Job(JobId),
-    /// A final state.
+    /// A job has a final state.
     FinalState(JobId),
-    /// The operators' settings.
+    /// The runtime settings.
     Options,
-    /// A machine that is to be drained, or no longer.
+    /// A machine is to be drained, or no longer.
     Drain(String),
-    /// Anything else.
+    /// Anything that needs no reaction.
     Other,
 }
 
-fn read<T: DeserializeOwned>(key: &str, value: &Value) -> Option<T> {
-    T::deserialize(value)
-        .inspect_err(|error| tracing::error!(key, %error, "unreadable value in the store"))
-        .ok()
-}
-
 impl StoreView {
-    /// Whether a job's tasks must end, as far as this node knows.
+    /// Whether a job's tasks must stop, as far as this node knows.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
         self.final_states.get(id) == Some(&JobState::Cancelled)
             || self.pending_cancellations.contains_key(id)
@@ -105,77 +106,115 @@
                 || self.unreadable.contains(&keys::final_state(id)))
     }
 
-    /// Reads the value behind a key, if there is one, and remembers whether that failed.
-    fn read_or_note<T: DeserializeOwned>(&mut self, change: &Change) -> Option<T> {
-        let value = change.current.as_ref().map(|(value, _)| read(&change.key, value));
-        if matches!(value, Some(None)) {
-            self.unreadable.insert(change.key.clone());
+    /// Applies a change that was made after the time `made_after` on this node's clock.
+    pub fn apply(&mut self, change: &Change, made_after: f64) -> ChangeKind {
+        let key = change.key.as_str();
+        if let Some(id) = key.strip_prefix(keys::JOB_PREFIX) {
+            self.apply_job(id, change)
+        } else if let Some(id) = key.strip_prefix(keys::FINAL_STATE_PREFIX) {
+            self.apply_final_state(id, change, made_after)
+        } else if let Some(machine) = key.strip_prefix(keys::DRAIN_PREFIX) {
+            self.apply_drain_order(machine, change)
+        } else if let Some(part) = keys::parse_machine_types_part(key) {
+            self.apply_machine_types(part, change)
+        } else if key.starts_with(keys::LEGACY_ASSIGNMENTS_PREFIX) {
+            self.apply_legacy_assignments(change)
+        } else if key == keys::LEADER {
+            self.apply_leader(change)
+        } else if key == keys::OPTIONS {
+            self.apply_options(change)
         } else {
-            self.unreadable.remove(&change.key);
+            ChangeKind::Other
         }
-        value.flatten()
     }
 
-    /// Takes over a change of the replica that was made after the time `after`.
-    pub fn apply(&mut self, change: &Change, after: f64) -> ChangeKind {
-        let key = change.key.as_str();
-        if let Some(name) = key.strip_prefix(keys::JOB_PREFIX) {
-            let Ok(id) = name.parse::<JobId>() else { return ChangeKind::Other };
-            let spec = self.read_or_note::<JobSpec>(change);
-            let stored =
-                change.current.as_ref().zip(spec).map(|((value, version), spec)| StoredJob {
-                    spec: Rc::new(spec),
-                    version: *version,
-                    accepted_at: value.get(keys::ACCEPTED_AT).and_then(Value::as_f64),
-                });
-            if let Some(stored) = stored {
-                self.jobs.insert(id.clone(), stored);
-            } else if change.current.is_none() {
+    fn apply_job(&mut self, id: &str, change: &Change) -> ChangeKind {
+        let Ok(id) = id.parse::<JobId>() else { return ChangeKind::Other };
+        let spec = self.read_or_mark_unreadable::<JobSpec>(change);
+        match (&change.current, spec) {
+            (Some((value, version)), Some(spec)) => {
+                let accepted_at = value.get(keys::ACCEPTED_AT).and_then(Value::as_f64);
+                let job = StoredJob { spec: Rc::new(spec), version: *version, accepted_at };
+                self.jobs.insert(id.clone(), job);
+            }
+            (Some(_), None) => {}
+            (None, _) => {
                 self.cancelled_no_earlier_than.remove(&id);
                 self.pending_cancellations.remove(&id);
                 self.jobs.remove(&id);
             }
-            return ChangeKind::Job(id);
         }
-        if let Some(name) = key.strip_prefix(keys::FINAL_STATE_PREFIX) {
-            let Ok(id) = name.parse::<JobId>() else { return ChangeKind::Other };
-            if let Some(state) = self.read_or_note::<JobState>(change) {
-                // The first final state wins, for ever.
-                let first = *self.final_states.entry(id.clone()).or_insert(state);
-                if first == JobState::Cancelled && self.jobs.contains_key(&id) {
-                    self.cancelled_no_earlier_than.entry(id.clone()).or_insert(after);
-                }
-                self.job_progress.remove(&id);
+        ChangeKind::Job(id)
+    }
+
+    fn apply_final_state(&mut self, id: &str, change: &Change, made_after: f64) -> ChangeKind {
+        let Ok(id) = id.parse::<JobId>() else { return ChangeKind::Other };
+        if let Some(state) = self.read_or_mark_unreadable::<JobState>(change) {
+            // The first final state stands for ever.
+            let first = *self.final_states.entry(id.clone()).or_insert(state);
+            if first == JobState::Cancelled && self.jobs.contains_key(&id) {
+                self.cancelled_no_earlier_than.entry(id.clone()).or_insert(made_after);
             }
-            return ChangeKind::FinalState(id);
-        }
-        if key.starts_with(keys::LEGACY_ASSIGNMENTS_PREFIX) {
-            self.has_legacy_assignments |= change.current.is_some();
-        } else if key == keys::LEADER {
-            self.leader = change
-                .current
-                .as_ref()
-                .and_then(|(value, version)| Some((read(key, value)?, *version)));
-            self.highest_token =
-                self.highest_token.max(self.leader.as_ref().map_or(0, |(_, token)| *token));
-        } else if let Some(part) = keys::parse_machine_types_part(key) {
-            let stored =
-                change.current.as_ref().map(|(value, version)| (read(key, value), *version));
-            self.machine_types.apply(part, stored);
-        }
-        if key == keys::OPTIONS {
-            let now = change.current.as_ref();
-            self.options = now.and_then(|(value, _)| read(key, value)).unwrap_or_default();
-            self.options_version = now.map_or(0, |(_, version)| *version);
-            return ChangeKind::Options;
-        }
-        if let Some(machine) = key.strip_prefix(keys::DRAIN_PREFIX) {
-            match &change.current {
-                Some((_, version)) => self.drain_orders.insert(machine.to_owned(), *version),
-                None => self.drain_orders.remove(machine),
-            };
-            return ChangeKind::Drain(machine.to_owned());
+            self.job_progress.remove(&id);
         }
+        ChangeKind::FinalState(id)
+    }
+
+    fn apply_drain_order(&mut self, machine: &str, change: &Change) -> ChangeKind {
+        match &change.current {
+            Some((_, version)) => self.drain_orders.insert(machine.to_owned(), *version),
+            None => self.drain_orders.remove(machine),
+        };
+        ChangeKind::Drain(machine.to_owned())
+    }
+
+    fn apply_machine_types(&mut self, part: u32, change: &Change) -> ChangeKind {
+        let stored = change.current.as_ref();
+        let stored = stored.map(|(value, version)| (read(&change.key, value), *version));
+        self.machine_types.apply(part, stored);
+        ChangeKind::Other
+    }
+
+    /// A store that once had such assignments counts as having them from then on.
+    fn apply_legacy_assignments(&mut self, change: &Change) -> ChangeKind {
+        self.has_legacy_assignments |= change.current.is_some();
         ChangeKind::Other
     }
+
+    fn apply_leader(&mut self, change: &Change) -> ChangeKind {
+        let current = change.current.as_ref();
+        self.leader =
+            current.and_then(|(value, version)| Some((read(&change.key, value)?, *version)));
+        let token = self.leader.as_ref().map_or(0, |(_, token)| *token);
+        self.highest_token = self.highest_token.max(token);
+        ChangeKind::Other
+    }
+
+    fn apply_options(&mut self, change: &Change) -> ChangeKind {
+        let current = change.current.as_ref();
+        self.options = current.and_then(|(value, _)| read(&change.key, value)).unwrap_or_default();
+        self.options_version = current.map_or(0, |(_, version)| *version);
+        ChangeKind::Options
+    }
+
+    /// Reads the changed value, if there is one, and remembers whether that failed.
+    fn read_or_mark_unreadable<T: DeserializeOwned>(&mut self, change: &Change) -> Option<T> {
+        let Some((value, _)) = &change.current else {
+            self.unreadable.remove(&change.key);
+            return None;
+        };
+        let read = read(&change.key, value);
+        if read.is_some() {
+            self.unreadable.remove(&change.key);
+        } else {
+            self.unreadable.insert(change.key.clone());
+        }
+        read
+    }
+}
+
+fn read<T: DeserializeOwned>(key: &str, value: &Value) -> Option<T> {
+    T::deserialize(value)
+        .inspect_err(|error| tracing::error!(key, %error, "stored value unreadable"))
+        .ok()
 }
--- a/crates/gladekeel-controller/src/stored_types.rs
+++ b/crates/gladekeel-controller/src/stored_types.rs
@@ -1,64 +1,90 @@
-//! Machine types as the store holds them: in one value, or in several where the limit of a
-//! value is too small for all. Versions before this one know the first value only; they
-//! could not have written more.
+//! Machine types as the store holds them: in one value, or in several parts if they exceed the
+//! limit of a value.
+//!
+//! The leader splits them, and every node puts the parts together. The types count as unknown
+//! until every part can be read: a node that knew only some of them would reject jobs that fit
+//! the others. Earlier versions read part 0 only; they wrote nothing that needed more.
 
 use gladekeel_wire::cloud::{MachineType, MachineTypes};
 use std::{collections::BTreeMap, rc::Rc};
 
-/// Bytes of a value around the types in it.
-const AROUND_TYPES: usize = 32;
+/// Upper bound of a part's bytes around the types in it.
+const PART_OVERHEAD_BYTES: usize = 32;
+/// Bytes between two types in a part.
+const SEPARATOR_BYTES: usize = 1;
 
-/// The parts that were read, and all types together.
+/// A part as it is stored.
+#[derive(Debug)]
+struct StoredPart {
+    /// None if this version cannot read the value.
+    types: Option<MachineTypes>,
+    /// The version of its key.
+    version: u64,
+}
+
+/// The parts that the store holds, and all machine types together.
 #[derive(Debug, Default)]
 pub struct StoredTypes {
-    /// By number; none where a part cannot be read.
-    parts: BTreeMap<u32, (Option<MachineTypes>, u64)>,
+    parts: BTreeMap<u32, StoredPart>,
     all: Option<Rc<MachineTypes>>,
 }
 
 impl StoredTypes {
-    /// All types, if every part could be read.
+    /// All machine types, once there is a first part and every part can be read.
     pub fn all(&self) -> Option<&MachineTypes> {
         self.all.as_deref()
     }
 
     /// The versions of the parts' keys.
     pub fn versions(&self) -> BTreeMap<u32, u64> {
-        self.parts.iter().map(|(part, (_, version))| (*part, *version)).collect()
+        self.parts.iter().map(|(number, part)| (*number, part.version)).collect()
     }
 
-    /// Takes over a part as it is now stored, or that there is none.
-    pub fn apply(&mut self, part: u32, stored: Option<(Option<MachineTypes>, u64)>) {
+    /// Applies a change of a part: its types, which are none if they cannot be read, and its
+    /// version; or none if its key is gone.
+    pub fn apply(&mut self, number: u32, stored: Option<(Option<MachineTypes>, u64)>) {
         match stored {
-            Some(stored) => self.parts.insert(part, stored),
-            None => self.parts.remove(&part),
-        };
-        let has_first = self.parts.contains_key(&0);
-        let parts = self.parts.values().map(|(types, _)| Some(types.as_ref()?.types.clone()));
-        let parts = parts.collect::<Option<Vec<Vec<MachineType>>>>();
-        self.all = parts
-            .filter(|_| has_first)
-            .map(|parts| Rc::new(MachineTypes { types: parts.concat() }));
+            Some((types, version)) => {
+                self.parts.insert(number, StoredPart { types, version });
+            }
+            None => {
+                self.parts.remove(&number);
+            }
+        }
+        self.all = self.join().map(Rc::new);
+    }
+
+    fn join(&self) -> Option<MachineTypes> {
+        if !self.parts.contains_key(&0) {
+            return None;
+        }
+        let mut types = Vec::new();
+        for part in self.parts.values() {
+            types.extend_from_slice(&part.types.as_ref()?.types);
+        }
+        Some(MachineTypes { types })
     }
 }
 
-/// Divides types into parts of at most so many bytes each, in their order. There is one
-/// part at least, and one type in each.
-pub fn split(types: &MachineTypes, most_bytes: usize) -> Vec<MachineTypes> {
-    let mut parts = vec![MachineTypes { types: Vec::new() }];
-    let mut bytes = AROUND_TYPES;
+/// Splits machine types into parts of at most `max_bytes` each, in their order. There is at
+/// least one part, and a type that is larger than the limit is a part of its own.
+pub fn split(types: &MachineTypes, max_bytes: usize) -> Vec<MachineTypes> {
+    let mut parts = Vec::new();
+    let mut part = Vec::new();
+    let mut part_bytes = PART_OVERHEAD_BYTES;
     for machine_type in &types.types {
-        let json = serde_json::to_string(machine_type).expect("wire types always serialise");
-        let more = json.len() + 1;
-        let is_full = bytes + more > most_bytes;
-        let last = parts.last_mut().expect("there is one at least");
-        if is_full && !last.types.is_empty() {
-            parts.push(MachineTypes { types: vec![machine_type.clone()] });
-            bytes = AROUND_TYPES + more;
-        } else {
-            last.types.push(machine_type.clone());
-            bytes += more;
+        let type_bytes = json_bytes(machine_type) + SEPARATOR_BYTES;
+        if part_bytes + type_bytes > max_bytes && !part.is_empty() {
+            parts.push(MachineTypes { types: std::mem::take(&mut part) });
+            part_bytes = PART_OVERHEAD_BYTES;
         }
+        part.push(machine_type.clone());
+        part_bytes += type_bytes;
     }
+    parts.push(MachineTypes { types: part });
     parts
 }
+
+fn json_bytes(machine_type: &MachineType) -> usize {
+    serde_json::to_string(machine_type).expect("wire types always serialise").len()
+}
