--- /dev/null
+++ b/crates/gladekeel-controller/src/leader/assignment_log/commit.rs
@@ -0,0 +1,196 @@
+//! Sending the leader's transactions, and what their outcomes change.
+//!
+//! The leader's picture follows what is committed, never what was only sent. A transaction
+//! without an outcome may be executed at any later time: the leader then asks for a new token,
+//! which makes it fail if it has not been executed by then, and replays the log.
+
+use super::writer::{CommitMarker, InFlightSegment, InFlightTransaction, LeaderRecords};
+use crate::{
+    assignment_log::AttemptOutcome,
+    keys,
+    leader::{
+        AssignmentPhase, AttemptId, Job, Leader, StopReason, token_renewal::TokenRenewalReason,
+    },
+};
+use gladekeel_sched::JobIdx;
+use gladekeel_store::{StoreOutcome, TokenBucket};
+use gladekeel_wire::{job::JobState, store::Transaction};
+use std::collections::BTreeSet;
+
+impl Leader {
+    /// The next transaction, if one is due. None is as long as a new token is awaited.
+    pub(in crate::leader) fn build_commit(
+        &mut self,
+        now: f64,
+        budget: &mut TokenBucket,
+    ) -> Option<Transaction> {
+        if self.token_renewal.is_required() {
+            return None;
+        }
+        let records = LeaderRecords {
+            jobs: &self.jobs,
+            job_names: &self.job_names,
+            machine_names: &self.cluster.machine_names,
+            attempts: &self.attempts,
+        };
+        self.log_writer.next_transaction(now, self.token, records, budget)
+    }
+
+    /// Makes the slots of the oldest segments reusable, as far as they hold no newest record.
+    pub(in crate::leader) fn reclaim_log_slots(&mut self) {
+        let records = LeaderRecords {
+            jobs: &self.jobs,
+            job_names: &self.job_names,
+            machine_names: &self.cluster.machine_names,
+            attempts: &self.attempts,
+        };
+        self.log_writer.reclaim_slots(records);
+    }
+
+    /// What to look for in the store to learn whether the transaction in flight was committed.
+    pub fn commit_marker(&self) -> Option<&CommitMarker> {
+        self.log_writer.commit_marker()
+    }
+
+    /// Applies the outcome of the transaction in flight. Returns whether the store should be read
+    /// at once.
+    pub fn commit_answered(&mut self, now: f64, outcome: &StoreOutcome) -> bool {
+        let Some(transaction) = self.log_writer.take_in_flight() else { return false };
+        match outcome {
+            StoreOutcome::Committed(revision) => {
+                self.apply_commit(now, transaction, *revision);
+                false
+            }
+            StoreOutcome::RateLimited | StoreOutcome::Unavailable => {
+                self.log_writer.roll_back(now, transaction);
+                false
+            }
+            // A commit puts nothing on a lease, so what was refused is its size: the limits are
+            // lower than the settings say.
+            StoreOutcome::LeaseNotFound => {
+                self.log_writer.roll_back_oversized(now, transaction);
+                false
+            }
+            StoreOutcome::Conflict(failed_keys) => {
+                self.log_writer.roll_back(now, transaction);
+                if !is_concurrent_user_write(failed_keys) {
+                    self.token_renewal.require(TokenRenewalReason::UnexpectedConflict);
+                }
+                true
+            }
+            _ => {
+                self.token_renewal.require(TokenRenewalReason::UnansweredCommit);
+                true
+            }
+        }
+    }
+
+    fn apply_commit(&mut self, now: f64, transaction: InFlightTransaction, revision: u64) {
+        self.cluster.counters.commits += 1;
+        self.cluster.counters.writes += transaction.writes as u64;
+        for job in &transaction.completed_jobs {
+            self.final_state_committed(now, *job);
+        }
+        for job in &transaction.removed_jobs {
+            self.jobs.remove(job);
+        }
+        for segment in &transaction.segments {
+            self.segment_committed(segment);
+        }
+        for id in &transaction.proposed {
+            self.assignment_committed(*id);
+        }
+        for id in &transaction.released {
+            self.release_committed(now, *id);
+        }
+        self.log_writer.committed(transaction, revision);
+        self.reclaim_log_slots();
+    }
+
+    fn final_state_committed(&mut self, now: f64, job_idx: JobIdx) {
+        let Some(job) = self.jobs.get_mut(&job_idx) else { return };
+        job.final_state = Some(JobState::Done);
+        if self.attempts.of_job(job_idx).is_empty() {
+            self.log_writer.pending().add_removable_job(job_idx);
+        }
+        tracing::info!(
+            job = %job.id,
+            class = job.spec.class,
+            took_s = now - job.submitted_at,
+            deadline_s = job.spec.deadline_s,
+            "job done"
+        );
+    }
+
+    /// Remembers that a segment now has the newest record of what it contains.
+    fn segment_committed(&mut self, committed: &InFlightSegment) {
+        let sequence = committed.segment.sequence;
+        for id in &committed.segment.attempts {
+            self.attempts.update(*id, |attempt| attempt.segment = sequence);
+        }
+        for page in &committed.whole_pages {
+            if let Some(job) = self.jobs.get_mut(&page.job) {
+                job.progress_segments.insert(page.page, sequence);
+            }
+        }
+    }
+
+    /// An assignment is in the log: its task may be sent out, a gang's once all of it is.
+    fn assignment_committed(&mut self, id: AttemptId) {
+        let committed = self.attempts.update(id, |attempt| {
+            attempt.phase = AssignmentPhase::Committed;
+            (attempt.job, attempt.machine)
+        });
+        let Some((job_idx, machine)) = committed else { return };
+        self.commands.request_commands(machine);
+        self.cluster.counters.starts += 1;
+        let is_gang = self.jobs.get(&job_idx).is_some_and(Job::is_gang);
+        if is_gang && self.attempts.of_job(job_idx).uncommitted() == 0 {
+            self.commands.request_commands_on(self.attempts.of_job(job_idx).machines());
+        }
+    }
+
+    fn release_committed(&mut self, now: f64, id: AttemptId) {
+        let phase = self.attempts.get(id).map(|attempt| attempt.phase);
+        if let Some(AssignmentPhase::Releasing(outcome)) = phase {
+            self.remove_attempt(id, outcome, now);
+        }
+    }
+
+    /// Drops proposals that are not in flight. A gang is placed whole or not at all: the rest of
+    /// it is withdrawn too, and what is committed of it is stopped.
+    pub(in crate::leader) fn withdraw(&mut self, ids: &[AttemptId], now: f64) {
+        let mut gangs = BTreeSet::new();
+        for id in ids {
+            let Some(job_idx) = self.attempts.get(*id).map(|attempt| attempt.job) else { continue };
+            if !self.jobs.get(&job_idx).is_some_and(Job::is_gang) {
+                self.withdraw_one(*id, now);
+            } else if gangs.insert(job_idx) {
+                self.stop_gang(job_idx, StopReason::GangRestart);
+                self.withdraw_one(*id, now);
+                for other in self.attempts.ids_of_job(job_idx) {
+                    self.withdraw_one(other, now);
+                }
+            }
+        }
+    }
+
+    fn withdraw_one(&mut self, id: AttemptId, now: f64) {
+        let phase = self.attempts.get(id).map(|attempt| attempt.phase);
+        if phase == Some(AssignmentPhase::Proposed) && !self.log_writer.is_in_flight(id) {
+            self.log_writer.pending().drop_proposal(id);
+            self.remove_attempt(id, AttemptOutcome::Requeued, now);
+        }
+    }
+}
+
+/// Whether a conflict comes from keys that other nodes write for users and operators, such as a
+/// job that was cancelled meanwhile. Any other conflict means that the leader's picture of the
+/// store is wrong.
+fn is_concurrent_user_write(failed_keys: &[String]) -> bool {
+    const WRITTEN_BY_OTHERS: [&str; 3] =
+        [keys::FINAL_STATE_PREFIX, keys::JOB_PREFIX, keys::DRAIN_PREFIX];
+    let is_written_by_others =
+        |key: &String| WRITTEN_BY_OTHERS.iter().any(|prefix| key.starts_with(prefix));
+    !failed_keys.is_empty() && failed_keys.iter().all(is_written_by_others)
+}
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
@@ -1,299 +1,231 @@
-//! Putting the next transaction together: what goes into it, and into which segments.
+//! Filling a transaction with what waits, in the order of its urgency.
 
-use super::{AttemptId, InFlightTransaction, RELEASED_BYTES, SentSegment};
+use super::{
+    AssignmentLogWriter, LeaderRecords, NAMED_ASSIGNMENT_BYTES, RELEASE_ROW_BYTES,
+    batch::WriteBatch,
+    slots::{LiveSegment, ProgressPageRef},
+};
 use crate::{
-    assignment_log::{self, AssignmentRef, SegmentWriter},
+    assignment_log::{AssignmentRef, AttemptOutcome, MAX_PROGRESS_PAGE_BYTES, max_row_bytes},
     keys,
-    leader::{AssignmentPhase, Leader},
+    leader::{AssignmentPhase, AttemptId},
     stored_types,
     task_bitmap::page_of,
 };
 use gladekeel_sched::JobIdx;
-use gladekeel_wire::{
-    job::JobState,
-    store::{Precondition, Transaction, Write},
-};
-use serde::Serialize;
-
-/// Bytes of a transaction; the store takes 64 KiB.
-const MAX_TXN: usize = 56 * 1024;
-/// Segments in use from which on the oldest ones are cleaned.
-const LONG_LOG: usize = 256;
-/// Oldest segments that one transaction cleans at most.
-const CLEANED: usize = 3;
-
-/// A transaction in the making.
-pub(in crate::leader) struct WriteBatch {
-    pub txn: Transaction,
-    pub sent: InFlightTransaction,
-    segments: Vec<(SegmentWriter, SentSegment)>,
-    bytes: usize,
-    max_ops: usize,
-    /// Operations that are kept for what is added later.
-    reserved: usize,
-    capacity: usize,
+use gladekeel_wire::job::JobState;
+
+/// Live segments from which on the log is compacted.
+const COMPACTION_THRESHOLD: usize = 256;
+/// A log whose records need many segments may be this many times as long as they need.
+const COMPACTION_FACTOR: usize = 4;
+/// Segments that one transaction compacts at most.
+const MAX_COMPACTED_SEGMENTS: usize = 3;
+
+/// Adds pending writes and copies of old records to a batch.
+pub(super) struct BatchBuilder<'a> {
+    pub batch: WriteBatch,
+    pub writer: &'a AssignmentLogWriter,
+    pub records: LeaderRecords<'a>,
 }
 
-impl WriteBatch {
-    /// An empty one, for so many operations and segments of so many bytes.
-    pub fn new(max_ops: usize, capacity: usize) -> WriteBatch {
-        WriteBatch {
-            txn: Transaction::default(),
-            sent: InFlightTransaction::default(),
-            segments: Vec::new(),
-            bytes: 0,
-            max_ops,
-            reserved: 0,
-            capacity,
-        }
-    }
-
-    /// Keeps so many operations for what is added after the next call of this.
-    pub fn reserve(&mut self, ops: usize) {
-        self.reserved = ops;
-    }
-
-    /// How many more operations there may be, besides those that are kept.
-    pub fn ops_left(&self) -> usize {
-        self.max_ops.saturating_sub(self.ops() + self.reserved)
-    }
-
-    /// Whether so many more operations are allowed.
-    pub fn allows(&self, ops: usize) -> bool {
-        ops <= self.ops_left()
-    }
-
-    /// How many operations it has.
-    pub fn ops(&self) -> usize {
-        self.txn.writes.len() + self.segments.len()
-    }
-
-    fn fits(&self, ops: usize) -> bool {
-        self.allows(ops) && self.bytes + self.segments.len() * self.capacity * 4 / 3 < MAX_TXN
-    }
-
-    /// A segment with room for so many bytes more.
-    fn segment(&mut self, bytes: usize) -> Option<&mut (SegmentWriter, SentSegment)> {
-        let full =
-            self.segments.last().is_none_or(|(writer, _)| writer.size() + bytes > self.capacity);
-        if full {
-            let size = self.capacity * 4 / 3;
-            let first = self.segments.is_empty();
-            if !self.fits(1) || (!first && self.bytes + (self.segments.len() + 1) * size > MAX_TXN)
-            {
-                return None;
+impl BatchBuilder<'_> {
+    /// Adds releases until they take about `max_bytes`. Returns whether all of them fit.
+    pub fn add_releases(&mut self, max_bytes: usize) -> bool {
+        for id in &self.writer.pending.released {
+            if self.batch.contents.released.len() * RELEASE_ROW_BYTES >= max_bytes {
+                return false;
+            }
+            if !self.add_release(*id) {
+                return false;
             }
-            self.segments.push(Default::default());
         }
-        self.segments.last_mut()
-    }
-
-    pub fn guard(&mut self, key: String, version: u64) {
-        self.bytes += key.len() + 40;
-        self.txn.preconditions.push(Precondition { key, version });
-    }
-
-    fn put<T: Serialize>(&mut self, key: String, version: u64, value: &T) {
-        let value = serde_json::to_value(value).expect("stored types always serialise");
-        self.bytes += key.len() + value.to_string().len() + 40;
-        self.guard(key.clone(), version);
-        self.txn.writes.push(Write::Put { key, value, lease: None });
+        true
     }
 
-    fn delete(&mut self, key: String, version: u64) {
-        self.bytes += key.len() + 20;
-        self.guard(key.clone(), version);
-        self.txn.writes.push(Write::Delete { key });
-    }
-}
-
-impl Leader {
-    /// Gives the draft's segments their slots.
-    pub(in crate::leader) fn seal(&mut self, draft: &mut WriteBatch) {
-        for (writer, mut segment) in std::mem::take(&mut draft.segments) {
-            (segment.slot, segment.version) =
-                self.log_writer.free.pop_front().unwrap_or_else(|| {
-                    self.log_writer.slots += 1;
-                    (self.log_writer.slots - 1, 0)
-                });
-            segment.seq = self.log_writer.next_seq;
-            self.log_writer.next_seq += 1;
-            let (key, text) = (keys::log(segment.slot), writer.encode(segment.seq));
-            draft.put(key.clone(), segment.version, &text);
-            draft.sent.commit_marker.get_or_insert((key, text));
-            draft.sent.segments.push(segment);
+    fn add_release(&mut self, id: AttemptId) -> bool {
+        let Some(attempt) = self.records.attempts.get(id) else { return true };
+        let AssignmentPhase::Releasing(outcome) = attempt.phase else { return true };
+        let job = self.records.job_names.name(attempt.job);
+        let Some(segment) = self.batch.segment_with_room(max_row_bytes(job, "")) else {
+            return false;
+        };
+        segment.writer.push_release(job, attempt.task_index, id.logged(), outcome);
+        if outcome != AttemptOutcome::Requeued {
+            let page = ProgressPageRef { job: attempt.job, page: page_of(attempt.task_index) };
+            let pages = &mut segment.contents.segment.progress_pages;
+            if pages.last() != Some(&page) {
+                pages.push(page);
+            }
         }
-        draft.sent.writes = draft.txn.writes.len();
+        self.batch.contents.released.insert(id);
+        true
     }
 
-    /// Adds releases of about so many bytes; tells whether all of them fit.
-    pub(in crate::leader) fn draft_released(
-        &self,
-        draft: &mut WriteBatch,
-        most_bytes: usize,
-    ) -> bool {
-        for id in &self.log_writer.released {
-            if draft.sent.released.len() * RELEASED_BYTES >= most_bytes {
-                return false;
-            }
-            let Some(attempt) = self.attempts.get(*id) else { continue };
-            let AssignmentPhase::Releasing(end) = attempt.phase else { continue };
-            let job = self.job_names.name(attempt.job);
-            let Some((writer, segment)) = draft.segment(assignment_log::max_row_bytes(job, ""))
-            else {
+    /// Adds proposed assignments. Returns whether all of them fit.
+    pub fn add_proposals(&mut self) -> bool {
+        for id in &self.writer.pending.proposed {
+            if !self.add_assignment(*id) {
                 return false;
-            };
-            writer.push_release(job, attempt.task_index, id.logged(), end);
-            if end != assignment_log::AttemptOutcome::Requeued {
-                let chunk = (attempt.job, page_of(attempt.task_index));
-                if segment.chunks.last() != Some(&chunk) {
-                    segment.chunks.push(chunk);
-                }
             }
-            draft.sent.released.insert(*id);
+            self.batch.contents.proposed.insert(*id);
         }
         true
     }
 
-    /// Whether every release of a job that waits is in the draft: its final state is written
-    /// with its last finish or later.
-    fn has_all_releases(&self, draft: &WriteBatch, job: JobIdx) -> bool {
-        let waits = |id: &&AttemptId| self.log_writer.released.contains(*id);
-        let ids = self.attempts.of_job(job).ids();
-        ids.iter().filter(waits).all(|id| draft.sent.released.contains(id))
+    fn add_assignment(&mut self, id: AttemptId) -> bool {
+        let Some(attempt) = self.records.attempts.get(id) else { return true };
+        let job = self.records.job_names.name(attempt.job);
+        let machine = self.records.machine_names.name(attempt.machine);
+        let Some(segment) = self.batch.segment_with_room(max_row_bytes(job, machine)) else {
+            return false;
+        };
+        segment.writer.push_assignment(AssignmentRef {
+            job,
+            index: attempt.task_index,
+            machine,
+            incarnation: attempt.incarnation,
+            attempt: id.logged(),
+        });
+        segment.contents.segment.attempts.push(id);
+        true
     }
 
-    /// Adds jobs that are done; tells whether all of them fit.
-    pub(in crate::leader) fn draft_finished(&self, draft: &mut WriteBatch) -> bool {
+    /// Adds final states of completed jobs. Returns whether all of them fit.
+    ///
+    /// A job's final state is committed with the last of its releases or later, so that no job
+    /// is called done before its last completion is stored.
+    pub fn add_final_states(&mut self) -> bool {
         let mut all_fit = true;
-        for ix in &self.log_writer.finished {
-            let Some(job) = self.jobs.get(ix).filter(|job| job.final_state.is_none()) else {
+        for job_idx in &self.writer.pending.completed_jobs {
+            let Some(job) = self.records.jobs.get(job_idx) else { continue };
+            if job.final_state.is_some() {
                 continue;
-            };
-            if !draft.fits(1) {
+            }
+            if !self.batch.fits(1) {
                 return false;
             }
-            if !self.has_all_releases(draft, *ix) {
+            if !self.has_all_releases(*job_idx) {
                 all_fit = false;
                 continue;
             }
-            draft.guard(keys::job(&job.id), job.version);
-            draft.put(keys::final_state(&job.id), 0, &JobState::Done);
-            draft.sent.final_states.push(*ix);
+            self.batch.require(keys::job(&job.id), job.version);
+            self.batch.put(keys::final_state(&job.id), 0, &JobState::Done);
+            self.batch.contents.completed_jobs.push(*job_idx);
         }
         all_fit
     }
 
-    fn draft_assigned(&self, draft: &mut WriteBatch, id: AttemptId) -> bool {
-        let Some(attempt) = self.attempts.get(id) else { return true };
-        let job = self.job_names.name(attempt.job);
-        let machine = self.cluster.machine_names.name(attempt.machine);
-        let Some((writer, segment)) = draft.segment(assignment_log::max_row_bytes(job, machine))
-        else {
-            return false;
-        };
-        writer.push_assignment(AssignmentRef {
-            job,
-            index: attempt.task_index,
-            machine,
-            incarnation: attempt.incarnation,
-            attempt: id.logged(),
-        });
-        segment.attempts.push(id);
-        true
+    /// Whether every pending release of a job is in the batch.
+    fn has_all_releases(&self, job: JobIdx) -> bool {
+        let is_pending = |id: &&AttemptId| self.writer.pending.released.contains(*id);
+        let ids = self.records.attempts.of_job(job).ids();
+        ids.iter().filter(is_pending).all(|id| self.batch.contents.released.contains(id))
+    }
+
+    /// Log compaction: if the log is long, copies what is still the newest record from its oldest
+    /// segments, so that their slots become reusable.
+    pub fn compact(&mut self) {
+        let writer = self.writer;
+        for segment in writer.slots.live().iter().take(self.segments_to_compact()) {
+            if !self.copy_assignments(segment) || !self.copy_progress(segment) {
+                return;
+            }
+        }
+    }
+
+    fn segments_to_compact(&self) -> usize {
+        let live_bytes = self.records.attempts.len() * NAMED_ASSIGNMENT_BYTES;
+        let live_segments = live_bytes / self.writer.limits.segment_capacity.max(1);
+        let max_segments = COMPACTION_THRESHOLD.max(COMPACTION_FACTOR * live_segments);
+        let excess = self.writer.slots.live().len().saturating_sub(max_segments);
+        excess.min(MAX_COMPACTED_SEGMENTS)
     }
 
-    pub(in crate::leader) fn draft_proposed(&self, draft: &mut WriteBatch) -> bool {
-        for id in &self.log_writer.proposed {
-            if !self.draft_assigned(draft, *id) {
+    /// Returns whether all of them fit.
+    fn copy_assignments(&mut self, segment: &LiveSegment) -> bool {
+        for id in &segment.attempts {
+            let is_live = self.records.is_newest_assignment(segment.sequence, *id)
+                && !self.writer.pending.released.contains(id);
+            if is_live && !self.add_assignment(*id) {
                 return false;
             }
-            draft.sent.proposed.insert(*id);
         }
         true
     }
 
-    /// Tells again what still counts of the oldest segments, once there are many.
-    pub(in crate::leader) fn draft_cleaning(&self, draft: &mut WriteBatch) {
-        // A log that holds much that counts may be longer.
-        let live = self.attempts.len() * 48 / self.log_writer.capacity.max(1);
-        let long = LONG_LOG.max(4 * live);
-        let over = self.log_writer.segments.len().saturating_sub(long).min(CLEANED);
-        for old in self.log_writer.segments.iter().take(over) {
-            for id in &old.attempts {
-                let counts = self.assigns(old.seq, *id) && !self.log_writer.released.contains(id);
-                if counts && !self.draft_assigned(draft, *id) {
-                    return;
-                }
+    /// Returns whether all of it fits.
+    fn copy_progress(&mut self, segment: &LiveSegment) -> bool {
+        for page in &segment.progress_pages {
+            let is_copied = self.batch.has_whole_page(*page);
+            if is_copied || !self.records.is_newest_record(segment.sequence, *page) {
+                continue;
             }
-            for (ix, chunk) in &old.chunks {
-                let told = draft.segments.iter().any(|(_, s)| s.whole.contains(&(*ix, *chunk)));
-                if told || !self.tells(old.seq, *ix, *chunk) {
-                    continue;
-                }
-                let Some(job) = self.jobs.get(ix) else { continue };
-                let Some((writer, segment)) =
-                    draft.segment(assignment_log::MAX_PROGRESS_PAGE_BYTES)
-                else {
-                    return;
-                };
-                let (done, restarted) = (job.done.page(*chunk), job.restarted.page(*chunk));
-                writer.push_progress_page(&job.id, *chunk, done, restarted);
-                segment.chunks.push((*ix, *chunk));
-                segment.whole.push((*ix, *chunk));
+            if !self.add_progress_page(*page) {
+                return false;
             }
         }
+        true
     }
 
-    /// Adds the machine types, all parts at once: who reads some of them must not take a job
-    /// for one that fits no type.
-    fn draft_types(&self, draft: &mut WriteBatch) {
-        let Some(types) = &self.log_writer.types else { return };
-        let versions = &self.log_writer.types_versions;
-        let parts = stored_types::split(types, self.log_writer.value_bytes);
-        let stale = versions.iter().filter(|(part, _)| **part as usize >= parts.len());
-        if !draft.fits(parts.len() + stale.clone().count()) {
+    fn add_progress_page(&mut self, page: ProgressPageRef) -> bool {
+        let Some(job) = self.records.jobs.get(&page.job) else { return true };
+        let Some(segment) = self.batch.segment_with_room(MAX_PROGRESS_PAGE_BYTES) else {
+            return false;
+        };
+        let (done, restarted) = (job.done.page(page.page), job.restarted.page(page.page));
+        segment.writer.push_progress_page(&job.id, page.page, done, restarted);
+        segment.contents.segment.progress_pages.push(page);
+        segment.contents.whole_pages.push(page);
+        true
+    }
+
+    /// Adds what has no urgency: machine types, and the removal of keys that nobody needs any
+    /// more.
+    pub fn add_housekeeping(&mut self) {
+        self.add_machine_types();
+        self.remove_drains();
+        self.remove_jobs();
+    }
+
+    /// Adds the machine types, all parts at once: a node that reads only some of them must not
+    /// reject a job as fitting no machine type.
+    fn add_machine_types(&mut self) {
+        let Some(types) = &self.writer.pending.machine_types else { return };
+        let versions = &self.writer.versions.machine_types;
+        let parts = stored_types::split(types, self.writer.limits.value_bytes);
+        let obsolete = versions.iter().filter(|(part, _)| **part as usize >= parts.len());
+        if !self.batch.fits(parts.len() + obsolete.clone().count()) {
             return;
         }
         for (part, types) in (0..).zip(&parts) {
             let version = versions.get(&part).copied().unwrap_or(0);
-            draft.put(keys::machine_types_part(part), version, types);
+            self.batch.put(keys::machine_types_part(part), version, types);
         }
-        for (part, version) in stale {
-            draft.delete(keys::machine_types_part(*part), *version);
+        for (part, version) in obsolete {
+            self.batch.delete(keys::machine_types_part(*part), *version);
         }
-        draft.sent.types = Some(parts.len() as u32);
+        self.batch.contents.machine_type_parts = Some(parts.len() as u32);
     }
 
-    pub(in crate::leader) fn draft_clearing(&self, draft: &mut WriteBatch) {
-        self.draft_types(draft);
-        for machine in &self.log_writer.drains {
-            if draft.fits(1) {
-                let version = self.log_writer.drain_versions.get(machine).copied().unwrap_or(0);
-                draft.delete(keys::drain(machine), version);
-                draft.sent.drains.push(machine.clone());
+    fn remove_drains(&mut self) {
+        for machine in &self.writer.pending.obsolete_drains {
+            if self.batch.fits(1) {
+                let version = self.writer.versions.drains.get(machine).copied().unwrap_or(0);
+                self.batch.delete(keys::drain(machine), version);
+                self.batch.contents.removed_drains.push(machine.clone());
             }
         }
-        for ix in &self.log_writer.cleared {
-            let Some(job) = self.jobs.get(ix) else { continue };
-            if !draft.fits(1) {
+    }
+
+    fn remove_jobs(&mut self) {
+        for job_idx in &self.writer.pending.removable_jobs {
+            let Some(job) = self.records.jobs.get(job_idx) else { continue };
+            if !self.batch.fits(1) {
                 return;
             }
-            draft.delete(keys::job(&job.id), job.version);
-            draft.sent.cleared.push(*ix);
+            self.batch.delete(keys::job(&job.id), job.version);
+            self.batch.contents.removed_jobs.push(*job_idx);
         }
     }
-
-    /// Whether a segment is the newest one that assigns an attempt.
-    pub(in crate::leader) fn assigns(&self, seq: u64, id: AttemptId) -> bool {
-        self.attempts.get(id).is_some_and(|attempt| attempt.segment == seq)
-    }
-
-    /// Whether what a segment tells of a chunk is told by no newer one.
-    pub(in crate::leader) fn tells(&self, seq: u64, job: JobIdx, chunk: u32) -> bool {
-        self.jobs.get(&job).is_some_and(|job| {
-            job.final_state.is_none()
-                && job.progress_segments.get(&chunk).is_none_or(|told| *told <= seq)
-        })
-    }
 }
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests.rs
@@ -275,7 +275,7 @@
             known.map(stable) != Some(stable(t))
         });
         if first || changed {
-            self.log_writer.types = Some(types.clone());
+            self.log_writer.pending().set_machine_types(types.clone());
         }
         self.catalog.add_machine_types(&types);
         self.timers.request_cycle();
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -35,7 +35,7 @@
 mod timers;
 mod token_renewal;
 
-pub use assignment_log::writer::LogRow;
+pub use assignment_log::{CommitMarker, LogRow};
 pub use attempt::{AssignmentPhase, Attempt, AttemptOutcome, StopReason};
 pub use attempt_id::AttemptId;
 pub use autoscaling::cost::CostBreakdown;
@@ -48,13 +48,13 @@
 pub use status::Backlog;
 
 use crate::{
-    assignment_log::{Segment, UnreadableSegment},
+    assignment_log::UnreadableSegment,
     cloud_api::{CloudOutcome, CloudRequest},
     runtime_settings::RuntimeSettings,
     socket_budget::SocketBudget,
     store_view::StoreView,
 };
-use assignment_log::writer::AssignmentLogWriter;
+use assignment_log::AssignmentLogWriter;
 use attempt_numbers::AttemptNumbers;
 use attempt_table::AttemptTable;
 use catalog::Catalog;
@@ -159,7 +159,7 @@
         cluster: Option<ClusterState>,
     ) -> Result<Leader, UnreadableSegment> {
         let now = term.now;
-        let segments = decode_segments(rows)?;
+        let segments = assignment_log::decode_log(rows)?;
         let mut leader = Leader::without_jobs(store, term, cluster.unwrap_or_default());
         leader.add_stored_jobs(store, now);
         leader.replay(segments, now);
@@ -306,14 +306,14 @@
     /// Applies an operator's order to drain a machine, or its withdrawal.
     pub fn apply_drain(&mut self, store: &StoreView, name: &str) {
         let is_ordered = store.drain_orders.contains_key(name);
-        self.set_drain_version(name, store.drain_orders.get(name).copied());
+        self.log_writer.set_drain_version(name, store.drain_orders.get(name).copied());
         let machine_idx = self.cluster.machine_names.get(name);
         let machine = machine_idx.and_then(|idx| self.cluster.machines.get_mut(&idx));
         if let Some(machine) = machine {
             machine.draining = is_ordered;
             self.cluster.leaving.extend(machine_idx);
         } else if is_ordered && self.cluster.cloud.is_gone(name) {
-            self.log_writer.drains.insert(name.to_owned());
+            self.log_writer.pending().add_obsolete_drain(name);
         }
     }
 
@@ -352,16 +352,6 @@
     }
 }
 
-/// The segments of the log with their slots and versions, in the order in which they were written.
-fn decode_segments(rows: Vec<LogRow>) -> Result<Vec<(u32, u64, Segment)>, UnreadableSegment> {
-    let mut segments = rows
-        .into_iter()
-        .map(|row| Ok((row.slot, row.version, crate::assignment_log::decode(&row.text)?)))
-        .collect::<Result<Vec<_>, UnreadableSegment>>()?;
-    segments.sort_by_key(|(_, _, segment)| segment.sequence);
-    Ok(segments)
-}
-
 /// The quotas of the deployment's teams, none of which uses anything yet.
 fn team_quotas(deployment: &Deployment) -> Vec<TeamQuota> {
     deployment
--- a/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -25,7 +25,7 @@
         let job = self.job_from_store(store, id, stored, team, now);
         let is_final = job.final_state.is_some();
         if is_final {
-            self.log_writer.cleared.insert(job_idx);
+            self.log_writer.pending().add_removable_job(job_idx);
         }
         // A job that was there before this term has been counted by the leader of that time.
         // Gangs are counted again: the warm pool for them is rebuilt at once.
@@ -70,9 +70,9 @@
             job.cancelled_no_earlier_than = not_before.unwrap_or(f64::NEG_INFINITY);
         }
         job.cancellation_pending = false;
-        self.log_writer.finished.remove(&job_idx);
+        self.log_writer.pending().drop_completed_job(job_idx);
         if self.attempts.of_job(job_idx).is_empty() {
-            self.log_writer.cleared.insert(job_idx);
+            self.log_writer.pending().add_removable_job(job_idx);
         }
         if job.is_cancelled() {
             self.stop_cancelled_job(job_idx);
--- a/crates/gladekeel-controller/src/leader/reconciliation/release.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/release.rs
@@ -18,7 +18,7 @@
             is_committed.then_some((attempt.job, attempt.task_index))
         });
         let Some((job_idx, task_index)) = released.flatten() else { return };
-        self.log_writer.released.insert(id);
+        self.log_writer.pending().add_release(id);
         self.apply_outcome_to_gang(job_idx, outcome);
         let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         if outcome == AttemptOutcome::Restarted {
@@ -49,7 +49,7 @@
     fn finish_job_if_done(&mut self, job_idx: JobIdx) {
         let Some(job) = self.jobs.get(&job_idx) else { return };
         if job.done.count() == job.spec.tasks && job.final_state.is_none() {
-            self.log_writer.finished.insert(job_idx);
+            self.log_writer.pending().add_completed_job(job_idx);
         }
     }
 
@@ -77,7 +77,7 @@
         job.zone_placement.remove(attempt.zone);
         job.requeue(attempt.task_index, outcome, now);
         if job.final_state.is_some() && self.attempts.of_job(attempt.job).is_empty() {
-            self.log_writer.cleared.insert(attempt.job);
+            self.log_writer.pending().add_removable_job(attempt.job);
         }
         self.changed_progress.insert(attempt.job);
     }
--- a/crates/gladekeel-controller/src/leader/scheduling/binding.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/binding.rs
@@ -63,7 +63,7 @@
                 segment: 0,
             },
         );
-        self.log_writer.proposed.insert(id);
+        self.log_writer.pending().add_proposal(id);
         self.changed_progress.insert(binding.job);
         tracing::debug!(
             job = %job.id,
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -47,7 +47,7 @@
     /// The input as things are, with the jobs in the order in which they were submitted.
     pub(in crate::leader) fn cycle_input(&self, now: f64, scope: MachineScope) -> CycleInput {
         let cycle = SchedulingCycle {
-            max_bindings: self.log_writer.batch(&self.deployment),
+            max_bindings: self.log_writer.max_new_assignments(&self.deployment),
             teams: self.teams.clone(),
             ..Default::default()
         };
--- a/crates/gladekeel-controller/src/node/leadership/commits.rs
+++ b/crates/gladekeel-controller/src/node/leadership/commits.rs
@@ -48,11 +48,11 @@
             .calls
             .leader_commit(token)
             .is_some_and(|(_, commit)| now - commit.sent_at >= CONFIRM_COMMIT_AFTER_S);
-        if let Some((key, _)) = marker
+        if let Some(marker) = marker
             && is_slow
             && now - self.leadership.confirmation_sent_at >= CONFIRM_COMMIT_AFTER_S
         {
-            let request = StoreRequest::List { prefix: key.clone(), after: None };
+            let request = StoreRequest::List { prefix: marker.key.clone(), after: None };
             self.leadership.confirmation_sent_at = now;
             self.call_store(now, StoreCallPurpose::ConfirmCommit { token }, request);
         }
@@ -71,8 +71,9 @@
         let StoreOutcome::Page(page) = outcome else { return };
         let Some((commit, _)) = self.calls.leader_commit(token) else { return };
         let Some(leader) = self.leadership.leader_under_mut(token) else { return };
-        let Some((key, marker)) = leader.commit_marker() else { return };
-        let is_marker = |row: &&KeyValue| row.key == *key && row.value == marker.as_str();
+        let Some(marker) = leader.commit_marker() else { return };
+        let is_marker =
+            |row: &&KeyValue| row.key == marker.key && row.value == marker.text.as_str();
         if let Some(version) = page.entries.iter().find(is_marker).map(|row| row.version) {
             self.calls.finish_store_call(commit);
             if leader.commit_answered(now, &StoreOutcome::Committed(version)) {
