--- a/crates/gladekeel-controller/src/node/leadership/takeover.rs
+++ b/crates/gladekeel-controller/src/node/leadership/takeover.rs
@@ -47,7 +47,14 @@
     cluster: ClusterState,
     /// Outcomes of calls to the cloud that arrived between the two tokens. `cluster` counts
     /// these calls as in flight, and nothing else would ever end that.
-    cloud_outcomes: Vec<(CloudRequest, CloudOutcome)>,
+    cloud_outcomes: Vec<HeldCloudOutcome>,
+}
+
+/// The outcome of a call to the cloud that no leader was there to apply.
+#[derive(Debug)]
+struct HeldCloudOutcome {
+    request: CloudRequest,
+    outcome: CloudOutcome,
 }
 
 impl PreviousTerm {
@@ -87,7 +94,7 @@
     /// Keeps the outcome of a call to the cloud for the leader that is about to be built.
     pub fn hold_cloud_outcome(&mut self, request: CloudRequest, outcome: CloudOutcome) {
         if let Some(previous) = &mut self.previous {
-            previous.cloud_outcomes.push((request, outcome));
+            previous.cloud_outcomes.push(HeldCloudOutcome { request, outcome });
         }
     }
 
@@ -171,7 +178,7 @@
         let deployment = self.deployment.clone();
         let term = LeaderTerm { token, now, epoch: self.epoch, deployment, salt };
         let mut leader = Leader::new(view, rows, term, cluster)?;
-        for (request, outcome) in cloud_outcomes {
+        for HeldCloudOutcome { request, outcome } in cloud_outcomes {
             leader.cloud_answered(now, &request, outcome);
         }
         Ok(leader)
--- a/crates/gladekeel-controller/src/node/metrics.rs
+++ b/crates/gladekeel-controller/src/node/metrics.rs
@@ -12,11 +12,19 @@
 };
 use std::collections::{BTreeMap, HashMap};
 
+/// A request that is being timed.
+#[derive(Debug)]
+struct TimedRequest {
+    /// The label of its route.
+    label: &'static str,
+    received_at: f64,
+}
+
 /// Measures how long requests take, by the label of their route.
 #[derive(Debug, Default)]
 pub(super) struct RequestTimers {
-    /// The label and the start of each request that has not been answered yet.
-    started: HashMap<RequestId, (&'static str, f64)>,
+    /// Requests that have not been answered yet.
+    in_progress: HashMap<RequestId, TimedRequest>,
     latencies: BTreeMap<&'static str, DurationHistogram>,
 }
 
@@ -24,14 +32,14 @@
     /// A request has arrived.
     pub fn start(&mut self, now: f64, id: RequestId, route: &Route) {
         if let Some(label) = route.metric_label() {
-            self.started.insert(id, (label, now));
+            self.in_progress.insert(id, TimedRequest { label, received_at: now });
         }
     }
 
     /// A request has been answered.
     pub fn finish(&mut self, now: f64, id: RequestId) {
-        if let Some((label, started_at)) = self.started.remove(&id) {
-            self.latencies.entry(label).or_default().record(now - started_at);
+        if let Some(TimedRequest { label, received_at }) = self.in_progress.remove(&id) {
+            self.latencies.entry(label).or_default().record(now - received_at);
         }
     }
 
--- a/crates/gladekeel-controller/src/node/mod.rs
+++ b/crates/gladekeel-controller/src/node/mod.rs
@@ -7,16 +7,19 @@
 //!
 //! Each concern has a type that owns its state, and a module with the steps that use it:
 //!
-//! - [`leadership`]: the election, takeovers and resignation; the [`Leader`] itself;
-//! - [`store_reads`]: linearizable reads and the view of the store;
-//! - [`user_requests`]: submissions, polls and cancellations;
-//! - [`heartbeats`]: workers' heartbeats, answered, relayed or redirected;
-//! - [`peers`]: what controllers tell one another;
-//! - [`outgoing_calls`]: calls in flight to the store, the cloud and workers;
-//! - [`admin_requests`] and [`metrics`]: what operators ask for.
+//! | concern | module |
+//! | --- | --- |
+//! | the election, takeovers and resignation; the [`Leader`] itself | `leadership` |
+//! | linearizable reads and the view of the store | `store_reads` |
+//! | submissions, polls and cancellations | `user_requests` |
+//! | workers' heartbeats, answered, relayed or redirected | `heartbeats` |
+//! | what controllers tell one another | `peers` |
+//! | calls in flight to the store, the cloud and workers | `outgoing_calls` |
+//! | what operators and load balancers ask for | `admin_requests`, `metrics`, `health` |
 
 mod admin_requests;
 mod event;
+mod health;
 pub mod heartbeats;
 mod leadership;
 mod metrics;
@@ -175,15 +178,6 @@
         }
     }
 
-    fn on_health_check(&mut self, now: f64, id: RequestId) {
-        let reply = if self.is_healthy(now) {
-            Reply::json(200, &serde_json::json!({"up": true}))
-        } else {
-            Reply::retry_later(1, "no contact with the state service")
-        };
-        self.reply(now, id, reply);
-    }
-
     fn on_store_outcome(&mut self, now: f64, call: CallId, outcome: StoreOutcome) {
         let Some(call) = self.calls.finish_store_call(call) else { return };
         let StoreCall { purpose, request, sent_at } = call;
--- a/crates/gladekeel-controller/src/node/outgoing_calls.rs
+++ b/crates/gladekeel-controller/src/node/outgoing_calls.rs
@@ -83,6 +83,14 @@
     pub sent_at: f64,
 }
 
+/// A transaction with users' writes in flight.
+pub(super) struct WritesInFlight<'a> {
+    pub call: CallId,
+    pub sent_at: f64,
+    /// The writes whose users have not been answered.
+    pub writes: &'a mut Vec<UserWrite>,
+}
+
 /// A call to the cloud in flight.
 #[derive(Debug)]
 pub(super) struct CloudCall {
@@ -159,10 +167,12 @@
         self.store.iter().find(|(_, call)| is_commit(call)).map(|(id, call)| (*id, call))
     }
 
-    /// The users' writes of each transaction in flight, with the time at which it was sent.
-    pub fn user_writes_mut(&mut self) -> impl Iterator<Item = (CallId, f64, &mut Vec<UserWrite>)> {
+    /// The transactions with users' writes in flight.
+    pub fn user_writes_mut(&mut self) -> impl Iterator<Item = WritesInFlight<'_>> {
         self.store.iter_mut().filter_map(|(id, call)| match &mut call.purpose {
-            StoreCallPurpose::UserWrites(writes) => Some((*id, call.sent_at, writes)),
+            StoreCallPurpose::UserWrites(writes) => {
+                Some(WritesInFlight { call: *id, sent_at: call.sent_at, writes })
+            }
             _ => None,
         })
     }
--- a/crates/gladekeel-controller/src/node/user_requests/mod.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/mod.rs
@@ -39,33 +39,8 @@
 const REQUEST_TIMEOUT_S: f64 = 1.5;
 /// What the stored value of a job takes besides its specification, in bytes.
 const STORED_JOB_OVERHEAD_BYTES: usize = 100;
-/// A node whose last contact with the store is more recent than this is healthy.
-const HEALTHY_CONTACT_S: f64 = 3.0;
-/// Only peers that were seen within this time can excuse a node without contact.
-const HEALTH_PEER_SEEN_S: f64 = 2.5;
-/// A peer whose last contact is this old is no better off.
-const HEALTH_PEER_CONTACT_MS: u32 = 2500;
 
 impl Node {
-    /// Whether users should be sent here. A node without contact to the store is of use only
-    /// if all peers that it hears from are no better off; one that hears from none of them
-    /// cannot know.
-    pub(super) fn is_healthy(&self, now: f64) -> bool {
-        if !self.store.is_loaded() {
-            return false;
-        }
-        let has_contact =
-            self.store.last_contact().is_some_and(|contact| now - contact < HEALTHY_CONTACT_S);
-        if has_contact || self.peers.is_empty() {
-            return true;
-        }
-        let mut reachable =
-            self.peers.iter().filter(|peer| peer.was_seen_within(now, HEALTH_PEER_SEEN_S));
-        let mut reachable = reachable.by_ref().peekable();
-        reachable.peek().is_some()
-            && reachable.all(|peer| peer.store_contact_age_ms >= HEALTH_PEER_CONTACT_MS)
-    }
-
     /// Asks a client to come back in a second.
     pub(super) fn reply_retry_later(&mut self, now: f64, request: RequestId, reason: &str) {
         tracing::debug!(request, reason, "request deferred");
--- a/crates/gladekeel-controller/src/node/user_requests/writes.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/writes.rs
@@ -8,7 +8,8 @@
     http_api::Reply,
     keys,
     node::{
-        CallId, Node, RequestId, jittered_backoff_until, outgoing_calls::StoreCallPurpose,
+        CallId, Node, RequestId, jittered_backoff_until,
+        outgoing_calls::{StoreCallPurpose, WritesInFlight},
         store_reads::OVERTAKE_AFTER_S,
     },
     store_view::StoreView,
@@ -199,7 +200,7 @@
     fn take_visible_writes(&mut self, now: f64) -> Vec<(CallId, UserWrite)> {
         let view = &self.store.view;
         let mut visible = Vec::new();
-        for (call, sent_at, writes) in self.calls.user_writes_mut() {
+        for WritesInFlight { call, sent_at, writes } in self.calls.user_writes_mut() {
             if now - sent_at >= OVERTAKE_AFTER_S {
                 let is_visible = |write: &mut UserWrite| write.is_visible(view);
                 visible.extend(writes.extract_if(.., is_visible).map(|write| (call, write)));
