--- a/crates/gladekeel-controller/src/leader/scheduling/mod.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/mod.rs
@@ -10,3 +10,4 @@
 pub(in crate::leader) mod gangs;
 pub(in crate::leader) mod preemption;
 pub(in crate::leader) mod stragglers;
+mod victims;
