--- a/crates/gladekeel-testkit/examples/playground.rs
+++ b/crates/gladekeel-testkit/examples/playground.rs
@@ -14,10 +14,13 @@
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_testkit::{
     scenario::example_settings,
-    stand_ins::cloud::FakeCloud,
-    stand_ins::gang::GangRuntime,
-    stand_ins::store::{FakeStore, StoreLimits},
-    stand_ins::worker::FakeWorker,
+    stand_ins::{
+        cloud::{CloudResponse, FakeCloud},
+        gang::GangRuntime,
+        resources::Resources,
+        store::{FakeStore, StoreLimits},
+        worker::{FakeWorker, MachineIdentity},
+    },
 };
 use gladekeel_wire::{
     JobId, TaskId,
@@ -353,12 +356,13 @@
             _ => None,
         };
         let Some(call) = call else { return Response::text(400, "malformed\n") };
-        let (outcome, came, went) = self.cloud.borrow_mut().call(self.now(), &call);
-        for name in went {
+        let CloudResponse { outcome, rented, deleted } =
+            self.cloud.borrow_mut().call(self.now(), &call);
+        for name in deleted {
             println!("{name} is gone");
             self.workers.borrow_mut().remove(&name);
         }
-        for name in came {
+        for name in rented {
             spawn_local(self.clone().work(name));
         }
         match outcome {
@@ -395,17 +399,14 @@
             return;
         }
         let spot = self.cloud.borrow().machines[&name].spot;
-        let room = (32.0, 0.0, 64.0);
-        let worker = FakeWorker::new(
-            name.clone(),
-            "m32".into(),
-            "a".into(),
+        let machine = MachineIdentity {
+            name: name.clone(),
+            machine_type: "m32".into(),
+            zone: "a".into(),
             spot,
-            room,
-            LEASE_S,
-            self.now(),
-            0,
-        );
+        };
+        let capacity = Resources { cpus: 32.0, gpus: 0.0, memory_gb: 64.0 };
+        let worker = FakeWorker::new(machine, capacity, LEASE_S, self.now(), 0);
         self.workers.borrow_mut().insert(name.clone(), worker);
         println!("{name} is up at {addr}");
         let direct = spawn_local({
--- /dev/null
+++ b/crates/gladekeel-testkit/src/invariants/starvation.rs
@@ -0,0 +1,105 @@
+//! A job does not stay pending next to a machine that could take it.
+//!
+//! This is a liveness check: it only counts while no fault is active.
+
+use super::{Invariant, InvariantChecker, ROUNDING, running_tasks::TeamUsage};
+use crate::stand_ins::resources::Resources;
+use gladekeel_wire::{
+    JobId,
+    job::{JobKind, JobSpec, JobState},
+};
+use std::collections::BTreeSet;
+
+/// How long a job may be pending next to a machine that could take it.
+const MAX_PENDING_S: f64 = 90.0;
+
+/// A healthy machine and what is free on it.
+#[derive(Debug, Clone)]
+pub struct FreeCapacity {
+    /// Its machine type.
+    pub machine_type: String,
+    /// Its zone.
+    pub zone: String,
+    /// Whether the cloud may take it back.
+    pub spot: bool,
+    /// What no task uses.
+    pub free: Resources,
+}
+
+impl FreeCapacity {
+    fn is_allowed_by(&self, spec: &JobSpec) -> bool {
+        (!self.spot || spec.spot)
+            && spec.machine_types.as_ref().is_none_or(|types| types.contains(&self.machine_type))
+            && spec.zone.as_ref().is_none_or(|zone| *zone == self.zone)
+    }
+
+    /// How many tasks of a job fit, `max` at most.
+    fn count_fitting(&self, spec: &JobSpec, max: u32) -> u32 {
+        let (mut free, mut count) = (self.free, 0);
+        while count < max && free.fits(spec) {
+            free = free.without(spec);
+            count += 1;
+        }
+        count
+    }
+}
+
+impl InvariantChecker {
+    /// Checks the pending jobs against the free capacity. `active` are the jobs with tasks on
+    /// machines, those whose image is being fetched too.
+    pub fn check_pending(&mut self, now: f64, free: &[FreeCapacity], active: &BTreeSet<JobId>) {
+        if now < self.faults_cleared_at {
+            return self.pending_since.clear();
+        }
+        let pending = self.startable_jobs(free, active);
+        self.pending_since.retain(|job, _| pending.contains(job));
+        for job in pending {
+            let since = *self.pending_since.entry(job.clone()).or_insert(now);
+            if now - since > MAX_PENDING_S {
+                // Reported once.
+                self.pending_since.insert(job.clone(), f64::MAX);
+                self.report(Invariant::NoStarvation, format!("{now:.2}: {job} since {since:.2}"));
+            }
+        }
+    }
+
+    /// Accepted jobs that have nothing on machines and could begin now.
+    fn startable_jobs(&self, free: &[FreeCapacity], active: &BTreeSet<JobId>) -> BTreeSet<JobId> {
+        let startable = |job: &JobId| {
+            let Some(spec) = self.specs.get(job) else { return false };
+            // A job that fails everywhere is backed off on purpose.
+            let backed_off = spec.class == "faulty";
+            !backed_off && self.has_capacity(spec, free) && !self.all_tasks_completed(job)
+        };
+        let unfinished = self.observed_jobs.iter().filter(|(_, observed)| {
+            let over = observed.last_state.is_none_or(JobState::is_final);
+            observed.accepted_at.is_some() && !observed.cancel_requested && !over
+        });
+        unfinished
+            .map(|(job, _)| job)
+            .filter(|job| !active.contains(*job) && startable(job))
+            .cloned()
+            .collect()
+    }
+
+    /// Whether a job that has nothing on machines could begin now.
+    fn has_capacity(&self, spec: &JobSpec, free: &[FreeCapacity]) -> bool {
+        // An array begins with one task, the others with all of them.
+        let at_once = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
+        let mut fitting = 0;
+        for machine in free.iter().filter(|machine| machine.is_allowed_by(spec)) {
+            fitting += machine.count_fitting(spec, at_once - fitting);
+        }
+        self.is_within_quota(spec, at_once) && fitting >= at_once
+    }
+
+    /// Whether the team's limit allows so many more tasks of a job.
+    fn is_within_quota(&self, spec: &JobSpec, tasks: u32) -> bool {
+        let TeamUsage { cpus, gpus } = self.running.used_by_team(&spec.team);
+        let limit = self.deployment.teams.iter().find(|limit| limit.name == spec.team);
+        limit.is_some_and(|limit| {
+            cpus + spec.cpus * f64::from(tasks) <= limit.cpus_max + ROUNDING
+                && gpus + spec.gpus * f64::from(tasks) <= limit.gpus_max + ROUNDING
+        })
+    }
+}
--- a/crates/gladekeel-testkit/src/scenario/examples.rs
+++ b/crates/gladekeel-testkit/src/scenario/examples.rs
@@ -6,19 +6,39 @@
     settings::Settings,
 };
 
+/// How long the tasks of a gang wait for one another, in seconds.
+#[derive(Debug, Clone, Copy)]
+pub struct GangTimes {
+    /// How long a task waits for the others to start.
+    pub wait_s: f64,
+    /// Within this time the tasks notice what happened to another one.
+    pub peer_s: f64,
+}
+
+impl Default for GangTimes {
+    fn default() -> GangTimes {
+        GangTimes { wait_s: 30.0, peer_s: 4.0 }
+    }
+}
+
 /// The settings of one node of the examples.
 pub fn example_settings(node: usize, nodes: usize) -> Settings {
-    settings_with(node, nodes, (30.0, 4.0), "").expect("the example settings are valid")
+    settings_with(node, nodes, GangTimes::default(), "").expect("the example settings are valid")
 }
 
-/// The example with these times of gangs, `gang_wait_s` and `gang_peer_s`, and these
-/// lines in its table `state.next`.
+/// The example settings with these times of gangs, and these lines in the table `state.next`
+/// of announced limits.
+///
+/// # Errors
+///
+/// If the announced limits are not valid TOML or no limits.
 pub fn settings_with(
     node: usize,
     nodes: usize,
-    (gang_wait_s, gang_peer_s): (f64, f64),
-    next: &str,
-) -> Result<Settings, String> {
+    gang_times: GangTimes,
+    announced_limits: &str,
+) -> Result<Settings, toml::de::Error> {
+    let GangTimes { wait_s: gang_wait_s, peer_s: gang_peer_s } = gang_times;
     let mut text = format!(
         r#"
         node = "node-{node}"
@@ -67,10 +87,10 @@
             "[[siblings]]\nnode = \"node-{other}\"\nsite = \"{zone}\"\npeer_addr = \"127.0.0.1:81\"\n"
         ));
     }
-    if !next.is_empty() {
-        text.push_str(&format!("[deployment.state.next]\n{next}"));
+    if !announced_limits.is_empty() {
+        text.push_str(&format!("[deployment.state.next]\n{announced_limits}"));
     }
-    toml::from_str(&text).map_err(|error| error.to_string())
+    toml::from_str(&text)
 }
 
 /// A job like the ones of the examples.
--- a/crates/gladekeel-testkit/src/scenario/expectations.rs
+++ b/crates/gladekeel-testkit/src/scenario/expectations.rs
@@ -1,132 +1,141 @@
-//! What must come of a scenario.
+//! `expect` lines: what must come of a scenario.
 
-use super::tokens::{id, names, number};
+use super::{
+    LineError, Mismatch,
+    tokens::{job_id, names, number},
+};
 use crate::simulation::Simulation;
-use gladekeel_wire::job::JobState;
+use gladekeel_controller::leader::LeaderCounters;
+use gladekeel_wire::{JobId, job::JobState};
+
+/// Checks an expectation; returns what was found instead.
+pub(super) fn check(sim: &Simulation, text: &str) -> Result<Option<Mismatch>, LineError> {
+    let tokens: Vec<&str> = text.split_whitespace().collect();
+    match *tokens.as_slice() {
+        ["broken", invariant] => Ok(check_broken(sim, invariant)),
+        [jobs, state] => check_state(sim, jobs, state),
+        [quantity, operator, bound] => {
+            let value = measure(sim, quantity)?;
+            let mismatch = compare(quantity, value, operator, bound)?;
+            Ok(mismatch.map(|mismatch| with_cause(sim, quantity, mismatch)))
+        }
+        ["cpus", team, operator, bound] => {
+            compare("cpus", sim.invariants.cpus_of_team(team), operator, bound)
+        }
+        [job, quantity, operator, bound] => {
+            let value = measure_job(sim, &job_id(job)?, quantity)?;
+            compare(quantity, value, operator, bound)
+        }
+        _ => Err(LineError::unexpected("an expectation", text)),
+    }
+}
 
 /// Compares a number with `>= N`, `<= N` or `= N`.
-fn compare(what: &str, value: f64, words: &[&str]) -> Result<Option<String>, String> {
-    let [op, bound] = words else { return Err("expected an operator and a number".into()) };
+fn compare(
+    quantity: &str,
+    value: f64,
+    operator: &str,
+    bound: &str,
+) -> Result<Option<Mismatch>, LineError> {
     let bound = number(bound)?;
-    let holds = match *op {
+    let holds = match operator {
         ">=" => value >= bound,
         "<=" => value <= bound,
         "=" => value == bound,
-        other => return Err(format!("no operator {other}")),
+        other => return Err(LineError::unexpected("one of >=, <= and =", other)),
     };
-    Ok((!holds).then(|| format!("{what} is {value}, expected {op} {bound}")))
+    Ok((!holds).then(|| Mismatch {
+        subject: quantity.to_owned(),
+        found: value.to_string(),
+        expected: format!("{operator} {bound}"),
+    }))
 }
 
-/// Checks one expectation; returns what is wrong.
-pub(super) fn expect(sim: &Simulation, text: &str) -> Result<Option<String>, String> {
-    let (words, _) = split_plain(text);
-    let wrong = |name: &str, state: JobState| -> Result<Option<String>, String> {
-        for name in names(name) {
-            let last = sim.invariants.last(&id(&name)?);
-            if last != Some(state) {
-                return Ok(Some(format!("{name} is {last:?}, expected {state:?}")));
-            }
-        }
-        Ok(None)
+/// `broken INVARIANT`: it was violated.
+fn check_broken(sim: &Simulation, invariant: &str) -> Option<Mismatch> {
+    let mut violations = sim.invariants.violations.iter();
+    let violated = violations.any(|violation| violation.invariant.name() == invariant);
+    (!violated).then(|| Mismatch {
+        subject: invariant.to_owned(),
+        found: "not broken".to_owned(),
+        expected: "broken".to_owned(),
+    })
+}
+
+/// `JOBS done|cancelled|refused|open`, by what their users were told last.
+fn check_state(
+    sim: &Simulation,
+    jobs: &str,
+    expected: &str,
+) -> Result<Option<Mismatch>, LineError> {
+    let is_expected: fn(Option<JobState>) -> bool = match expected {
+        "done" => |state| state == Some(JobState::Done),
+        "cancelled" => |state| state == Some(JobState::Cancelled),
+        "refused" => |state| state.is_none(),
+        "open" => |state| state.is_some_and(|state| !state.is_final()),
+        other => return Err(LineError::unexpected("the state of a job", other)),
     };
-    match words.as_slice() {
-        ["broken", rule] => Ok((!sim.invariants.broken.iter().any(|(broken, _)| broken == rule))
-            .then(|| format!("{rule} is not broken"))),
-        ["starts", rest @ ..] => compare("starts", sim.invariants.starts as f64, rest),
-        ["starts_without_room", rest @ ..] => {
-            compare("starts_without_room", sim.invariants.starts_without_room as f64, rest)
-        }
-        ["cpus", team, rest @ ..] => compare("cpus", sim.invariants.cpus_of(team), rest),
-        // How often a message met its fault.
-        ["answers_lost", rest @ ..] => {
-            compare("answers_lost", sim.message_faults.responses_lost as f64, rest)
-        }
-        ["commands_late", rest @ ..] => {
-            compare("commands_late", sim.message_faults.commands_delayed as f64, rest)
-        }
-        ["commands_refused", rest @ ..] => {
-            compare("commands_refused", sim.message_faults.commands_refused as f64, rest)
-        }
-        ["reports_released", rest @ ..] => {
-            compare("reports_released", sim.message_faults.heartbeats_released as f64, rest)
-        }
-        ["close_looks", rest @ ..] => {
-            compare("close_looks", sim.read_your_writes.taken as f64, rest)
-        }
-        // Jobs that a user was told are cancelled, and their tasks that are still there.
-        ["confirmed", rest @ ..] => compare("confirmed", sim.invariants.confirmed() as f64, rest),
-        ["cancelled_running", rest @ ..] => {
-            compare("cancelled_running", sim.invariants.cancelled_running() as f64, rest)
-        }
-        // Workers that report to the leader itself, not through another controller.
-        ["heard_by_leader", rest @ ..] => {
-            compare("heard_by_leader", sim.workers_at_leader() as f64, rest)
-        }
-        ["leaders", rest @ ..] => compare("leaders", sim.leaders.len() as f64, rest),
-        ["machines", rest @ ..] => compare("machines", sim.cloud.present().len() as f64, rest),
-        ["rented", rest @ ..] => compare("rented", sim.cloud.machines.len() as f64, rest),
-        // Work that must not grow faster than what changes.
-        ["written", rest @ ..] => compare("written", sim.store.written as f64, rest),
-        ["bytes", rest @ ..] => compare("bytes", sim.store.bytes as f64, rest),
-        ["looked", rest @ ..] => {
-            compare("looked", sim.leader_counts().map_or(0, |c| c.machines_examined) as f64, rest)
-        }
-        ["attempt_lookups", rest @ ..] => {
-            let lookups = sim.leader_counts().map_or(0, |c| c.attempt_lookups);
-            compare("attempt_lookups", lookups as f64, rest)
-        }
-        // Requests refused as beyond a rate.
-        ["busy", rest @ ..] => compare("busy", sim.store.busy as f64, rest),
-        ["segments", rest @ ..] => compare("segments", sim.log_segments() as f64, rest),
-        [name, "began", rest @ ..] => {
-            compare("began", sim.invariants.began(&id(name)?).unwrap_or(f64::MAX), rest)
+    for name in names(jobs) {
+        let state = sim.invariants.last_state(&job_id(&name)?);
+        if !is_expected(state) {
+            let found = format!("{state:?}");
+            return Ok(Some(Mismatch { subject: name, found, expected: expected.to_owned() }));
         }
-        ["given_up", rest @ ..] => compare("given_up", sim.abandoned_submissions as f64, rest),
-        // The oldest open job, as the leader counts its age.
-        ["age", rest @ ..] => compare("age", sim.oldest_job_s().unwrap_or(0.0), rest),
-        ["restarts", rest @ ..] => {
-            compare("restarts", sim.leader_counts().map_or(0, |c| c.restarts) as f64, rest)
-        }
-        ["preemptions", rest @ ..] => {
-            compare("preemptions", sim.leader_counts().map_or(0, |c| c.preemptions) as f64, rest)
-        }
-        // What became of a gang: how often it ran, how often a stop kept its progress,
-        // and how many seconds of progress were lost.
-        [name, "runs", rest @ ..] => {
-            compare("runs", f64::from(sim.gangs.record(&id(name)?).runs), rest)
-        }
-        [name, "saves", rest @ ..] => {
-            compare("saves", f64::from(sim.gangs.record(&id(name)?).saves), rest)
-        }
-        [name, "lost", rest @ ..] => compare("lost", sim.gangs.record(&id(name)?).lost_s, rest),
-        [name, "attempts", rest @ ..] => {
-            compare("attempts", sim.gangs.record(&id(name)?).attempts.len() as f64, rest)
-        }
-        [name, "on", rest @ ..] => {
-            compare("on", sim.invariants.on_machines(&id(name)?) as f64, rest)
-        }
-        // Transactions refused as too large after the limits were lowered.
-        ["too_large", rest @ ..] => {
-            let wrong = compare("too_large", sim.store.too_large.len() as f64, rest)?;
-            let first = sim.store.too_large.first().cloned().unwrap_or_default();
-            Ok(wrong.map(|wrong| format!("{wrong}: {first}")))
-        }
-        [name, "done"] => wrong(name, JobState::Done),
-        [name, "cancelled"] => wrong(name, JobState::Cancelled),
-        [name, "refused"] => {
-            let last = sim.invariants.last(&id(name)?);
-            Ok(last.map(|state| format!("{name} is {state:?}, expected to be refused")))
-        }
-        [name, "open"] => {
-            let last = sim.invariants.last(&id(name)?);
-            let open = last.is_some_and(|state| !state.is_final());
-            Ok((!open).then(|| format!("{name} is {last:?}, expected to be open")))
-        }
-        _ => Err("an expectation that cannot be read".into()),
     }
+    Ok(None)
+}
+
+/// A quantity of the whole simulation.
+fn measure(sim: &Simulation, quantity: &str) -> Result<f64, LineError> {
+    let counter = |count: fn(LeaderCounters) -> u64| sim.leader_counts().map_or(0, count) as f64;
+    Ok(match quantity {
+        "starts" => sim.invariants.starts as f64,
+        "starts_without_room" => sim.invariants.starts_without_room as f64,
+        "confirmed" => sim.invariants.cancelled_jobs() as f64,
+        "cancelled_running" => sim.invariants.cancelled_tasks_on_machines() as f64,
+        "answers_lost" => sim.message_faults.responses_lost as f64,
+        "commands_late" => sim.message_faults.commands_delayed as f64,
+        "commands_refused" => sim.message_faults.commands_refused as f64,
+        "reports_released" => sim.message_faults.heartbeats_released as f64,
+        "close_looks" => sim.read_your_writes.queries as f64,
+        "given_up" => sim.abandoned_submissions as f64,
+        "heard_by_leader" => sim.workers_at_leader() as f64,
+        "leaders" => sim.leaders.len() as f64,
+        "machines" => sim.cloud.present().len() as f64,
+        "rented" => sim.cloud.machines.len() as f64,
+        "written" => sim.store.committed_writes as f64,
+        "bytes" => sim.store.committed_bytes as f64,
+        "busy" => sim.store.rate_limited as f64,
+        "too_large" => sim.store.too_large.len() as f64,
+        "segments" => sim.log_segments() as f64,
+        "age" => sim.oldest_job_s().unwrap_or(0.0),
+        "looked" => counter(|counters| counters.machines_examined),
+        "attempt_lookups" => counter(|counters| counters.attempt_lookups),
+        "restarts" => counter(|counters| counters.restarts),
+        "preemptions" => counter(|counters| counters.preemptions),
+        other => return Err(LineError::unexpected("a quantity", other)),
+    })
 }
 
-/// Plain words, with operators kept.
-fn split_plain(text: &str) -> (Vec<&str>, ()) {
-    (text.split_whitespace().collect(), ())
+/// A quantity of one job.
+fn measure_job(sim: &Simulation, job: &JobId, quantity: &str) -> Result<f64, LineError> {
+    Ok(match quantity {
+        "began" => sim.invariants.began_at(job).unwrap_or(f64::MAX),
+        "on" => sim.invariants.tasks_on_machines(job) as f64,
+        "runs" => f64::from(sim.gangs.record(job).runs),
+        "saves" => f64::from(sim.gangs.record(job).saves),
+        "lost" => sim.gangs.record(job).lost_s,
+        "attempts" => sim.gangs.record(job).attempts.len() as f64,
+        other => return Err(LineError::unexpected("a quantity of a job", other)),
+    })
+}
+
+/// Adds the first transaction that was too large to what was found.
+fn with_cause(sim: &Simulation, quantity: &str, mismatch: Mismatch) -> Mismatch {
+    match sim.store.too_large.first() {
+        Some(first) if quantity == "too_large" => {
+            Mismatch { found: format!("{} (first: {first})", mismatch.found), ..mismatch }
+        }
+        _ => mismatch,
+    }
 }
--- a/crates/gladekeel-testkit/src/scenario/files.rs
+++ b/crates/gladekeel-testkit/src/scenario/files.rs
@@ -1,6 +1,6 @@
 //! Running scenario files side by side.
 
-use super::{Failure, run};
+use super::{ScenarioError, run};
 use crate::simulation::TraceDigest;
 use std::{fs, path::PathBuf, thread};
 
@@ -10,7 +10,7 @@
     /// The file's name without its directory and ending.
     pub name: String,
     /// The digest of each seed's run, or why the scenario did not pass.
-    pub outcome: Result<Vec<TraceDigest>, Failure>,
+    pub outcome: Result<Vec<TraceDigest>, ScenarioError>,
 }
 
 /// Runs scenario files, each in a thread of its own, and returns the results in their order.
--- /dev/null
+++ b/crates/gladekeel-testkit/src/scenario/job.rs
@@ -0,0 +1,67 @@
+//! The job that a `submit` step describes.
+
+use super::{
+    LineError,
+    examples::example_job,
+    tokens::{KeyValues, job_id, number},
+};
+use gladekeel_wire::job::{JobKind, JobSpec, Priority};
+
+/// How long a task takes to save, in jobs that save.
+const CHECKPOINT_WRITE_S: f64 = 2.0;
+
+/// The example job with this name and these changes.
+pub(super) fn build_job(name: &str, changes: &KeyValues<'_>) -> Result<JobSpec, LineError> {
+    job_id(name)?;
+    let mut spec = example_job(name);
+    for (key, value) in changes.iter() {
+        change(&mut spec, key, value)?;
+    }
+    Ok(spec)
+}
+
+fn change(spec: &mut JobSpec, key: &str, value: &str) -> Result<(), LineError> {
+    match key {
+        "tasks" => spec.tasks = number(value)? as u32,
+        "cpus" => spec.cpus = number(value)?,
+        "memory" => spec.memory_gb = number(value)?,
+        "run" => spec.estimate_s = number(value)?,
+        "image_gb" => spec.image_gb = number(value)?,
+        "image" => spec.image = value.into(),
+        "team" => spec.team = value.into(),
+        "class" => spec.class = value.into(),
+        "saves" => {
+            spec.checkpoint_interval_s = number(value)?;
+            spec.checkpoint_write_s = CHECKPOINT_WRITE_S;
+        }
+        "zone" => spec.zone = Some(value.into()),
+        "type" => spec.machine_types = Some(vec![value.into()]),
+        "one_zone" => spec.single_zone = value == "yes",
+        "scatter" => spec.spread = value == "yes",
+        "spot" => spec.spot = value == "yes",
+        "kind" => spec.kind = job_kind(value)?,
+        "priority" => spec.priority = priority(value)?,
+        // Not of the job, but of its tasks and submission; see `steps::users`.
+        "apart" | "every" | "cancelled" => {}
+        other => return Err(LineError::unexpected("a property of a job", other)),
+    }
+    Ok(())
+}
+
+fn job_kind(text: &str) -> Result<JobKind, LineError> {
+    match text {
+        "gang" => Ok(JobKind::Gang),
+        "service" => Ok(JobKind::Service),
+        other => Err(LineError::unexpected("gang or service", other)),
+    }
+}
+
+fn priority(text: &str) -> Result<Priority, LineError> {
+    match text {
+        "low" => Ok(Priority::Low),
+        "normal" => Ok(Priority::Normal),
+        "high" => Ok(Priority::High),
+        "production" => Ok(Priority::Production),
+        other => Err(LineError::unexpected("a priority", other)),
+    }
+}
--- a/crates/gladekeel-testkit/src/scenario/steps/machines.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/machines.rs
@@ -2,28 +2,32 @@
 
 use super::{Step, line::Line};
 use crate::{
+    invariants::Invariant,
     scenario::{
-        targets::{busiest_workers, holder, terminate_holders_once_done},
-        tokens::{names, number},
+        LineError,
+        targets::{MachineSelector, busiest_workers, holder, terminate_holders_once_done},
     },
     simulation::Simulation,
     stand_ins::worker::FakeWorker,
 };
 
-/// How many times as long a slow machine takes.
-const SLOW: f64 = 20.0;
+/// What a step does to a machine with this name.
+type MachineStep = Box<dyn FnOnce(&mut Simulation, String)>;
 
-/// `take done JOB`: whoever holds a gang goes the moment it has completed, but for one
-/// machine: before any of these can report it.
-pub(super) fn take_done(line: &Line) -> Result<Step, String> {
-    let job = line.at(2)?.to_owned();
+/// By which factor tasks run longer on a slow machine.
+const SLOWDOWN: f64 = 20.0;
+
+/// `take done JOB`: all machines of a gang but one are gone the moment it has completed,
+/// before any of them can report it.
+pub(super) fn take_done(line: &Line) -> Result<Step, LineError> {
+    let job = line.token(2, "the name of a job")?.to_owned();
     Ok(Box::new(move |sim| terminate_holders_once_done(sim, job)))
 }
 
 /// `take COUNT notice=S`.
-pub(super) fn take(line: &Line) -> Result<Step, String> {
-    let count = line.number_at(1)? as usize;
-    let notice_s = line.given_or_zero("notice")?;
+pub(super) fn take(line: &Line) -> Result<Step, LineError> {
+    let count = line.number(1, "how many machines")? as usize;
+    let notice_s = line.options.number_or("notice", 0.0)?;
     Ok(Box::new(move |sim| {
         for name in busiest_workers(sim, count) {
             sim.terminate_machine(name, notice_s);
@@ -32,8 +36,8 @@
 }
 
 /// `reboot COUNT`.
-pub(super) fn reboot(line: &Line) -> Result<Step, String> {
-    let count = line.number_at(1)? as usize;
+pub(super) fn reboot(line: &Line) -> Result<Step, LineError> {
+    let count = line.number(1, "how many machines")? as usize;
     Ok(Box::new(move |sim| {
         for name in busiest_workers(sim, count) {
             sim.reboot(&name);
@@ -41,26 +45,28 @@
     }))
 }
 
-/// `take zone JOB` or `hang zone JOB for S`: the zone of a job's tasks, with all its machines.
-pub(super) fn zone_of_job(line: &Line) -> Result<Step, String> {
-    let takes = line.is(0, "take");
-    let (job, for_s) = (line.at(2)?.to_owned(), line.for_s);
+/// `take zone JOB` or `hang zone JOB for S`: all machines of the zone of a job's tasks.
+pub(super) fn zone_of_job(line: &Line) -> Result<Step, LineError> {
+    let takes = line.has(0, "take");
+    let (job, duration_s) = (line.token(2, "the name of a job")?.to_owned(), line.duration_s);
     Ok(Box::new(move |sim| {
-        let zone = holder(sim, &job).map(|name| sim.workers[&name].zone.clone());
+        let zone = holder(sim, &job).map(|name| sim.workers[&name].machine.zone.clone());
         let Some(zone) = zone else {
-            return sim.invariants.broke("nobody", format!("no machine holds {job}"));
+            return sim
+                .invariants
+                .report(Invariant::ScenarioTarget, format!("no machine holds {job}"));
         };
-        let there = sim.workers.values().filter(|worker| worker.zone == zone);
-        let names: Vec<String> = there.map(|worker| worker.name.clone()).collect();
-        sim.fault_lasts(for_s);
+        let there = sim.workers.values().filter(|worker| worker.machine.zone == zone);
+        let names: Vec<String> = there.map(|worker| worker.machine.name.clone()).collect();
+        sim.fault_lasts(duration_s);
         for name in names {
             if takes {
                 sim.terminate_machine(name, 0.0);
             } else {
-                hang_for(sim, name, for_s);
+                hang_for(sim, name, duration_s);
             }
         }
-        // What was taken must not count as free room again.
+        // What was taken must not be free capacity again.
         sim.after(0.01, move |sim| {
             let gone = sim.cloud.capacity.iter_mut().filter(|(key, _)| key.0 == zone);
             gone.for_each(|(_, count)| *count = 0);
@@ -69,76 +75,98 @@
 }
 
 /// `take|drain|hang|reboot holder JOB notice=S for S`: one machine that holds a task of a job.
-pub(super) fn holder_of_job(line: &Line) -> Result<Step, String> {
-    let (what, job) = (line.at(0)?.to_owned(), line.at(2)?.to_owned());
-    let (notice_s, for_s) = (line.given_or_zero("notice")?, line.for_s);
-    Ok(Box::new(move |sim| {
-        let Some(name) = holder(sim, &job) else {
-            return sim.invariants.broke("nobody", format!("no machine holds {job}"));
-        };
-        match what.as_str() {
-            "take" => sim.terminate_machine(name, notice_s),
-            "drain" => {
-                let node = sim.leading().unwrap_or(0);
-                let path = format!("/admin/machines/{name}/drain");
-                sim.expect_status(node, "POST", path, Vec::new(), 200);
-            }
-            "reboot" => sim.reboot(&name),
-            _ => {
-                sim.fault_lasts(for_s);
-                hang_for(sim, name, for_s);
-            }
+pub(super) fn holder_of_job(line: &Line) -> Result<Step, LineError> {
+    let job = line.token(2, "the name of a job")?.to_owned();
+    let notice_s = line.options.number_or("notice", 0.0)?;
+    let duration_s = line.duration_s;
+    let act: MachineStep = match line.token(0, "a verb")? {
+        "take" => Box::new(move |sim, name| sim.terminate_machine(name, notice_s)),
+        "drain" => Box::new(|sim, name| drain(sim, &name)),
+        "reboot" => Box::new(|sim, name| sim.reboot(&name)),
+        "hang" => Box::new(move |sim, name| {
+            sim.fault_lasts(duration_s);
+            hang_for(sim, name, duration_s);
+        }),
+        other => return Err(LineError::unexpected("take, drain, hang or reboot", other)),
+    };
+    Ok(Box::new(move |sim| match holder(sim, &job) {
+        Some(name) => act(sim, name),
+        None => {
+            let details = format!("no machine holds {job}");
+            sim.invariants.report(Invariant::ScenarioTarget, details);
         }
     }))
 }
 
-fn hang_for(sim: &mut Simulation, name: String, for_s: f64) {
-    let hang = move |sim: &mut Simulation, on: bool| {
+/// Drains a machine by way of the leader's admin API.
+fn drain(sim: &mut Simulation, name: &str) {
+    let node = sim.leading().unwrap_or(0);
+    let path = format!("/admin/machines/{name}/drain");
+    sim.expect_status(node, "POST", path, Vec::new(), 200);
+}
+
+/// Hangs a machine without a heartbeat that it was about to send.
+fn hang_for(sim: &mut Simulation, name: String, duration_s: f64) {
+    let set_hung = move |sim: &mut Simulation, hung: bool| {
         if let Some(worker) = sim.workers.get_mut(&name) {
-            worker.hung = on;
+            worker.hung = hung;
         }
     };
-    hang(sim, true);
-    sim.after(for_s, move |sim| hang(sim, false));
+    set_hung(sim, true);
+    sim.after(duration_s, move |sim| set_hung(sim, false));
+}
+
+/// What `hang`, `sick`, `slow`, `deaf` and `mute` do to a machine.
+#[derive(Debug, Clone, Copy)]
+enum MachineFault {
+    Hung,
+    FailsTasks,
+    Slow,
+    InboundPartition,
+    OutboundPartition,
+}
+
+impl MachineFault {
+    fn parse(verb: &str) -> Result<MachineFault, LineError> {
+        match verb {
+            "hang" => Ok(MachineFault::Hung),
+            "sick" => Ok(MachineFault::FailsTasks),
+            "slow" => Ok(MachineFault::Slow),
+            "deaf" => Ok(MachineFault::InboundPartition),
+            "mute" => Ok(MachineFault::OutboundPartition),
+            other => Err(LineError::unexpected("hang, sick, slow, deaf or mute", other)),
+        }
+    }
+
+    fn set(self, worker: &mut FakeWorker, now: f64, active: bool) {
+        match self {
+            MachineFault::Hung => worker.hang(now, active),
+            MachineFault::FailsTasks => worker.fails_tasks = active,
+            MachineFault::Slow => worker.slowdown = if active { SLOWDOWN } else { 1.0 },
+            MachineFault::InboundPartition => worker.inbound_partitioned = active,
+            MachineFault::OutboundPartition => worker.outbound_partitioned = active,
+        }
+    }
 }
 
 /// `hang|sick|slow|deaf|mute WHO for S`: so many machines, those that hold tasks of jobs, or
 /// those of `zone:NAME`.
-pub(super) fn degrade(line: &Line) -> Result<Step, String> {
-    let (what, who) = (line.at(0)?.to_owned(), line.at(1)?.to_owned());
-    let for_s = line.for_s;
-    let zone = who.strip_prefix("zone:").map(str::to_owned);
-    let jobs = if who.starts_with("job-") { names(&who) } else { Vec::new() };
-    let named = zone.is_some() || !jobs.is_empty();
-    let count = if named { 0 } else { number(&who)? as usize };
+pub(super) fn degrade(line: &Line) -> Result<Step, LineError> {
+    let fault = MachineFault::parse(line.token(0, "a verb")?)?;
+    let select = MachineSelector::parse(line.token(1, "which machines")?)?;
+    let duration_s = line.duration_s;
     Ok(Box::new(move |sim| {
-        let holds = |worker: &FakeWorker| {
-            zone.as_ref().is_some_and(|zone| *zone == worker.zone)
-                || worker.tasks.iter().any(|t| jobs.iter().any(|job| job == t.task.job.as_str()))
-        };
-        let mut names = busiest_workers(sim, count);
-        names.extend(sim.workers.values().filter(|w| holds(w)).map(|w| w.name.clone()));
-        if what == "hang" {
-            return sim.hang(names, for_s);
-        }
-        let set = move |sim: &mut Simulation, on: bool| {
+        let names = select.names(sim);
+        let set = move |sim: &mut Simulation, active: bool| {
+            let now = sim.now;
             for name in &names {
                 if let Some(worker) = sim.workers.get_mut(name) {
-                    set_degraded(worker, &what, on);
+                    fault.set(worker, now, active);
                 }
             }
         };
         set(sim, true);
-        sim.fault_lasts(for_s);
-        sim.after(for_s, move |sim| set(sim, false));
+        sim.fault_lasts(duration_s);
+        sim.after(duration_s, move |sim| set(sim, false));
     }))
 }
-
-fn set_degraded(worker: &mut FakeWorker, what: &str, on: bool) {
-    match what {
-        "deaf" => worker.inbound_partitioned = on,
-        "mute" => worker.outbound_partitioned = on,
-        "sick" => worker.fails_tasks = on,
-        _ => worker.slowdown = if on { SLOW } else { 1.0 },
-    }
-}
--- a/crates/gladekeel-testkit/src/scenario/steps/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/mod.rs
@@ -1,4 +1,4 @@
-//! What happens at a time: one function a kind of line, by what it happens to.
+//! The steps of `at` lines: one function for each verb, by what the verb acts on.
 
 mod line;
 mod machines;
@@ -7,16 +7,17 @@
 mod services;
 mod users;
 
+use super::LineError;
 use crate::simulation::Simulation;
 use line::Line;
 
-/// What happens at a time.
+/// What is executed at the time of an `at` line.
 pub(super) type Step = Box<dyn FnOnce(&mut Simulation)>;
 
-/// Reads what happens at a time.
-pub(super) fn step(text: &str) -> Result<Step, String> {
+/// Reads a step.
+pub(super) fn parse_step(text: &str) -> Result<Step, LineError> {
     let line = &Line::parse(text)?;
-    match line.at(0)? {
+    match line.token(0, "a step")? {
         "submit" => users::submit(line),
         "again" => users::submit_again(line),
         "poll" => users::poll(line),
@@ -38,14 +39,14 @@
         "links" => nodes::links(line),
         "state" => services::state(line),
         "cloud" => services::cloud(line),
-        "take" if line.is(1, "done") => machines::take_done(line),
-        "take" | "hang" if line.is(1, "zone") => machines::zone_of_job(line),
-        "take" | "drain" | "hang" | "reboot" if line.is(1, "holder") => {
+        "take" if line.has(1, "done") => machines::take_done(line),
+        "take" | "hang" if line.has(1, "zone") => machines::zone_of_job(line),
+        "take" | "drain" | "hang" | "reboot" if line.has(1, "holder") => {
             machines::holder_of_job(line)
         }
         "take" => machines::take(line),
         "reboot" => machines::reboot(line),
         "hang" | "sick" | "slow" | "deaf" | "mute" => machines::degrade(line),
-        other => Err(format!("nothing is called {other}")),
+        other => Err(LineError::unexpected("a step", other)),
     }
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/services.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/services.rs
@@ -1,57 +1,60 @@
-//! What happens to the state service and to the cloud.
+//! Faults of the store and of the cloud.
 
 use super::{Step, line::Line};
-use crate::{scenario::targets::node_indices, stand_ins::store::StoreLimits};
+use crate::{
+    scenario::{LineError, targets::node_indices},
+    stand_ins::store::StoreLimits,
+};
 
 /// `state down|slow FACTOR|mute|refuses WHO|spoils|forgets|limits KEY=N for S`.
-pub(super) fn state(line: &Line) -> Result<Step, String> {
-    let for_s = line.for_s;
-    Ok(match line.at(1)? {
+pub(super) fn state(line: &Line) -> Result<Step, LineError> {
+    let duration_s = line.duration_s;
+    Ok(match line.token(1, "a target")? {
         "down" => Box::new(move |sim| {
             let now = sim.now;
             sim.store.set_outage(now, true);
-            sim.fault_lasts(for_s);
-            sim.after(for_s, |sim| {
+            sim.fault_lasts(duration_s);
+            sim.after(duration_s, |sim| {
                 let now = sim.now;
                 sim.store.set_outage(now, false);
             });
         }),
         "slow" => {
-            let factor = line.number_at(2)?;
+            let factor = line.number(2, "a number")?;
             Box::new(move |sim| {
                 sim.store_slowdown = factor;
-                sim.fault_lasts(for_s);
-                sim.after(for_s, |sim| sim.store_slowdown = 1.0);
+                sim.fault_lasts(duration_s);
+                sim.after(duration_s, |sim| sim.store_slowdown = 1.0);
             })
         }
         "mute" => Box::new(move |sim| {
             sim.store_responses_lost = true;
-            sim.fault_lasts(for_s);
-            sim.after(for_s, |sim| sim.store_responses_lost = false);
+            sim.fault_lasts(duration_s);
+            sim.after(duration_s, |sim| sim.store_responses_lost = false);
         }),
         "refuses" => {
-            let who = line.at(2)?.to_owned();
+            let who = line.token(2, "a target")?.to_owned();
             Box::new(move |sim| {
-                sim.store.refused = node_indices(sim, &who);
-                sim.fault_lasts(for_s);
-                sim.after(for_s, |sim| sim.store.refused.clear());
+                sim.store.refused_nodes = node_indices(sim, &who);
+                sim.fault_lasts(duration_s);
+                sim.after(duration_s, |sim| sim.store.refused_nodes.clear());
             })
         }
         "spoils" => Box::new(move |sim| {
             sim.store.corrupt_assignment_log(true);
-            sim.fault_lasts(for_s);
-            sim.after(for_s, |sim| sim.store.corrupt_assignment_log(false));
+            sim.fault_lasts(duration_s);
+            sim.after(duration_s, |sim| sim.store.corrupt_assignment_log(false));
         }),
         "forgets" => Box::new(|sim| sim.store.compact_history()),
         "limits" => return limits(line),
-        other => return Err(format!("the state service cannot {other}")),
+        other => return Err(LineError::unexpected("a fault of the store", other)),
     })
 }
 
 /// `state limits value_kb=N txn_ops=N write_rps=N rps=N`; what is not named stays.
-fn limits(line: &Line) -> Result<Step, String> {
-    let (value, ops) = (line.given("value_kb")?, line.given("txn_ops")?);
-    let (writes, rps) = (line.given("write_rps")?, line.given("rps")?);
+fn limits(line: &Line) -> Result<Step, LineError> {
+    let (value, ops) = (line.options.number("value_kb")?, line.options.number("txn_ops")?);
+    let (writes, rps) = (line.options.number("write_rps")?, line.options.number("rps")?);
     Ok(Box::new(move |sim| {
         let now = sim.store.limits();
         sim.store.lower_limits(StoreLimits {
@@ -64,18 +67,18 @@
 }
 
 /// `cloud down|machines_not_booting COUNT|empty for S`.
-pub(super) fn cloud(line: &Line) -> Result<Step, String> {
-    let for_s = line.for_s;
-    Ok(match line.at(1)? {
+pub(super) fn cloud(line: &Line) -> Result<Step, LineError> {
+    let duration_s = line.duration_s;
+    Ok(match line.token(1, "a target")? {
         "down" => Box::new(move |sim| {
             sim.cloud.down = true;
-            sim.after(for_s, |sim| sim.cloud.down = false);
+            sim.after(duration_s, |sim| sim.cloud.down = false);
         }),
         "duds" => {
-            let count = line.number_at(2)? as u32;
+            let count = line.number(2, "a number")? as u32;
             Box::new(move |sim| sim.cloud.machines_not_booting = count)
         }
         "empty" => Box::new(|sim| sim.cloud.capacity.values_mut().for_each(|n| *n = 0)),
-        other => return Err(format!("the cloud cannot {other}")),
+        other => return Err(LineError::unexpected("a fault of the cloud", other)),
     })
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/users.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/users.rs
@@ -1,28 +1,31 @@
-//! What users do.
+//! Steps of users.
 
 use super::{Step, line::Line};
 use crate::{
     scenario::{
+        LineError,
+        job::build_job,
         targets::node_indices,
         tokens::{names, number},
-        world::job,
     },
     simulation::Simulation,
 };
 use gladekeel_wire::job::JobSpec;
 
 /// `submit JOBS tasks=N ...`; with `every=S` one after the other, a part of them `cancelled`.
-pub(super) fn submit(line: &Line) -> Result<Step, String> {
-    let specs: Vec<JobSpec> =
-        names(line.at(1)?).iter().map(|name| job(name, &line.words)).collect::<Result<_, _>>()?;
-    let apart_s = line.given_or_zero("apart")?;
-    let every_s = line.given_or_zero("every")?;
-    let cancelled = line.given_or_zero("cancelled")?;
+pub(super) fn submit(line: &Line) -> Result<Step, LineError> {
+    let specs: Vec<JobSpec> = names(line.token(1, "a target")?)
+        .iter()
+        .map(|name| build_job(name, &line.options))
+        .collect::<Result<_, _>>()?;
+    let run_time_step_s = line.options.number_or("apart", 0.0)?;
+    let interval_s = line.options.number_or("every", 0.0)?;
+    let cancelled_share = line.options.number_or("cancelled", 0.0)?;
     Ok(Box::new(move |sim| {
-        for (place, spec) in specs.into_iter().enumerate() {
-            sim.invariants.apart_s.insert(spec.id.clone(), apart_s);
-            if every_s > 0.0 {
-                sim.submit_in_stream(spec, place as f64 * every_s, cancelled);
+        for (index, spec) in specs.into_iter().enumerate() {
+            sim.invariants.run_time_step_s.insert(spec.id.clone(), run_time_step_s);
+            if interval_s > 0.0 {
+                sim.submit_in_stream(spec, index as f64 * interval_s, cancelled_share);
             } else {
                 sim.submit(spec);
             }
@@ -31,15 +34,15 @@
 }
 
 /// `again JOBS`: the same submissions once more.
-pub(super) fn submit_again(line: &Line) -> Result<Step, String> {
+pub(super) fn submit_again(line: &Line) -> Result<Step, LineError> {
     let ids = line.jobs(1)?;
     Ok(Box::new(move |sim| ids.into_iter().for_each(|id| sim.submit_again(id))))
 }
 
 /// `poll JOBS times=N`.
-pub(super) fn poll(line: &Line) -> Result<Step, String> {
+pub(super) fn poll(line: &Line) -> Result<Step, LineError> {
     let ids = line.jobs(1)?;
-    let times = line.given("times")?.unwrap_or(1.0) as u32;
+    let times = line.options.number("times")?.unwrap_or(1.0) as u32;
     Ok(Box::new(move |sim| {
         for id in ids {
             (0..times).for_each(|_| sim.poll_once(id.clone()));
@@ -49,12 +52,12 @@
 
 /// The nodes that `through=WHO` names; none if it is not said.
 fn through(line: &Line) -> impl FnOnce(&Simulation) -> Vec<usize> + 'static {
-    let who = line.words.get("through").map(|who| (*who).to_owned());
+    let who = line.options.text("through").map(str::to_owned);
     move |sim| who.map_or_else(Vec::new, |who| node_indices(sim, &who))
 }
 
 /// `cancel JOBS through=WHO`.
-pub(super) fn cancel(line: &Line) -> Result<Step, String> {
+pub(super) fn cancel(line: &Line) -> Result<Step, LineError> {
     let ids = line.jobs(1)?;
     let through = through(line);
     Ok(Box::new(move |sim| {
@@ -64,9 +67,9 @@
 }
 
 /// `cancel_now COUNT hang=S through=WHO`: the longest running jobs, all at once.
-pub(super) fn cancel_now(line: &Line) -> Result<Step, String> {
-    let count = line.number_at(1)? as usize;
-    let hang_s = line.given_or_zero("hang")?;
+pub(super) fn cancel_now(line: &Line) -> Result<Step, LineError> {
+    let count = line.number(1, "a number")? as usize;
+    let hang_s = line.options.number_or("hang", 0.0)?;
     let through = through(line);
     Ok(Box::new(move |sim| {
         let nodes = through(sim);
@@ -74,42 +77,43 @@
     }))
 }
 
-/// `cancel_at_end SHARE for S`: that share of the jobs that end, at that moment.
-pub(super) fn cancel_at_end(line: &Line) -> Result<Step, String> {
-    let (share, for_s) = (line.number_at(1)?, line.for_s);
+/// `cancel_at_end SHARE for S`: this share of the jobs that end, at that moment.
+pub(super) fn cancel_at_end(line: &Line) -> Result<Step, LineError> {
+    let (share, duration_s) = (line.number(1, "a number")?, line.duration_s);
     Ok(Box::new(move |sim| {
         sim.cancel_at_completion_share = share;
-        sim.after(for_s, |sim| sim.cancel_at_completion_share = 0.0);
+        sim.after(duration_s, |sim| sim.cancel_at_completion_share = 0.0);
     }))
 }
 
 /// `close_looks for S`: users ask at all nodes at once when a job is accepted, over or
 /// cancelled.
 pub(super) fn read_your_writes(line: &Line) -> Step {
-    let for_s = line.for_s;
-    Box::new(move |sim| sim.read_your_writes.until = sim.now + for_s)
+    let duration_s = line.duration_s;
+    Box::new(move |sim| sim.read_your_writes.until = sim.now + duration_s)
 }
 
 /// `odd for S`: repeats, cancellations of jobs that are done, jobs that cannot run.
 pub(super) fn malformed_requests(line: &Line) -> Step {
-    let for_s = line.for_s;
+    let duration_s = line.duration_s;
     Box::new(move |sim| {
-        let until = sim.now + for_s;
+        let until = sim.now + duration_s;
         sim.send_malformed_requests(until);
     })
 }
 
 /// `http METHOD PATH BODY = STATUS`: a request to the leader and the status that it must get.
-pub(super) fn http(line: &Line) -> Result<Step, String> {
-    let (request, status) = line.text.rsplit_once(" = ").ok_or("http METHOD PATH BODY = STATUS")?;
+pub(super) fn http(line: &Line) -> Result<Step, LineError> {
+    let (request, status) =
+        line.text.rsplit_once(" = ").ok_or(LineError::Missing { expected: "= STATUS" })?;
     let mut parts = request.splitn(4, ' ').skip(1);
     let method = match parts.next() {
         Some("GET") => "GET",
         Some("PUT") => "PUT",
         Some("POST") => "POST",
-        other => return Err(format!("no method {other:?}")),
+        other => return Err(LineError::unexpected("a method", other.unwrap_or_default())),
     };
-    let path = parts.next().ok_or("a path is missing")?.to_owned();
+    let path = parts.next().ok_or(LineError::Missing { expected: "a path" })?.to_owned();
     let body = parts.next().unwrap_or("").to_owned();
     let status = number(status)? as u16;
     Ok(Box::new(move |sim| {
@@ -119,11 +123,12 @@
 }
 
 /// `ask NODE METHOD PATH = STATUS`: the same of a certain node.
-pub(super) fn ask(line: &Line) -> Result<Step, String> {
-    let (node, path) = (line.at(1)?.to_owned(), line.at(3)?.to_owned());
-    let method = if line.at(2)? == "POST" { "POST" } else { "GET" };
-    let last = line.plain.len().saturating_sub(1);
-    let status = line.number_at(last)? as u16;
+pub(super) fn ask(line: &Line) -> Result<Step, LineError> {
+    let (node, path) =
+        (line.token(1, "a target")?.to_owned(), line.token(3, "a target")?.to_owned());
+    let method = if line.token(2, "a target")? == "POST" { "POST" } else { "GET" };
+    let last = line.tokens.len().saturating_sub(1);
+    let status = line.number(last, "a status")? as u16;
     Ok(Box::new(move |sim| {
         for node in node_indices(sim, &node) {
             sim.expect_status(node, method, path.clone(), Vec::new(), status);
--- a/crates/gladekeel-testkit/src/scenario/targets.rs
+++ b/crates/gladekeel-testkit/src/scenario/targets.rs
@@ -1,6 +1,9 @@
-//! Which nodes and machines a line means.
+//! The nodes and machines that a step acts on.
 
-use super::tokens::id;
+use super::{
+    LineError,
+    tokens::{job_id, names, number},
+};
 use crate::{
     simulation::Simulation,
     stand_ins::worker::{FakeTask, FakeWorker},
@@ -17,13 +20,13 @@
 
 /// Takes all machines of a gang but one as soon as it has completed.
 pub(super) fn terminate_holders_once_done(sim: &mut Simulation, job: String) {
-    let done = id(&job).is_ok_and(|id| sim.gangs.record(&id).done);
+    let done = job_id(&job).is_ok_and(|id| sim.gangs.record(&id).done);
     if !done {
         return sim.after(0.01, move |sim| terminate_holders_once_done(sim, job));
     }
     let holds = |w: &&FakeWorker| w.tasks.iter().any(|t| t.task.job.as_str() == job);
     let names: Vec<String> =
-        sim.workers.values().filter(holds).map(|worker| worker.name.clone()).collect();
+        sim.workers.values().filter(holds).map(|worker| worker.machine.name.clone()).collect();
     for name in names.into_iter().skip(1) {
         sim.terminate_machine(name, 0.0);
     }
@@ -40,9 +43,50 @@
         worker.tasks.iter().any(waits)
     };
     let found = sim.workers.values().rfind(waits).or_else(|| sim.workers.values().rfind(holds));
-    found.map(|worker| worker.name.clone())
+    found.map(|worker| worker.machine.name.clone())
+}
+
+/// The machines that `WHO` of `hang|sick|slow|deaf|mute WHO` names.
+#[derive(Debug)]
+pub(super) enum MachineSelector {
+    /// So many, those with tasks first.
+    Count(usize),
+    /// All of a zone.
+    Zone(String),
+    /// Those that hold a task of one of the jobs.
+    HoldersOf(Vec<String>),
+}
+
+impl MachineSelector {
+    /// Reads `COUNT`, `zone:NAME` or the names of jobs.
+    pub fn parse(text: &str) -> Result<MachineSelector, LineError> {
+        if let Some(zone) = text.strip_prefix("zone:") {
+            return Ok(MachineSelector::Zone(zone.to_owned()));
+        }
+        if text.starts_with("job-") {
+            return Ok(MachineSelector::HoldersOf(names(text)));
+        }
+        Ok(MachineSelector::Count(number(text)? as usize))
+    }
+
+    /// Their names.
+    pub fn names(&self, sim: &Simulation) -> Vec<String> {
+        let is_selected = |worker: &&FakeWorker| match self {
+            MachineSelector::Count(_) => false,
+            MachineSelector::Zone(zone) => *zone == worker.machine.zone,
+            MachineSelector::HoldersOf(jobs) => {
+                worker.tasks.iter().any(|t| jobs.iter().any(|job| job == t.task.job.as_str()))
+            }
+        };
+        if let MachineSelector::Count(count) = self {
+            return busiest_workers(sim, *count);
+        }
+        let selected = sim.workers.values().filter(is_selected);
+        selected.map(|worker| worker.machine.name.clone()).collect()
+    }
 }
 
+/// The indices of the nodes that `leader`, `others`, `all` or a number means now.
 pub(super) fn node_indices(sim: &Simulation, who: &str) -> Vec<usize> {
     match who {
         "leader" => sim.leading().into_iter().collect(),
--- a/crates/gladekeel-testkit/src/scenario/tokens.rs
+++ b/crates/gladekeel-testkit/src/scenario/tokens.rs
@@ -1,35 +1,64 @@
-//! KeyValues of a line, and the numbers and names among them.
+//! The tokens of a scenario line: plain ones, `key=value` pairs, numbers and job names.
 
+use super::LineError;
 use gladekeel_wire::JobId;
 use std::collections::BTreeMap;
 
-/// The `key=value` words of a line.
-pub(super) type KeyValues<'a> = BTreeMap<&'a str, &'a str>;
+/// The `key=value` tokens of a line.
+#[derive(Debug, Default)]
+pub(super) struct KeyValues<'a>(BTreeMap<&'a str, &'a str>);
 
-/// Splits `key=value` words from plain ones.
+impl<'a> KeyValues<'a> {
+    /// Whether the key is there.
+    pub fn contains(&self, key: &str) -> bool {
+        self.0.contains_key(key)
+    }
+
+    /// The value of a key.
+    pub fn text(&self, key: &str) -> Option<&'a str> {
+        self.0.get(key).copied()
+    }
+
+    /// The number of a key, if it is there.
+    pub fn number(&self, key: &str) -> Result<Option<f64>, LineError> {
+        self.text(key).map(number).transpose()
+    }
+
+    /// The number of a key, or a default.
+    pub fn number_or(&self, key: &str, default: f64) -> Result<f64, LineError> {
+        Ok(self.number(key)?.unwrap_or(default))
+    }
+
+    /// All pairs in the order of their keys.
+    pub fn iter(&self) -> impl Iterator<Item = (&'a str, &'a str)> {
+        self.0.iter().map(|(key, value)| (*key, *value))
+    }
+}
+
+/// Splits the `key=value` tokens of a text from the plain ones.
 pub(super) fn split(text: &str) -> (Vec<&str>, KeyValues<'_>) {
     let mut plain = Vec::new();
-    let mut pairs = BTreeMap::new();
-    for word in text.split_whitespace() {
-        match word.split_once('=') {
+    let mut pairs = KeyValues::default();
+    for token in text.split_whitespace() {
+        match token.split_once('=') {
             Some((key, value)) => {
-                pairs.insert(key, value);
+                pairs.0.insert(key, value);
             }
-            None => plain.push(word),
+            None => plain.push(token),
         }
     }
     (plain, pairs)
 }
 
-pub(super) fn number(text: &str) -> Result<f64, String> {
-    text.parse().map_err(|_| format!("not a number: {text}"))
+pub(super) fn number(text: &str) -> Result<f64, LineError> {
+    text.parse().map_err(|_| LineError::unexpected("a number", text))
 }
 
-pub(super) fn id(text: &str) -> Result<JobId, String> {
-    text.parse().map_err(|error| format!("{error}"))
+pub(super) fn job_id(text: &str) -> Result<JobId, LineError> {
+    text.parse().map_err(|_| LineError::unexpected("a job's name", text))
 }
 
-/// Names like `job-1..3`, spelled out.
+/// Spells out names like `job-1..3`.
 pub(super) fn names(text: &str) -> Vec<String> {
     let range = text.split_once("..").and_then(|(first, last)| {
         let (stem, from) = first.rsplit_once('-')?;
--- a/crates/gladekeel-testkit/src/simulation/mod.rs
+++ b/crates/gladekeel-testkit/src/simulation/mod.rs
@@ -1,7 +1,8 @@
-//! The simulated world: events in virtual time between nodes and stand-ins. What each kind
-//! of participant does is in a module of its own.
+//! The simulation: events in virtual time between nodes, fakes and users, over a network that
+//! delays, loses and holds back messages. What each participant does is in a module of its own.
 
 mod decision_trace;
+mod heartbeats;
 mod machines;
 mod malformed_requests;
 mod message_faults;
@@ -12,6 +13,7 @@
 mod requests;
 mod services;
 mod users;
+mod worker_commands;
 
 pub use decision_trace::TraceDigest;
 pub use message_faults::MessageFaults;
@@ -32,54 +34,59 @@
 use rand::{SeedableRng, rngs::StdRng};
 use std::collections::BTreeMap;
 
-/// What happens at a time.
+/// What happens at a point in time.
 type ScheduledEvent = Box<dyn FnOnce(&mut Simulation)>;
-/// What its sender does with the answer to a request, or without one.
+/// What the sender of a request does with the reply, or without one.
 type ResponseHandler = Box<dyn FnOnce(&mut Simulation, Option<Reply>)>;
 
+/// Microseconds of a second.
+const MICROSECONDS: f64 = 1e6;
 /// Time between ticks of a node and steps of a worker.
 const STEP_S: f64 = 0.1;
-/// Time that a worker waits for an answer.
-const ANSWER_S: f64 = 4.0;
+/// Time that a worker waits for the response to a heartbeat.
+const RESPONSE_TIMEOUT_S: f64 = 4.0;
 
-/// A controller, running or not.
+/// A node and its host: the node may be restarted or paused.
 struct SimulatedNode {
-    node: Option<Node>,
+    /// The running node; none while it is down.
+    process: Option<Node>,
     settings: Settings,
+    /// Counts the starts, so that what was meant for an earlier process is dropped.
     incarnation: u64,
-    started: f64,
-    /// It stands still until then, while its clock runs on.
+    started_at: f64,
+    /// The process is paused until then, while its clock runs on.
     paused_until: f64,
-    replies: BTreeMap<RequestId, ResponseHandler>,
+    pending_requests: BTreeMap<RequestId, ResponseHandler>,
     next_request: RequestId,
 }
 
-/// The world.
+/// A cluster with everything around it.
 pub struct Simulation {
     /// Seconds since the beginning.
     pub now: f64,
+    /// Events by microsecond, in the order of their scheduling.
     queue: BTreeMap<(u64, u64), ScheduledEvent>,
-    count: u64,
+    scheduled_events: u64,
     rng: StdRng,
     nodes: Vec<SimulatedNode>,
-    /// The state service.
+    /// The store.
     pub store: FakeStore,
-    /// While set, the state service carries requests out and does not answer.
+    /// While set, the store executes requests and does not answer.
     pub store_responses_lost: bool,
     /// The leader ends once so many more of its transactions have been made, before it
     /// learns of the last one, and comes back after so many seconds.
     pub crash_after_commits: Option<(u32, f64)>,
-    /// Part of the transactions that get no answer and are carried out 2 to 12 s later.
+    /// Share of the transactions that get no answer and are executed 2 to 12 s later.
     pub delayed_commit_share: f64,
-    /// How many times longer requests to the state service and answers take.
+    /// By which factor requests to the store and their answers take longer.
     pub store_slowdown: f64,
-    /// How many times longer every message takes.
+    /// By which factor every message takes longer.
     pub network_slowdown: f64,
-    /// Part of the jobs that are called off at the moment at which their last task ends.
+    /// Share of the jobs that are cancelled at the moment at which their last task ends.
     pub cancel_at_completion_share: f64,
     /// Faults of single messages.
     pub message_faults: MessageFaults,
-    /// Jobs that users look at closely.
+    /// Queries of all nodes right after a client learned something new.
     pub read_your_writes: ReadYourWritesProbe,
     /// The cloud.
     pub cloud: FakeCloud,
@@ -90,34 +97,32 @@
     /// How long a task waits for the others of its gang.
     pub gang_wait_s: f64,
     gangs_stepping: bool,
-    /// The checker.
+    /// Checks the invariants.
     pub invariants: InvariantChecker,
     cuts: Vec<ActiveCut>,
-    /// Part of the requests to services that arrive a second time, later.
+    /// Share of the requests to store and cloud that arrive a second time, later.
     pub duplicated_request_share: f64,
-    /// Part of the reports that arrive again, at any node, up to three leases later.
+    /// Share of the heartbeats that arrive again, at any node, up to three leases later.
     pub duplicated_heartbeat_share: f64,
     /// Time between steps of a worker.
     pub step_s: f64,
-    /// Start every task on a second machine as well: a fault for the checker to find.
+    /// Seeded fault: every task is started on a second machine as well.
     pub start_tasks_twice: bool,
     /// Token and node of every leader seen.
     pub leaders: Vec<(u64, usize)>,
-    /// When each token's leadership began, by its node's clock.
-    leadership_terms: BTreeMap<u64, f64>,
-    /// Users' requests that got no final answer within their time.
+    /// Submissions that users gave up before they were accepted.
     pub abandoned_submissions: u64,
-    /// Jobs that users follow.
+    /// Jobs that users have submitted.
     pub submitted_jobs: Vec<JobId>,
-    /// Odd requests sent so far: each is another one.
+    /// Malformed requests sent so far: each is another one.
     malformed_requests: u64,
     lease_s: f64,
-    report_s: f64,
+    heartbeat_interval_s: f64,
     trace: DecisionTrace,
 }
 
 impl Simulation {
-    /// A world whose nodes have these settings.
+    /// A cluster whose nodes have these settings, just started.
     pub fn new(
         settings: Vec<Settings>,
         store: FakeStore,
@@ -128,17 +133,17 @@
         let mut sim = Simulation {
             now: 0.0,
             queue: BTreeMap::new(),
-            count: 0,
+            scheduled_events: 0,
             rng: StdRng::seed_from_u64(seed),
             nodes: settings
                 .into_iter()
                 .map(|settings| SimulatedNode {
-                    node: None,
+                    process: None,
                     settings,
                     incarnation: 0,
-                    started: 0.0,
+                    started_at: 0.0,
                     paused_until: 0.0,
-                    replies: BTreeMap::new(),
+                    pending_requests: BTreeMap::new(),
                     next_request: 0,
                 })
                 .collect(),
@@ -157,7 +162,7 @@
             gang_wait_s: 30.0,
             gangs_stepping: false,
             lease_s: params.workers.lease_s,
-            report_s: params.workers.heartbeat_interval_s,
+            heartbeat_interval_s: params.workers.heartbeat_interval_s,
             invariants: InvariantChecker::new(params),
             malformed_requests: 0,
             cuts: Vec::new(),
@@ -166,12 +171,11 @@
             step_s: STEP_S,
             start_tasks_twice: false,
             leaders: Vec::new(),
-            leadership_terms: BTreeMap::new(),
             abandoned_submissions: 0,
             submitted_jobs: Vec::new(),
             trace: DecisionTrace::default(),
         };
-        sim.invariants.types.clone_from(&sim.cloud.types);
+        sim.invariants.machine_types.clone_from(&sim.cloud.types);
         for node in 0..sim.nodes.len() {
             sim.start(node);
         }
@@ -179,11 +183,11 @@
         sim
     }
 
-    /// Does something after a while.
-    pub fn after(&mut self, seconds: f64, job: impl FnOnce(&mut Simulation) + 'static) {
-        let at = ((self.now + seconds.max(0.0)) * 1e6) as u64;
-        self.count += 1;
-        self.queue.insert((at, self.count), Box::new(job));
+    /// Schedules an event.
+    pub fn after(&mut self, seconds: f64, event: impl FnOnce(&mut Simulation) + 'static) {
+        let at = ((self.now + seconds.max(0.0)) * MICROSECONDS) as u64;
+        self.scheduled_events += 1;
+        self.queue.insert((at, self.scheduled_events), Box::new(event));
     }
 
     /// The digest of all that the nodes have sent so far.
@@ -193,16 +197,16 @@
 
     /// Runs until a time.
     pub fn run(&mut self, until: f64) {
-        while let Some(((at, count), job)) = self.queue.pop_first() {
-            let at_s = at as f64 / 1e6;
+        while let Some(((at, count), event)) = self.queue.pop_first() {
+            let at_s = at as f64 / MICROSECONDS;
             if at_s > until {
-                self.queue.insert((at, count), job);
+                self.queue.insert((at, count), event);
                 break;
             }
             self.now = self.now.max(at_s);
-            job(self);
-            self.invariants.check_cancelled(self.now);
-            self.invariants.check_together(self.now);
+            event(self);
+            self.invariants.check_cancellation_deadlines(self.now);
+            self.invariants.check_gang_starts(self.now);
         }
         self.now = until;
     }
--- a/crates/gladekeel-testkit/src/simulation/network.rs
+++ b/crates/gladekeel-testkit/src/simulation/network.rs
@@ -1,14 +1,14 @@
-//! The network: delays, cuts, and packets that are held back.
+//! The network: delays, partitions, and messages that are held back.
 
 use super::Simulation;
 use rand::Rng;
 
-/// One end of a connection.
+/// A participant of a connection.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Endpoint {
-    /// A controller.
+    /// A node.
     Node(usize),
-    /// The state service.
+    /// The store.
     Store,
     /// The cloud.
     Cloud,
@@ -21,30 +21,30 @@
 /// What a cut separates.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Cut {
-    /// A node from one kind of other end, or from all.
+    /// A node from one kind of participant, or from all.
     Node(usize, CutScope),
     /// Two zones from one another.
     Zones(String, String),
 }
 
-/// The other side of a node's cut.
+/// From whom a node is cut off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CutScope {
     /// Everything.
     All,
     /// Workers.
     Workers,
-    /// The state service.
+    /// The store.
     Store,
     /// The cloud.
     Cloud,
-    /// Other controllers.
+    /// Other nodes.
     Mesh,
     /// Users.
     Users,
 }
 
-/// A cut that lasts until a time; with `hold`, packets arrive then.
+/// A cut that lasts until a time; with `hold`, messages arrive then.
 #[derive(Debug, Clone)]
 pub(super) struct ActiveCut {
     cut: Cut,
@@ -52,11 +52,11 @@
     hold: bool,
 }
 
-/// What becomes of a packet.
-enum Path {
+/// What becomes of a message.
+enum Delivery {
     Open,
     Lost,
-    Held(f64),
+    HeldUntil(f64),
 }
 
 impl Simulation {
@@ -68,7 +68,7 @@
         }
     }
 
-    fn path(&self, a: &Endpoint, b: &Endpoint) -> Path {
+    fn delivery(&self, a: &Endpoint, b: &Endpoint) -> Delivery {
         for active in self.cuts.iter().filter(|active| self.now < active.until) {
             let hit = match &active.cut {
                 Cut::Node(node, from) => {
@@ -94,21 +94,26 @@
                 }
             };
             if hit {
-                return if active.hold { Path::Held(active.until) } else { Path::Lost };
+                return if active.hold {
+                    Delivery::HeldUntil(active.until)
+                } else {
+                    Delivery::Lost
+                };
             }
         }
-        Path::Open
+        Delivery::Open
     }
 
-    /// Cuts something off for a while; with `hold` packets arrive afterwards.
-    pub fn cut(&mut self, cut: Cut, for_s: f64, hold: bool) {
-        self.fault_lasts(for_s);
-        self.cuts.push(ActiveCut { cut, until: self.now + for_s, hold });
+    /// Cuts connections for a while; with `hold`, messages arrive afterwards.
+    pub fn cut(&mut self, cut: Cut, duration_s: f64, hold: bool) {
+        self.fault_lasts(duration_s);
+        self.cuts.push(ActiveCut { cut, until: self.now + duration_s, hold });
     }
 
-    /// A trouble lasts for so long.
-    pub fn fault_lasts(&mut self, for_s: f64) {
-        self.invariants.faults_cleared_at = self.invariants.faults_cleared_at.max(self.now + for_s);
+    /// Notes that a fault is active for so long: liveness is not checked meanwhile.
+    pub fn fault_lasts(&mut self, duration_s: f64) {
+        self.invariants.faults_cleared_at =
+            self.invariants.faults_cleared_at.max(self.now + duration_s);
     }
 
     pub(super) fn delay(&mut self) -> f64 {
@@ -120,13 +125,13 @@
         &mut self,
         from: &Endpoint,
         to: &Endpoint,
-        job: impl FnOnce(&mut Simulation) + 'static,
+        receive: impl FnOnce(&mut Simulation) + 'static,
     ) {
         let delay = self.delay();
-        match self.path(from, to) {
-            Path::Open => self.after(delay, job),
-            Path::Held(until) => self.after(until - self.now + delay, job),
-            Path::Lost => {}
+        match self.delivery(from, to) {
+            Delivery::Open => self.after(delay, receive),
+            Delivery::HeldUntil(until) => self.after(until - self.now + delay, receive),
+            Delivery::Lost => {}
         }
     }
 }
--- a/crates/gladekeel-testkit/src/simulation/nodes.rs
+++ b/crates/gladekeel-testkit/src/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! Controllers: their starts and ends, their clocks, the events and actions between them.
+//! Nodes: their starts, crashes and pauses, their clocks, the events and actions between them.
 
 use super::{Endpoint, ResponseHandler, STEP_S, SimulatedNode, Simulation};
 use gladekeel_controller::node::{Action, Event, Node};
@@ -11,45 +11,46 @@
         let seed = self.rng.random();
         let host = &mut self.nodes[node];
         host.incarnation += 1;
-        host.started = self.now;
+        host.started_at = self.now;
         host.paused_until = self.now;
-        host.replies.clear();
-        host.node = Some(Node::new(host.settings.clone(), seed, host.started));
+        host.pending_requests.clear();
+        host.process = Some(Node::new(host.settings.clone(), seed, host.started_at));
         let incarnation = host.incarnation;
         self.tick(node, incarnation);
     }
 
-    /// Lets a node stand still; what reaches it meanwhile waits.
-    pub fn pause(&mut self, node: usize, for_s: f64) {
-        self.fault_lasts(for_s);
-        self.nodes[node].paused_until = self.now + for_s;
+    /// Pauses a node; what reaches it meanwhile waits.
+    pub fn pause(&mut self, node: usize, duration_s: f64) {
+        self.fault_lasts(duration_s);
+        self.nodes[node].paused_until = self.now + duration_s;
     }
 
-    /// Ends a node without notice.
+    /// Crashes a node.
     pub fn crash(&mut self, node: usize) {
         let host = &mut self.nodes[node];
-        host.node = None;
-        let lost: Vec<ResponseHandler> = std::mem::take(&mut host.replies).into_values().collect();
-        for then in lost {
-            then(self, None);
+        host.process = None;
+        let unanswered: Vec<ResponseHandler> =
+            std::mem::take(&mut host.pending_requests).into_values().collect();
+        for handler in unanswered {
+            handler(self, None);
         }
     }
 
-    /// Ends a node and starts it again after a while.
+    /// Crashes a node and starts it again after a while.
     pub fn restart(&mut self, node: usize, after_s: f64) {
         self.crash(node);
         self.fault_lasts(after_s);
         self.after(after_s, move |sim| {
-            if sim.nodes[node].node.is_none() {
+            if sim.nodes[node].process.is_none() {
                 sim.start(node);
             }
         });
     }
 
-    /// The node that leads, as far as any of them thinks so.
+    /// The node that leads: of those that believe so, the one with the highest token.
     pub fn leading(&self) -> Option<usize> {
         let leads =
-            |host: &SimulatedNode| host.node.as_ref().and_then(|n| n.leader()).map(|l| l.token);
+            |host: &SimulatedNode| host.process.as_ref().and_then(|n| n.leader()).map(|l| l.token);
         (0..self.nodes.len())
             .filter_map(|node| Some((leads(&self.nodes[node])?, node)))
             .max()
@@ -59,23 +60,23 @@
     /// The leader's counters.
     pub fn leader_counts(&self) -> Option<gladekeel_controller::leader::LeaderCounters> {
         let node = self.leading()?;
-        Some(self.nodes[node].node.as_ref()?.leader()?.counters().clone())
+        Some(self.nodes[node].process.as_ref()?.leader()?.counters().clone())
     }
 
-    /// Segments of the leader's log in use.
+    /// Segments of the assignment log in use.
     pub fn log_segments(&self) -> usize {
-        let node = self.leading().and_then(|node| self.nodes[node].node.as_ref());
+        let node = self.leading().and_then(|node| self.nodes[node].process.as_ref());
         node.and_then(|node| node.leader()).map_or(0, |leader| leader.log_segments())
     }
 
-    /// Age of the oldest open job, by the leader's count.
+    /// Age of the oldest open job, as the leader knows it.
     pub fn oldest_job_s(&self) -> Option<f64> {
         let host = &self.nodes[self.leading()?];
-        host.node.as_ref()?.leader()?.oldest_job_s(self.now - host.started)
+        host.process.as_ref()?.leader()?.oldest_job_s(self.now - host.started_at)
     }
 
     fn tick(&mut self, node: usize, incarnation: u64) {
-        if self.nodes[node].incarnation != incarnation || self.nodes[node].node.is_none() {
+        if self.nodes[node].incarnation != incarnation || self.nodes[node].process.is_none() {
             return;
         }
         let paused_s = self.nodes[node].paused_until - self.now;
@@ -83,13 +84,9 @@
             return self.after(paused_s, move |sim| sim.tick(node, incarnation));
         }
         self.event(node, incarnation, Event::Tick);
-        if let Some(leader) = self.nodes[node].node.as_ref().and_then(|n| n.leader()) {
+        if let Some(leader) = self.nodes[node].process.as_ref().and_then(|n| n.leader()) {
             let seen = (leader.token, node);
-            // Attempts are numbered by token: nobody may lead twice under one.
-            let since = leader.since();
-            if *self.leadership_terms.entry(seen.0).or_insert(since) != since {
-                self.invariants.broke("token_reused", format!("{:.2}: {}", self.now, seen.0));
-            }
+            self.invariants.on_leadership(self.now, seen.0, leader.since());
             if !self.leaders.contains(&seen) {
                 self.leaders.push(seen);
                 self.release_retained_heartbeats();
@@ -108,9 +105,9 @@
         if paused_s > 0.0 {
             return self.after(paused_s, move |sim| sim.event(node, incarnation, event));
         }
-        let started = host.started;
-        let Some(running) = &mut host.node else { return };
-        for action in running.handle(now - started, event) {
+        let started_at = host.started_at;
+        let Some(running) = &mut host.process else { return };
+        for action in running.handle(now - started_at, event) {
             self.act(node, incarnation, action);
         }
     }
@@ -119,8 +116,8 @@
         self.trace.record(self.now, node, &action);
         match action {
             Action::Reply { id, reply } => {
-                if let Some(then) = self.nodes[node].replies.remove(&id) {
-                    then(self, Some(reply));
+                if let Some(handler) = self.nodes[node].pending_requests.remove(&id) {
+                    handler(self, Some(reply));
                 }
             }
             Action::CallStore { call, request, timeout_s } => {
--- a/crates/gladekeel-testkit/src/simulation/pending_jobs.rs
+++ b/crates/gladekeel-testkit/src/simulation/pending_jobs.rs
@@ -1,39 +1,39 @@
-//! Looks at which machines have room, for jobs that wait beside them.
+//! Collects the free capacity, for the check that no job stays pending next to it.
 
 use super::Simulation;
 use crate::invariants::FreeCapacity;
 use gladekeel_wire::worker::TaskState;
 use std::collections::BTreeSet;
 
-/// Time between looks for jobs that wait beside free machines.
-const LOOK_S: f64 = 5.0;
+/// Time between two checks for starving jobs.
+const CHECK_INTERVAL_S: f64 = 5.0;
 
 impl Simulation {
-    /// Tells the checker now and then which machines have room.
+    /// Checks for starving jobs, now and then.
     pub(super) fn check_pending_jobs(&mut self) {
         let (now, lease_s) = (self.now, self.lease_s);
-        let mut held = BTreeSet::new();
-        let mut rooms = Vec::new();
+        let mut active = BTreeSet::new();
+        let mut free = Vec::new();
         for worker in self.workers.values() {
-            let here = worker.tasks.iter().filter(|task| task.state != TaskState::Exited);
-            held.extend(here.map(|task| task.task.job.clone()));
-            let well = !(worker.hung
+            let present = worker.tasks.iter().filter(|task| task.state != TaskState::Exited);
+            active.extend(present.map(|task| task.task.job.clone()));
+            let healthy = !(worker.hung
                 || worker.inbound_partitioned
                 || worker.outbound_partitioned
                 || worker.fails_tasks)
                 && worker.slowdown <= 1.0
                 && worker.terminates_at.is_none()
                 && now - worker.lease_renewed_at < lease_s;
-            if well {
-                rooms.push(FreeCapacity {
-                    machine_type: worker.machine_type.clone(),
-                    zone: worker.zone.clone(),
-                    spot: worker.spot,
+            if healthy {
+                free.push(FreeCapacity {
+                    machine_type: worker.machine.machine_type.clone(),
+                    zone: worker.machine.zone.clone(),
+                    spot: worker.machine.spot,
                     free: worker.free(),
                 });
             }
         }
-        self.invariants.check_pending(now, &rooms, &held);
-        self.after(LOOK_S, Simulation::check_pending_jobs);
+        self.invariants.check_pending(now, &free, &active);
+        self.after(CHECK_INTERVAL_S, Simulation::check_pending_jobs);
     }
 }
--- a/crates/gladekeel-testkit/src/simulation/services.rs
+++ b/crates/gladekeel-testkit/src/simulation/services.rs
@@ -1,6 +1,7 @@
-//! What controllers ask the state service and the cloud.
+//! Requests of nodes to the store and the cloud.
 
 use super::{Endpoint, Simulation};
+use crate::stand_ins::cloud::CloudResponse;
 use gladekeel_controller::{
     cloud_api::{CloudOutcome, CloudRequest},
     node::{CallId, Event},
@@ -20,18 +21,18 @@
         self.after(timeout_s, move |sim| {
             sim.event(node, incarnation, Event::Store { call, outcome: StoreOutcome::Unknown });
         });
-        let late = self.delayed_commit_share > 0.0
+        let delayed = self.delayed_commit_share > 0.0
             && matches!(request, StoreRequest::Commit(_))
             && self.rng.random::<f64>() < self.delayed_commit_share
             && !self.store.down
-            && !self.store.refused.contains(&node);
-        if late {
+            && !self.store.refused_nodes.contains(&node);
+        if delayed {
             let after_s = self.rng.random_range(2.0..12.0);
             return self.deliver(&Endpoint::Node(node), &Endpoint::Store, move |sim| {
-                sim.after(after_s, move |sim| sim.carry_out_late(request));
+                sim.after(after_s, move |sim| sim.execute_late(request));
             });
         }
-        let answer_lost = matches!(request, StoreRequest::Commit(_))
+        let response_lost = matches!(request, StoreRequest::Commit(_))
             && self.occurs(self.message_faults.lost_response_share);
         let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplicated_request_share);
         for copy in 0..copies {
@@ -42,10 +43,10 @@
                 sim.deliver(&Endpoint::Node(node), &Endpoint::Store, move |sim| {
                     let outcome = sim.store.call(sim.now, node, &request);
                     if copy == 0 && matches!(outcome, StoreOutcome::Committed(_)) {
-                        sim.message_faults.responses_lost += u64::from(answer_lost);
+                        sim.message_faults.responses_lost += u64::from(response_lost);
                         sim.committed(node);
                     }
-                    if sim.store_responses_lost || answer_lost || copy > 0 {
+                    if sim.store_responses_lost || response_lost || copy > 0 {
                         return;
                     }
                     let slow_s = sim.store_delay();
@@ -59,7 +60,7 @@
         }
     }
 
-    /// A transaction of a node has been made.
+    /// A transaction of a node was committed.
     fn committed(&mut self, node: usize) {
         let Some((left, for_s)) = self.crash_after_commits else { return };
         if self.leading() != Some(node) {
@@ -71,16 +72,16 @@
         }
     }
 
-    /// What a slow state service adds to the delay of a message.
+    /// What a slow store adds to the delay of a message.
     fn store_delay(&mut self) -> f64 {
         if self.store_slowdown > 1.0 { (self.store_slowdown - 1.0) * self.delay() } else { 0.0 }
     }
 
-    /// Carries out a transaction that the state service has taken long ago: its node may
-    /// be refused by now, and an outage only puts it off.
-    fn carry_out_late(&mut self, request: StoreRequest) {
+    /// Executes a transaction that the store received long ago: its node may be refused by now,
+    /// and an outage only delays it.
+    fn execute_late(&mut self, request: StoreRequest) {
         if self.store.down {
-            return self.after(1.0, move |sim| sim.carry_out_late(request));
+            return self.after(1.0, move |sim| sim.execute_late(request));
         }
         // Nobody waits for the answer.
         self.store.call(self.now, usize::MAX, &request);
@@ -103,11 +104,12 @@
             let extra = if copy == 0 { 0.1 } else { self.rng.random_range(0.5..20.0) };
             self.after(extra, move |sim| {
                 sim.deliver(&Endpoint::Node(node), &Endpoint::Cloud, move |sim| {
-                    let (outcome, came, went) = sim.cloud.call(sim.now, &request);
-                    for name in came {
+                    let CloudResponse { outcome, rented, deleted } =
+                        sim.cloud.call(sim.now, &request);
+                    for name in rented {
                         sim.boot(name);
                     }
-                    for name in went {
+                    for name in deleted {
                         sim.remove_worker(&name);
                     }
                     if copy == 0 {
--- a/crates/gladekeel-testkit/src/simulation/users.rs
+++ b/crates/gladekeel-testkit/src/simulation/users.rs
@@ -1,7 +1,10 @@
-//! Users: submissions, questions and cancellations.
+//! Users: submissions, queries and cancellations, each repeated until it is answered.
 
-use super::{Endpoint, Simulation};
-use crate::stand_ins::worker::FakeWorker;
+use super::{Endpoint, Simulation, requests::HttpRequest};
+use crate::{
+    invariants::{JobRequest, JobResponse},
+    stand_ins::worker::FakeWorker,
+};
 use gladekeel_wire::{
     JobId,
     job::{JobKind, JobSpec, JobState, JobStatus},
@@ -11,55 +14,90 @@
 use std::{collections::BTreeMap, ops::Range};
 
 /// How long after its submission a job of a stream is cancelled.
-const CANCELLED_WITHIN_S: Range<f64> = 0.0..12.0;
+const STREAM_CANCELLATION_DELAY_S: Range<f64> = 0.0..12.0;
+/// How long a user waits for the answer to a submission or a cancellation.
+const CHANGE_TIMEOUT_S: f64 = 5.0;
+/// How long a user waits for the answer to a query.
+const QUERY_TIMEOUT_S: f64 = 2.0;
+/// Pause before a user repeats a request.
+const RETRY_PAUSE_S: f64 = 1.0;
+/// Time between two queries of a user.
+const POLL_INTERVAL_S: f64 = 5.0;
+/// For how long a user repeats a request.
+const GIVES_UP_AFTER_S: f64 = 60.0;
+/// Within this time the cancellations of `cancel_now` are sent.
+const CANCEL_NOW_WITHIN_S: Range<f64> = 0.0..0.2;
+/// How many machines of cancelled jobs hang at most.
+const MAX_HUNG_MACHINES: usize = 8;
+/// Within this time of a job's completion its user cancels, queries and submits it.
+const AT_COMPLETION_WITHIN_S: Range<f64> = 0.0..0.4;
+
+/// What a user learns from a response.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Answer {
+    /// The status; 0 without a response.
+    pub status: u16,
+    /// The state of the job, if it is told.
+    pub state: Option<JobState>,
+}
 
 impl Simulation {
+    /// A node that is running, as a load balancer would pick it.
     pub(super) fn any_node(&mut self) -> Option<usize> {
-        let up: Vec<usize> =
-            (0..self.nodes.len()).filter(|node| self.nodes[*node].node.is_some()).collect();
-        (!up.is_empty()).then(|| up[self.rng.random_range(0..up.len())])
+        let running: Vec<usize> =
+            (0..self.nodes.len()).filter(|node| self.nodes[*node].process.is_some()).collect();
+        (!running.is_empty()).then(|| running[self.rng.random_range(0..running.len())])
     }
 
-    pub(super) fn ask(
+    /// Sends a request about a job to any node.
+    fn ask(
         &mut self,
-        id: JobId,
-        request: (&'static str, String, Vec<u8>),
+        job: JobId,
+        request: HttpRequest,
         timeout_s: f64,
-        then: impl FnOnce(&mut Simulation, u16, Option<JobState>) + 'static,
+        handler: impl FnOnce(&mut Simulation, Answer) + 'static,
     ) {
         let Some(node) = self.any_node() else {
-            return self.after(1.0, move |sim| then(sim, 0, None));
+            let no_answer = Answer { status: 0, state: None };
+            return self.after(RETRY_PAUSE_S, move |sim| handler(sim, no_answer));
         };
-        self.ask_node(node, id, request, timeout_s, then);
+        self.ask_node(node, job, request, timeout_s, handler);
     }
 
+    /// Sends a request about a job to a node.
     fn ask_node(
         &mut self,
         node: usize,
-        id: JobId,
-        request: (&'static str, String, Vec<u8>),
+        job: JobId,
+        request: HttpRequest,
         timeout_s: f64,
-        then: impl FnOnce(&mut Simulation, u16, Option<JobState>) + 'static,
+        handler: impl FnOnce(&mut Simulation, Answer) + 'static,
     ) {
-        let submission = request.1 == "/api/jobs";
-        let asked = self.now;
+        let submits = request.path == "/api/jobs";
+        let kind = if submits { JobRequest::Submit } else { JobRequest::Other };
+        let sent_at = self.now;
         self.request(Endpoint::Users, node, request, timeout_s, move |sim, reply| {
-            let (status, state) = match &reply {
-                None => (0, None),
-                Some(reply) => {
-                    let status = serde_json::from_slice::<JobStatus>(&reply.body).ok();
-                    (reply.status, status.filter(|s| s.id == id).map(|s| s.state))
-                }
+            let status = reply.as_ref().map_or(0, |reply| reply.status);
+            let told = reply
+                .and_then(|reply| serde_json::from_slice::<JobStatus>(&reply.body).ok())
+                .filter(|told| told.id == job);
+            let answer = Answer { status, state: told.map(|told| told.state) };
+            let response = JobResponse {
+                sent_at,
+                received_at: sim.now,
+                request: kind,
+                status,
+                state: answer.state,
             };
-            sim.invariants.answer_to(asked, sim.now, &id, status, state, submission);
-            sim.probe_after_news(&id, status, state);
-            then(sim, status, state);
+            sim.invariants.on_response(&job, &response);
+            sim.probe_after_news(&job, answer);
+            handler(sim, answer);
         });
     }
 
-    /// A user submits a job, repeats until it is taken and then follows it.
+    /// A user submits a job, repeats until it is accepted and then follows it.
     pub fn submit(&mut self, spec: JobSpec) {
-        self.invariants.submits(&spec);
+        self.invariants.on_submission(&spec);
         self.submitted_jobs.push(spec.id.clone());
         if spec.kind == JobKind::Gang && !self.gangs_stepping {
             self.gangs_stepping = true;
@@ -68,51 +106,49 @@
         self.try_submit(spec, self.now);
     }
 
-    /// A user submits a job after a while; some of these users cancel it soon after.
-    pub fn submit_in_stream(&mut self, spec: JobSpec, after_s: f64, cancelled: f64) {
+    /// A user submits a job after a while; this share of the users cancels it soon after.
+    pub fn submit_in_stream(&mut self, spec: JobSpec, after_s: f64, cancelled_share: f64) {
         let id = spec.id.clone();
         self.after(after_s, move |sim| sim.submit(spec));
-        if self.occurs(cancelled) {
-            let after_s = after_s + self.rng.random_range(CANCELLED_WITHIN_S);
+        if self.occurs(cancelled_share) {
+            let after_s = after_s + self.rng.random_range(STREAM_CANCELLATION_DELAY_S);
             self.after(after_s, move |sim| sim.cancel(id));
         }
     }
 
     fn try_submit(&mut self, spec: JobSpec, since: f64) {
-        let body = serde_json::to_vec(&spec).unwrap_or_default();
+        let request = HttpRequest::submit(&spec);
         let id = spec.id.clone();
-        self.ask(id.clone(), ("POST", "/api/jobs".into(), body), 5.0, move |sim, status, _| {
-            match status {
-                200 | 201 => sim.after(1.0, move |sim| sim.poll(id)),
-                400 | 422 => {}
-                _ if sim.now - since > 60.0 => sim.abandoned_submissions += 1,
-                _ => sim.after(1.0, move |sim| sim.try_submit(spec, since)),
-            }
+        self.ask(id.clone(), request, CHANGE_TIMEOUT_S, move |sim, answer| match answer.status {
+            200 | 201 => sim.after(RETRY_PAUSE_S, move |sim| sim.poll(id)),
+            400 | 422 => {}
+            _ if sim.now - since > GIVES_UP_AFTER_S => sim.abandoned_submissions += 1,
+            _ => sim.after(RETRY_PAUSE_S, move |sim| sim.try_submit(spec, since)),
         });
     }
 
-    /// A user asks for a job until it is over.
+    /// A user queries a job until it is over.
     pub fn poll(&mut self, id: JobId) {
-        let path = format!("/api/jobs/{id}");
-        self.ask(id.clone(), ("GET", path, Vec::new()), 2.0, move |sim, status, state| {
-            let over = state.is_some_and(JobState::is_final) || status == 404;
+        let request = HttpRequest::query(&id);
+        self.ask(id.clone(), request, QUERY_TIMEOUT_S, move |sim, answer| {
+            let over = answer.state.is_some_and(JobState::is_final) || answer.status == 404;
             if !over {
-                sim.after(5.0, move |sim| sim.poll(id));
+                sim.after(POLL_INTERVAL_S, move |sim| sim.poll(id));
             }
         });
     }
 
-    /// A user asks for a job once.
+    /// A user queries a job once.
     pub fn poll_once(&mut self, id: JobId) {
         if let Some(node) = self.any_node() {
             self.poll_node(node, id);
         }
     }
 
-    /// A user asks for a job once, at this node.
+    /// A user queries a job once, at this node.
     pub fn poll_node(&mut self, node: usize, id: JobId) {
-        let path = format!("/api/jobs/{id}");
-        self.ask_node(node, id, ("GET", path, Vec::new()), 2.0, |_, _, _| {});
+        let request = HttpRequest::query(&id);
+        self.ask_node(node, id, request, QUERY_TIMEOUT_S, |_, _| {});
     }
 
     /// A user cancels a job and repeats until that is answered.
@@ -122,68 +158,75 @@
 
     /// A user cancels a job through one of these nodes, or any if there are none.
     pub fn cancel_through(&mut self, id: JobId, through: Vec<usize>) {
-        self.invariants.asks_to_cancel(&id);
+        self.invariants.on_cancel_request(&id);
         self.try_cancel(id, through, self.now);
     }
 
     fn try_cancel(&mut self, id: JobId, through: Vec<usize>, since: f64) {
-        let request = ("POST", format!("/api/jobs/{id}/cancel"), Vec::new());
+        let request = HttpRequest::cancel(&id);
         let job = id.clone();
         let nodes = through.clone();
-        let then = move |sim: &mut Simulation, status: u16, _| {
-            if status != 200 && sim.now - since < 60.0 {
-                sim.after(1.0, move |sim| sim.try_cancel(job, nodes, since));
+        let retry = move |sim: &mut Simulation, answer: Answer| {
+            if answer.status != 200 && sim.now - since < GIVES_UP_AFTER_S {
+                sim.after(RETRY_PAUSE_S, move |sim| sim.try_cancel(job, nodes, since));
             }
         };
         if through.is_empty() {
-            return self.ask(id, request, 5.0, then);
+            return self.ask(id, request, CHANGE_TIMEOUT_S, retry);
         }
         let node = through[self.rng.random_range(0..through.len())];
-        self.ask_node(node, id, request, 5.0, then);
+        self.ask_node(node, id, request, CHANGE_TIMEOUT_S, retry);
     }
 
-    /// Users call off the jobs that run and have longest to go, within a fifth of a second
-    /// and through one of these nodes; up to eight machines of these jobs hang for so long.
+    /// Users cancel the running jobs that have longest to go, all at once and through one of
+    /// these nodes; some machines of these jobs hang for so long.
     pub fn cancel_now(&mut self, count: usize, through: Vec<usize>, hang_s: f64) {
-        let mut left: BTreeMap<JobId, f64> = BTreeMap::new();
-        for task in self.workers.values().flat_map(|worker| &worker.tasks) {
-            if task.state == TaskState::Running {
-                let until = left.entry(task.task.job.clone()).or_default();
-                *until = until.max(task.state_ends_at);
-            }
-        }
-        let open = |id: &JobId| !self.invariants.last(id).is_some_and(JobState::is_final);
-        let mut longest: Vec<(f64, JobId)> =
-            left.into_iter().filter(|(id, _)| open(id)).map(|(id, until)| (until, id)).collect();
-        longest.sort_by(|a, b| b.0.total_cmp(&a.0));
-        longest.truncate(count);
-        let jobs: Vec<JobId> = longest.into_iter().map(|(_, id)| id).collect();
+        let jobs = self.longest_running_jobs(count);
         if hang_s > 0.0 {
-            let holds = |w: &&FakeWorker| w.tasks.iter().any(|t| jobs.contains(&t.task.job));
-            let names = self.workers.values().filter(holds).map(|w| w.name.clone());
-            let names: Vec<String> = names.take(8).collect();
+            let holds = |worker: &&FakeWorker| {
+                worker.tasks.iter().any(|task| jobs.contains(&task.task.job))
+            };
+            let names = self.workers.values().filter(holds).map(|w| w.machine.name.clone());
+            let names: Vec<String> = names.take(MAX_HUNG_MACHINES).collect();
             self.hang(names, hang_s);
         }
         for id in jobs {
-            let after_s = self.rng.random_range(0.0..0.2);
+            let after_s = self.rng.random_range(CANCEL_NOW_WITHIN_S);
             let through = through.clone();
             self.after(after_s, move |sim| sim.cancel_through(id, through));
         }
     }
 
-    /// The last task of a job ends: at that moment its user calls it off, asks for it and
-    /// submits it again, at any node each.
+    /// Running jobs that no user knows to be over, those with longest to go first.
+    fn longest_running_jobs(&self, count: usize) -> Vec<JobId> {
+        let mut ends_at: BTreeMap<JobId, f64> = BTreeMap::new();
+        let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
+        for task in tasks.filter(|task| task.state == TaskState::Running) {
+            let job_ends_at = ends_at.entry(task.task.job.clone()).or_default();
+            *job_ends_at = job_ends_at.max(task.state_ends_at);
+        }
+        let open = |job: &JobId| !self.invariants.last_state(job).is_some_and(JobState::is_final);
+        let mut jobs: Vec<(JobId, f64)> =
+            ends_at.into_iter().filter(|(job, _)| open(job)).collect();
+        jobs.sort_by(|a, b| b.1.total_cmp(&a.1));
+        jobs.truncate(count);
+        jobs.into_iter().map(|(job, _)| job).collect()
+    }
+
+    /// The last task of a job ends: at that moment its user cancels it, queries it and submits
+    /// it again, at any node each.
     pub(super) fn at_completion(&mut self, id: JobId) {
-        if self.cancel_at_completion_share <= 0.0
-            || self.rng.random::<f64>() >= self.cancel_at_completion_share
-        {
+        let share = self.cancel_at_completion_share;
+        if share <= 0.0 || self.rng.random::<f64>() >= share {
             return;
         }
-        let mut soon = || if self.rng.random() { 0.0 } else { self.rng.random_range(0.0..0.4) };
-        let (cancel_s, ask_s, submit_s) = (soon(), soon(), soon());
-        let (asked, submitted) = (id.clone(), id.clone());
+        let mut soon = || {
+            if self.rng.random() { 0.0 } else { self.rng.random_range(AT_COMPLETION_WITHIN_S) }
+        };
+        let (cancel_s, query_s, submit_s) = (soon(), soon(), soon());
+        let (queried, submitted) = (id.clone(), id.clone());
         self.after(cancel_s, move |sim| sim.cancel(id));
-        self.after(ask_s, move |sim| sim.poll_once(asked));
+        self.after(query_s, move |sim| sim.poll_once(queried));
         self.after(submit_s, move |sim| sim.submit_again(submitted));
     }
 
@@ -197,12 +240,12 @@
     /// The same at this node.
     pub fn submit_again_at(&mut self, node: usize, id: JobId) {
         let Some(spec) = self.invariants.spec(&id) else { return };
-        let known = self.invariants.last(&id).is_some();
-        let body = serde_json::to_vec(&spec).unwrap_or_default();
-        let request = ("POST", "/api/jobs".into(), body);
-        self.ask_node(node, id.clone(), request, 5.0, move |sim, status, _| {
-            let wanted = if known { 200 } else { status };
-            sim.invariants.check_status(sim.now, wanted, status, &format!("repeat of {id}"));
+        let known = self.invariants.last_state(&id).is_some();
+        let request = HttpRequest::submit(&spec);
+        self.ask_node(node, id.clone(), request, CHANGE_TIMEOUT_S, move |sim, answer| {
+            let expected = if known { 200 } else { answer.status };
+            let description = format!("repeat of {id}");
+            sim.invariants.check_status(sim.now, expected, answer.status, &description);
         });
     }
 }
--- /dev/null
+++ b/crates/gladekeel-testkit/src/simulation/worker_commands.rs
@@ -0,0 +1,109 @@
+//! Direct commands from controllers to workers.
+
+use super::{Endpoint, Simulation};
+use gladekeel_controller::{
+    leader::{WorkerOutcome, WorkerRequest},
+    node::{CallId, Event},
+};
+use gladekeel_wire::{
+    TaskId,
+    worker::{Command, DirectCommands, HeartbeatResponse},
+};
+
+impl Simulation {
+    /// A node sends a direct request to a worker.
+    pub(super) fn call_worker(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        call: CallId,
+        request: WorkerRequest,
+        timeout_s: f64,
+    ) {
+        self.after(timeout_s, move |sim| {
+            sim.event(node, incarnation, Event::Worker { call, outcome: WorkerOutcome::Unknown });
+        });
+        self.record_direct_starts(&request);
+        if request.body.is_some() && self.occurs(self.message_faults.delayed_command_share) {
+            return self.delay_command(request);
+        }
+        // Addresses of workers are their machines' names here.
+        let Some(worker) = self.workers.get(&request.addr) else { return };
+        let zone = worker.machine.zone.clone();
+        self.deliver(&Endpoint::Node(node), &Endpoint::Worker(zone.clone()), move |sim| {
+            let Some(outcome) = sim.receive_direct_request(request) else { return };
+            sim.deliver(&Endpoint::Worker(zone), &Endpoint::Node(node), move |sim| {
+                sim.event(node, incarnation, Event::Worker { call, outcome });
+            });
+        });
+    }
+
+    fn record_direct_starts(&mut self, request: &WorkerRequest) {
+        for command in request.body.iter().flat_map(|body| &body.commands) {
+            if let Command::Start { task, .. } = command {
+                self.invariants.on_direct_start_sent(self.now, task);
+            }
+        }
+    }
+
+    /// A direct request reaches a worker; returns its response, if it sends one.
+    fn receive_direct_request(&mut self, request: WorkerRequest) -> Option<WorkerOutcome> {
+        let worker = self.workers.get_mut(&request.addr)?;
+        if worker.hung {
+            worker.queued_commands.extend(request.body);
+            return None;
+        }
+        if worker.inbound_partitioned {
+            return None;
+        }
+        Some(match &request.body {
+            Some(body) => self.execute_direct_commands(&request.addr, body),
+            None => WorkerOutcome::Done(worker.heartbeat(self.now)),
+        })
+    }
+
+    /// A worker executes direct commands.
+    pub(super) fn execute_direct_commands(
+        &mut self,
+        name: &str,
+        body: &DirectCommands,
+    ) -> WorkerOutcome {
+        let Some(worker) = self.workers.get_mut(name) else { return WorkerOutcome::NotExecuted };
+        let invariants = &self.invariants;
+        let find_spec = |task: &TaskId| invariants.task_spec(task);
+        let (executed, events) = worker.handle_direct_commands(self.now, body, &find_spec);
+        let heartbeat = worker.heartbeat(self.now);
+        let machine = worker.machine.clone();
+        self.record_events(&machine, events);
+        if self.start_tasks_twice {
+            let response = HeartbeatResponse { token: body.token, commands: body.commands.clone() };
+            self.start_on_second_worker(name, &response);
+        }
+        if executed { WorkerOutcome::Done(heartbeat) } else { WorkerOutcome::NotExecuted }
+    }
+
+    /// A machine that resumes executes the commands that arrived while it hung.
+    pub(super) fn execute_queued_commands(&mut self, name: &str) {
+        let Some(worker) = self.workers.get_mut(name).filter(|worker| !worker.hung) else { return };
+        for body in std::mem::take(&mut worker.queued_commands) {
+            self.execute_direct_commands(name, &body);
+        }
+    }
+
+    /// The seeded fault: starts what a worker was told to start on another worker as well.
+    pub(super) fn start_on_second_worker(&mut self, name: &str, response: &HeartbeatResponse) {
+        if response.commands.is_empty() {
+            return;
+        }
+        let starts = response.commands.iter().filter(|c| matches!(c, Command::Start { .. }));
+        let commands: Vec<Command> = starts.cloned().collect();
+        let now = self.now;
+        let mut others = self.workers.iter_mut().filter(|(other, _)| *other != name);
+        let Some((_, other)) = others.next() else { return };
+        let invariants = &self.invariants;
+        let find_spec = |task: &TaskId| invariants.spec(&task.job);
+        let response = HeartbeatResponse { token: response.token, commands };
+        let incarnation = other.incarnation;
+        other.handle_heartbeat_response(now, incarnation, now, &response, &find_spec);
+    }
+}
--- a/crates/gladekeel-testkit/src/stand_ins/cloud.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/cloud.rs
@@ -1,26 +1,72 @@
-//! A stand-in for the cloud.
+//! A fake cloud: machine types, rented machines, limited capacity and a list that lags.
 
 use gladekeel_controller::cloud_api::{CloudOutcome, CloudRequest};
-use gladekeel_wire::cloud::{ListedMachine, MachinePage, MachineState, MachineType, MachineTypes};
+use gladekeel_wire::cloud::{
+    ListedMachine, MachinePage, MachineState, MachineType, MachineTypes, RentRequest,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A rented machine.
+/// Time to boot of a machine whose type is not known.
+const DEFAULT_BOOT_S: f64 = 30.0;
+
+/// A machine that was rented at some time.
 #[derive(Debug, Clone)]
-pub struct Rented {
-    /// Its type.
+pub struct RentedMachine {
+    /// Its machine type.
     pub machine_type: String,
     /// Its zone.
     pub zone: String,
-    /// Spot or not.
+    /// Whether the cloud may take it back.
     pub spot: bool,
     /// When it was rented.
-    pub at: f64,
+    pub rented_at: f64,
     /// When it is up; never if it does not boot.
     pub up_at: Option<f64>,
-    /// When it went, and whether by itself or by the cloud.
+    /// When it went, returned by its controllers or taken by the cloud.
     pub gone_at: Option<f64>,
 }
 
+impl RentedMachine {
+    /// Its row in the list of machines as of a time.
+    fn listed(&self, name: &str, as_of: f64) -> ListedMachine {
+        let up = self.up_at.is_some_and(|up_at| up_at <= as_of);
+        ListedMachine {
+            name: name.to_owned(),
+            // Its worker's address here, known once it is up.
+            addr: up.then(|| name.to_owned()),
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            state: if up { MachineState::Running } else { MachineState::Booting },
+            age_s: as_of - self.rented_at,
+        }
+    }
+}
+
+/// The request that a request id was used for, and the machines that it got.
+#[derive(Debug)]
+struct Rental {
+    request: String,
+    machines: Vec<String>,
+}
+
+/// The outcome of a request, and what it changes at once.
+#[derive(Debug)]
+pub struct CloudResponse {
+    /// What the controller is told.
+    pub outcome: CloudOutcome,
+    /// Names of the machines that begin to boot.
+    pub rented: Vec<String>,
+    /// Names of the machines that are gone.
+    pub deleted: Vec<String>,
+}
+
+impl From<CloudOutcome> for CloudResponse {
+    fn from(outcome: CloudOutcome) -> CloudResponse {
+        CloudResponse { outcome, rented: Vec::new(), deleted: Vec::new() }
+    }
+}
+
 /// The cloud.
 #[derive(Debug)]
 pub struct FakeCloud {
@@ -29,139 +75,130 @@
     /// Free machines by zone and spot.
     pub capacity: BTreeMap<(String, bool), u32>,
     /// All machines ever rented.
-    pub machines: BTreeMap<String, Rented>,
+    pub machines: BTreeMap<String, RentedMachine>,
     /// During an outage every request is refused.
     pub down: bool,
-    /// How late the list is.
-    pub lag_s: f64,
-    /// The next this many machines do not boot.
+    /// By how much the list of machines is behind, in seconds.
+    pub list_lag_s: f64,
+    /// So many machines that are rented next never boot.
     pub machines_not_booting: u32,
-    /// What was asked of it that no client may ask.
-    pub abuses: Vec<String>,
-    rentals: BTreeMap<String, (String, Vec<String>)>,
-    counter: u64,
+    /// Requests that no client may send.
+    pub protocol_errors: Vec<String>,
+    rentals: BTreeMap<String, Rental>,
+    machines_rented: u64,
 }
 
 impl FakeCloud {
-    /// A cloud with one machine type.
+    /// A cloud of which no machine is rented.
     pub fn new(
         types: Vec<MachineType>,
         capacity: BTreeMap<(String, bool), u32>,
-        lag_s: f64,
+        list_lag_s: f64,
     ) -> FakeCloud {
         FakeCloud {
             types,
             capacity,
             machines: BTreeMap::new(),
             down: false,
-            lag_s,
+            list_lag_s,
             machines_not_booting: 0,
-            abuses: Vec::new(),
+            protocol_errors: Vec::new(),
             rentals: BTreeMap::new(),
-            counter: 0,
+            machines_rented: 0,
         }
     }
 
-    /// Carries out a call. Returns the machines that came and those that went.
-    pub fn call(
-        &mut self,
-        now: f64,
-        call: &CloudRequest,
-    ) -> (CloudOutcome, Vec<String>, Vec<String>) {
-        let none = Vec::new;
+    /// Executes a request.
+    pub fn call(&mut self, now: f64, request: &CloudRequest) -> CloudResponse {
         if self.down {
-            return (CloudOutcome::Unavailable, none(), none());
+            return CloudOutcome::Unavailable.into();
         }
-        match call {
+        match request {
             CloudRequest::ListMachineTypes => {
-                let types = MachineTypes { types: self.types.clone() };
-                (CloudOutcome::Types(types), none(), none())
-            }
-            CloudRequest::Rent(rent) => {
-                let what = format!("{rent:?}");
-                if let Some((before, names)) = self.rentals.get(&rent.request_id) {
-                    if *before != what {
-                        self.abuses.push(format!("charter {} used twice", rent.request_id));
-                    }
-                    return (CloudOutcome::Rented(names.clone()), none(), none());
-                }
-                let key = (rent.zone.clone(), rent.spot);
-                let free = self.capacity.get(&key).copied().unwrap_or(0);
-                let count = free.min(rent.count);
-                if count == 0 {
-                    return (CloudOutcome::NoCapacity, none(), none());
-                }
-                self.capacity.insert(key, free - count);
-                let boot = self.types.iter().find(|t| t.name == rent.machine_type);
-                let boot_s = boot.map_or(30.0, |t| t.boot_s);
-                let mut names = Vec::new();
-                for _ in 0..count {
-                    self.counter += 1;
-                    let name = format!("n-{:06}", self.counter);
-                    let dud = self.machines_not_booting > 0;
-                    self.machines_not_booting -= u32::from(dud);
-                    self.machines.insert(
-                        name.clone(),
-                        Rented {
-                            machine_type: rent.machine_type.clone(),
-                            zone: rent.zone.clone(),
-                            spot: rent.spot,
-                            at: now,
-                            up_at: (!dud).then_some(now + boot_s),
-                            gone_at: None,
-                        },
-                    );
-                    names.push(name);
-                }
-                self.rentals.insert(rent.request_id.clone(), (what, names.clone()));
-                (CloudOutcome::Rented(names.clone()), names, none())
-            }
-            CloudRequest::Delete(names) => {
-                let gone: Vec<String> =
-                    names.iter().filter(|name| self.take(now, name)).cloned().collect();
-                (CloudOutcome::Deleted, none(), gone)
+                CloudOutcome::Types(MachineTypes { types: self.types.clone() }).into()
             }
+            CloudRequest::Rent(rent) => self.rent(now, rent),
+            CloudRequest::Delete(names) => self.delete(now, names),
             CloudRequest::ListMachines { after } => {
-                let then = now - self.lag_s;
-                let rows = self.machines.iter().filter(|(name, m)| {
-                    after.as_ref().is_none_or(|after| *name > after)
-                        && m.at <= then
-                        && m.gone_at.is_none_or(|gone| gone > then)
-                });
-                let machines = rows
-                    .map(|(name, m)| {
-                        let up = m.up_at.is_some_and(|up| up <= then);
-                        ListedMachine {
-                            name: name.clone(),
-                            // Its worker's address here, known once it is up.
-                            addr: up.then(|| name.clone()),
-                            machine_type: m.machine_type.clone(),
-                            zone: m.zone.clone(),
-                            spot: m.spot,
-                            state: if up { MachineState::Running } else { MachineState::Booting },
-                            age_s: then - m.at,
-                        }
-                    })
-                    .collect();
-                (CloudOutcome::List(MachinePage { machines, truncated: false }), none(), none())
+                CloudOutcome::List(self.list(now, after.as_deref())).into()
             }
         }
     }
 
-    /// A machine goes; tells whether it was there.
-    pub fn take(&mut self, now: f64, name: &str) -> bool {
-        let Some(machine) = self.machines.get_mut(name).filter(|m| m.gone_at.is_none()) else {
-            return false;
+    /// Rents machines; a repeated request gets the same ones.
+    fn rent(&mut self, now: f64, rent: &RentRequest) -> CloudResponse {
+        let request = format!("{rent:?}");
+        if let Some(rental) = self.rentals.get(&rent.request_id) {
+            if rental.request != request {
+                let error = format!("request id {} used twice", rent.request_id);
+                self.protocol_errors.push(error);
+            }
+            return CloudOutcome::Rented(rental.machines.clone()).into();
+        }
+        let key = (rent.zone.clone(), rent.spot);
+        let free = self.capacity.get(&key).copied().unwrap_or(0);
+        let count = free.min(rent.count);
+        if count == 0 {
+            return CloudOutcome::NoCapacity.into();
+        }
+        self.capacity.insert(key, free - count);
+        let machines: Vec<String> = (0..count).map(|_| self.rent_machine(now, rent)).collect();
+        let rental = Rental { request, machines: machines.clone() };
+        self.rentals.insert(rent.request_id.clone(), rental);
+        let outcome = CloudOutcome::Rented(machines.clone());
+        CloudResponse { outcome, rented: machines, deleted: Vec::new() }
+    }
+
+    /// Rents one machine; returns its name.
+    fn rent_machine(&mut self, now: f64, rent: &RentRequest) -> String {
+        self.machines_rented += 1;
+        let name = format!("n-{:06}", self.machines_rented);
+        let never_boots = self.machines_not_booting > 0;
+        self.machines_not_booting -= u32::from(never_boots);
+        let machine_type = self.types.iter().find(|known| known.name == rent.machine_type);
+        let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
+        let machine = RentedMachine {
+            machine_type: rent.machine_type.clone(),
+            zone: rent.zone.clone(),
+            spot: rent.spot,
+            rented_at: now,
+            up_at: (!never_boots).then_some(now + boot_s),
+            gone_at: None,
         };
+        self.machines.insert(name.clone(), machine);
+        name
+    }
+
+    fn delete(&mut self, now: f64, names: &[String]) -> CloudResponse {
+        let deleted = names.iter().filter(|name| self.take(now, name)).cloned().collect();
+        CloudResponse { outcome: CloudOutcome::Deleted, rented: Vec::new(), deleted }
+    }
+
+    /// The machines as they were before the lag.
+    fn list(&self, now: f64, after: Option<&str>) -> MachinePage {
+        let as_of = now - self.list_lag_s;
+        let listed = self.machines.iter().filter(|(name, machine)| {
+            after.is_none_or(|after| name.as_str() > after)
+                && machine.rented_at <= as_of
+                && machine.gone_at.is_none_or(|gone_at| gone_at > as_of)
+        });
+        let machines = listed.map(|(name, machine)| machine.listed(name, as_of)).collect();
+        MachinePage { machines, truncated: false }
+    }
+
+    /// A machine goes; returns whether it was there.
+    pub fn take(&mut self, now: f64, name: &str) -> bool {
+        let machine = self.machines.get_mut(name).filter(|machine| machine.gone_at.is_none());
+        let Some(machine) = machine else { return false };
         machine.gone_at = Some(now);
         let key = (machine.zone.clone(), machine.spot);
         *self.capacity.entry(key).or_default() += 1;
         true
     }
 
-    /// Machines that are there.
+    /// Names of the machines that are there.
     pub fn present(&self) -> BTreeSet<String> {
-        let there = self.machines.iter().filter(|(_, m)| m.gone_at.is_none());
-        there.map(|(name, _)| name.clone()).collect()
+        let present = self.machines.iter().filter(|(_, machine)| machine.gone_at.is_none());
+        present.map(|(name, _)| name.clone()).collect()
     }
 }
--- a/crates/gladekeel-testkit/src/stand_ins/mod.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/mod.rs
@@ -3,5 +3,6 @@
 
 pub mod cloud;
 pub mod gang;
+pub mod resources;
 pub mod store;
 pub mod worker;
--- /dev/null
+++ b/crates/gladekeel-testkit/src/stand_ins/resources.rs
@@ -0,0 +1,31 @@
+//! Amounts of CPUs, GPUs and memory.
+
+use gladekeel_wire::job::JobSpec;
+
+/// CPUs, GPUs and memory of a machine, or what is free of them.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Resources {
+    /// CPUs.
+    pub cpus: f64,
+    /// GPUs.
+    pub gpus: f64,
+    /// Memory in GB.
+    pub memory_gb: f64,
+}
+
+impl Resources {
+    /// Whether a task of the job fits.
+    pub fn fits(&self, spec: &JobSpec) -> bool {
+        spec.cpus <= self.cpus && spec.gpus <= self.gpus && spec.memory_gb <= self.memory_gb
+    }
+
+    /// What is left beside a task of the job.
+    #[must_use]
+    pub fn without(self, spec: &JobSpec) -> Resources {
+        Resources {
+            cpus: self.cpus - spec.cpus,
+            gpus: self.gpus - spec.gpus,
+            memory_gb: self.memory_gb - spec.memory_gb,
+        }
+    }
+}
--- a/crates/gladekeel-testkit/src/stand_ins/store.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/store.rs
@@ -1,16 +1,23 @@
-//! A stand-in for the state service.
+//! A fake store: keys with versions and leases, transactions with preconditions, watches,
+//! rate limits and outages.
 
-use gladekeel_store::{StoreOutcome, StoreRequest};
+use gladekeel_store::{StoreOutcome, StoreRequest, TokenBucket};
 use gladekeel_wire::store::{
     KeyValue, KeyValuePage, Transaction, WatchEvent, WatchResponse, Write,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Changes that are kept for followers.
-const KEPT: usize = 10_000;
+/// Changes that are kept for watches.
+const MAX_HISTORY: usize = 10_000;
+/// Entries of a page.
+const PAGE_ENTRIES: usize = 1000;
+/// Bytes of a transaction's body that no client may exceed.
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
+/// Preconditions of a transaction for each write that it may have.
+const PRECONDITIONS_PER_WRITE: usize = 4;
 
-/// StoreLimits, as in the settings.
+/// Limits, as in the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLimits {
     /// Requests per second.
@@ -23,54 +30,76 @@
     pub value: usize,
 }
 
-/// The service.
+/// A stored value.
+#[derive(Debug)]
+struct Entry {
+    value: Value,
+    version: u64,
+    lease: Option<u64>,
+}
+
+/// A lease, with which the keys that are bound to it go.
+#[derive(Debug)]
+struct Lease {
+    ttl_s: f64,
+    expires_at: f64,
+}
+
+/// A change that watches are told of.
+#[derive(Debug)]
+struct Change {
+    revision: u64,
+    event: WatchEvent,
+}
+
+/// The store.
 #[derive(Debug)]
 pub struct FakeStore {
     limits: StoreLimits,
-    rows: BTreeMap<String, (Value, u64, Option<u64>)>,
+    entries: BTreeMap<String, Entry>,
     revision: u64,
-    history: Vec<(u64, WatchEvent)>,
-    leases: BTreeMap<u64, (f64, f64)>,
+    history: Vec<Change>,
+    leases: BTreeMap<u64, Lease>,
     next_lease: u64,
-    requests: gladekeel_store::TokenBucket,
-    writes: gladekeel_store::TokenBucket,
+    request_bucket: TokenBucket,
+    write_bucket: TokenBucket,
     /// During an outage every request is refused.
     pub down: bool,
     /// Nodes that are refused although the others are served.
-    pub refused: Vec<usize>,
-    /// What was asked of it that no client may ask.
-    pub abuses: Vec<String>,
+    pub refused_nodes: Vec<usize>,
+    /// Requests that no client may send.
+    pub protocol_errors: Vec<String>,
     /// Transactions that were refused as too large, once the limits have been lowered.
     pub too_large: Vec<String>,
-    lowered: bool,
-    /// Requests over the budget.
-    pub busy: u64,
-    /// Puts and deletes that were made.
-    pub written: u64,
-    /// Bytes of the transactions that were made.
-    pub bytes: u64,
+    limits_lowered: bool,
+    /// Requests beyond a rate limit.
+    pub rate_limited: u64,
+    /// Writes of committed transactions.
+    pub committed_writes: u64,
+    /// Bytes of committed transactions.
+    pub committed_bytes: u64,
 }
 
 impl FakeStore {
-    /// An empty service.
+    /// An empty store.
     pub fn new(limits: StoreLimits) -> FakeStore {
         FakeStore {
             limits,
-            rows: BTreeMap::new(),
+            entries: BTreeMap::new(),
             revision: 1,
             history: Vec::new(),
             leases: BTreeMap::new(),
             next_lease: 1,
-            requests: gladekeel_store::TokenBucket::new(limits.rps, limits.rps),
-            writes: gladekeel_store::TokenBucket::new(limits.write_rps, limits.write_rps),
+            request_bucket: TokenBucket::new(limits.rps, limits.rps),
+            write_bucket: TokenBucket::new(limits.write_rps, limits.write_rps),
             down: false,
-            refused: Vec::new(),
-            abuses: Vec::new(),
+            refused_nodes: Vec::new(),
+            protocol_errors: Vec::new(),
             too_large: Vec::new(),
-            lowered: false,
-            busy: 0,
-            written: 0,
-            bytes: 0,
+            limits_lowered: false,
+            rate_limited: 0,
+            committed_writes: 0,
+            committed_bytes: 0,
         }
     }
 
@@ -78,13 +107,13 @@
     /// too large is refused; what is stored stays readable.
     pub fn lower_limits(&mut self, limits: StoreLimits) {
         if limits.write_rps != self.limits.write_rps {
-            self.writes = gladekeel_store::TokenBucket::new(limits.write_rps, limits.write_rps);
+            self.write_bucket = TokenBucket::new(limits.write_rps, limits.write_rps);
         }
         if limits.rps != self.limits.rps {
-            self.requests = gladekeel_store::TokenBucket::new(limits.rps, limits.rps);
+            self.request_bucket = TokenBucket::new(limits.rps, limits.rps);
         }
         self.limits = limits;
-        self.lowered = true;
+        self.limits_lowered = true;
     }
 
     /// The limits as they are now.
@@ -92,211 +121,235 @@
         self.limits
     }
 
-    /// What is too large of a transaction, if anything.
-    fn excess(&self, txn: &Transaction) -> Option<String> {
-        let large = txn.writes.iter().find_map(|write| match write {
-            Write::Put { key, value, .. } if value.to_string().len() > self.limits.value => {
-                Some(format!("value of {key}"))
-            }
-            _ => None,
-        });
-        let many = txn.writes.len() > self.limits.txn_ops
-            || txn.preconditions.len() > 4 * self.limits.txn_ops;
-        let ops = format!("{} writes, {} guards", txn.writes.len(), txn.preconditions.len());
-        large.or(many.then_some(ops))
-    }
-
     /// Begins or ends an outage; after it every lease has its full time again.
     pub fn set_outage(&mut self, now: f64, down: bool) {
-        self.expire(now);
+        self.expire_leases(now);
         self.down = down;
         if !down {
-            for (ttl, until) in self.leases.values_mut() {
-                *until = now + *ttl;
+            for lease in self.leases.values_mut() {
+                lease.expires_at = now + lease.ttl_s;
             }
         }
     }
 
-    fn expire(&mut self, now: f64) {
+    /// Executes a request of a node.
+    pub fn call(&mut self, now: f64, node: usize, request: &StoreRequest) -> StoreOutcome {
+        self.expire_leases(now);
+        if self.down || self.refused_nodes.contains(&node) {
+            return StoreOutcome::Unavailable;
+        }
+        if !self.request_bucket.try_take(now, 1.0) {
+            self.rate_limited += 1;
+            return StoreOutcome::RateLimited;
+        }
+        match request {
+            StoreRequest::List { prefix, after } => {
+                StoreOutcome::Page(self.list(prefix, after.as_deref()))
+            }
+            StoreRequest::Watch { prefix, since } => self.watch(prefix, *since),
+            StoreRequest::Commit(transaction) => self.commit(now, transaction),
+            StoreRequest::GrantLease { ttl_ms } => self.grant_lease(now, *ttl_ms as f64 / 1000.0),
+            StoreRequest::RenewLease(id) => self.renew_lease(now, *id),
+            StoreRequest::RevokeLease(id) => self.revoke_lease(*id),
+        }
+    }
+
+    fn list(&self, prefix: &str, after: Option<&str>) -> KeyValuePage {
+        let after = after.unwrap_or_default();
+        let entries = self.entries.iter().filter(|(key, _)| key.starts_with(prefix));
+        let mut entries: Vec<KeyValue> = entries
+            .filter(|(key, _)| key.as_str() > after)
+            .take(PAGE_ENTRIES + 1)
+            .map(|(key, entry)| KeyValue {
+                key: key.clone(),
+                value: entry.value.clone(),
+                version: entry.version,
+            })
+            .collect();
+        let truncated = entries.len() > PAGE_ENTRIES;
+        entries.truncate(PAGE_ENTRIES);
+        KeyValuePage { entries, truncated, revision: self.revision }
+    }
+
+    fn watch(&self, prefix: &str, since: u64) -> StoreOutcome {
+        if self.history.first().is_some_and(|first| since + 1 < first.revision) {
+            return StoreOutcome::Compacted;
+        }
+        let matches = |change: &&Change| {
+            let (WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. }) = &change.event;
+            change.revision > since && key.starts_with(prefix)
+        };
+        let changes = self.history.iter().filter(matches);
+        let events = changes.map(|change| change.event.clone()).collect();
+        StoreOutcome::Watched(WatchResponse { revision: self.revision, events })
+    }
+
+    fn grant_lease(&mut self, now: f64, ttl_s: f64) -> StoreOutcome {
+        let id = self.next_lease;
+        self.next_lease += 1;
+        self.leases.insert(id, Lease { ttl_s, expires_at: now + ttl_s });
+        StoreOutcome::LeaseGranted(id)
+    }
+
+    fn renew_lease(&mut self, now: f64, id: u64) -> StoreOutcome {
+        let Some(lease) = self.leases.get_mut(&id) else { return StoreOutcome::LeaseNotFound };
+        lease.expires_at = now + lease.ttl_s;
+        StoreOutcome::Acknowledged
+    }
+
+    fn revoke_lease(&mut self, id: u64) -> StoreOutcome {
+        if !self.leases.contains_key(&id) {
+            return StoreOutcome::LeaseNotFound;
+        }
+        self.end_lease(id);
+        StoreOutcome::Acknowledged
+    }
+
+    fn expire_leases(&mut self, now: f64) {
         if self.down {
             return;
         }
-        let over: Vec<u64> =
-            self.leases.iter().filter(|(_, (_, until))| now > *until).map(|(id, _)| *id).collect();
-        for id in over {
+        let expired = self.leases.iter().filter(|(_, lease)| now > lease.expires_at);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
             self.end_lease(id);
         }
     }
 
+    /// Ends a lease and deletes the keys that are bound to it.
     fn end_lease(&mut self, id: u64) {
         self.leases.remove(&id);
-        let keys: Vec<String> = self
-            .rows
-            .iter()
-            .filter(|(_, (_, _, lease))| *lease == Some(id))
-            .map(|(key, _)| key.clone())
-            .collect();
+        let bound = self.entries.iter().filter(|(_, entry)| entry.lease == Some(id));
+        let keys: Vec<String> = bound.map(|(key, _)| key.clone()).collect();
         if !keys.is_empty() {
             self.revision += 1;
         }
+        let revision = self.revision;
         for key in keys {
-            self.rows.remove(&key);
-            self.history.push((self.revision, WatchEvent::Delete { key, version: self.revision }));
+            self.entries.remove(&key);
+            let event = WatchEvent::Delete { key, version: revision };
+            self.history.push(Change { revision, event });
         }
     }
 
-    /// Carries out a call of a node.
-    pub fn call(&mut self, now: f64, node: usize, call: &StoreRequest) -> StoreOutcome {
-        self.expire(now);
-        if self.down || self.refused.contains(&node) {
-            return StoreOutcome::Unavailable;
-        }
-        if !self.requests.try_take(now, 1.0) {
-            self.busy += 1;
-            return StoreOutcome::RateLimited;
-        }
-        match call {
-            StoreRequest::List { prefix, after } => {
-                let from = after.clone().unwrap_or_default();
-                let rows = self.rows.iter().filter(|(key, _)| key.starts_with(prefix.as_str()));
-                let mut items: Vec<KeyValue> = rows
-                    .filter(|(key, _)| key.as_str() > from.as_str())
-                    .take(1001)
-                    .map(|(key, (value, version, _))| KeyValue {
-                        key: key.clone(),
-                        value: value.clone(),
-                        version: *version,
-                    })
-                    .collect();
-                let more = items.len() > 1000;
-                items.truncate(1000);
-                StoreOutcome::Page(KeyValuePage {
-                    entries: items,
-                    truncated: more,
-                    revision: self.revision,
-                })
-            }
-            StoreRequest::Watch { prefix, since } => {
-                if self.history.first().is_some_and(|(first, _)| *since + 1 < *first) {
-                    return StoreOutcome::Compacted;
-                }
-                let events = self
-                    .history
-                    .iter()
-                    .filter(|(revision, event)| {
-                        let (WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. }) = event;
-                        revision > since && key.starts_with(prefix.as_str())
-                    })
-                    .map(|(_, event)| event.clone())
-                    .collect();
-                StoreOutcome::Watched(WatchResponse { revision: self.revision, events })
-            }
-            StoreRequest::Commit(txn) => self.commit(now, txn),
-            StoreRequest::GrantLease { ttl_ms } => {
-                let id = self.next_lease;
-                self.next_lease += 1;
-                let ttl = *ttl_ms as f64 / 1000.0;
-                self.leases.insert(id, (ttl, now + ttl));
-                StoreOutcome::LeaseGranted(id)
-            }
-            StoreRequest::RenewLease(id) => match self.leases.get_mut(id) {
-                Some((ttl, until)) => {
-                    *until = now + *ttl;
-                    StoreOutcome::Acknowledged
-                }
-                None => StoreOutcome::LeaseNotFound,
-            },
-            StoreRequest::RevokeLease(id) if self.leases.contains_key(id) => {
-                self.end_lease(*id);
-                StoreOutcome::Acknowledged
-            }
-            StoreRequest::RevokeLease(_) => StoreOutcome::LeaseNotFound,
-        }
-    }
-
-    fn commit(&mut self, now: f64, txn: &Transaction) -> StoreOutcome {
-        if self.lowered
-            && let Some(what) = self.excess(txn)
+    fn commit(&mut self, now: f64, transaction: &Transaction) -> StoreOutcome {
+        if self.limits_lowered
+            && let Some(excess) = self.excess(transaction)
         {
-            // The client tells a 400 to a commit from no other.
-            self.too_large.push(format!("{now:.2}: {what}"));
+            self.too_large.push(format!("{now:.2}: {excess}"));
+            // The client does not distinguish a 400 to a commit from this.
             return StoreOutcome::LeaseNotFound;
         }
-        let bytes = serde_json::to_vec(txn).map_or(0, |body| body.len());
-        if bytes > 64 * 1024
-            || txn.writes.len() > self.limits.txn_ops
-            || txn.preconditions.len() > 4 * self.limits.txn_ops
-        {
-            self.abuses.push(format!("transaction of {bytes} bytes, {} writes", txn.writes.len()));
-        }
-        if !self.writes.try_take(now, txn.writes.len() as f64) {
-            self.busy += 1;
+        let bytes = serde_json::to_vec(transaction).map_or(0, |body| body.len());
+        self.check_transaction_size(transaction, bytes);
+        if !self.write_bucket.try_take(now, transaction.writes.len() as f64) {
+            self.rate_limited += 1;
             return StoreOutcome::RateLimited;
         }
-        for write in &txn.writes {
-            if let Write::Put { key, value, lease } = write {
-                if value.to_string().len() > self.limits.value {
-                    self.abuses.push(format!("value of {key} is too large"));
-                }
-                if lease.is_some_and(|id| !self.leases.contains_key(&id)) {
-                    return StoreOutcome::LeaseNotFound;
-                }
-            }
+        if !self.check_writes(transaction) {
+            return StoreOutcome::LeaseNotFound;
         }
-        let failed: Vec<String> = txn
-            .preconditions
-            .iter()
-            .filter(|guard| {
-                self.rows.get(&guard.key).map_or(0, |(_, version, _)| *version) != guard.version
-            })
-            .map(|guard| guard.key.clone())
-            .collect();
+        let failed = self.failed_preconditions(transaction);
         if !failed.is_empty() {
             return StoreOutcome::Conflict(failed);
         }
-        if !txn.writes.is_empty() {
+        self.committed_writes += transaction.writes.len() as u64;
+        self.committed_bytes += bytes as u64;
+        StoreOutcome::Committed(self.apply(transaction))
+    }
+
+    /// What of a transaction is beyond the limits, if anything.
+    fn excess(&self, transaction: &Transaction) -> Option<String> {
+        let large_value = transaction.writes.iter().find_map(|write| match write {
+            Write::Put { key, value, .. } if value.to_string().len() > self.limits.value => {
+                Some(format!("value of {key}"))
+            }
+            _ => None,
+        });
+        let (writes, preconditions) = (transaction.writes.len(), transaction.preconditions.len());
+        let counts = format!("{writes} writes, {preconditions} guards");
+        large_value.or(self.has_too_many_operations(transaction).then_some(counts))
+    }
+
+    fn has_too_many_operations(&self, transaction: &Transaction) -> bool {
+        let max_writes = self.limits.txn_ops;
+        transaction.writes.len() > max_writes
+            || transaction.preconditions.len() > PRECONDITIONS_PER_WRITE * max_writes
+    }
+
+    /// Notes a transaction that no client may send.
+    fn check_transaction_size(&mut self, transaction: &Transaction, bytes: usize) {
+        if bytes > MAX_TRANSACTION_BYTES || self.has_too_many_operations(transaction) {
+            let writes = transaction.writes.len();
+            self.protocol_errors.push(format!("transaction of {bytes} bytes, {writes} writes"));
+        }
+    }
+
+    /// Checks the values and leases of the writes; returns whether all leases exist.
+    fn check_writes(&mut self, transaction: &Transaction) -> bool {
+        for write in &transaction.writes {
+            let Write::Put { key, value, lease } = write else { continue };
+            if value.to_string().len() > self.limits.value {
+                self.protocol_errors.push(format!("value of {key} is too large"));
+            }
+            if lease.is_some_and(|id| !self.leases.contains_key(&id)) {
+                return false;
+            }
+        }
+        true
+    }
+
+    /// Keys that do not have the version that the transaction expects; 0 stands for absent.
+    fn failed_preconditions(&self, transaction: &Transaction) -> Vec<String> {
+        let version = |key: &str| self.entries.get(key).map_or(0, |entry| entry.version);
+        let preconditions = transaction.preconditions.iter();
+        let failed = preconditions.filter(|expected| version(&expected.key) != expected.version);
+        failed.map(|expected| expected.key.clone()).collect()
+    }
+
+    /// Applies the writes; returns the revision afterwards.
+    fn apply(&mut self, transaction: &Transaction) -> u64 {
+        if !transaction.writes.is_empty() {
             self.revision += 1;
         }
-        self.written += txn.writes.len() as u64;
-        self.bytes += bytes as u64;
-        let version = self.revision;
-        for write in &txn.writes {
+        let revision = self.revision;
+        for write in &transaction.writes {
             let event = match write.clone() {
                 Write::Put { key, value, lease } => {
-                    self.rows.insert(key.clone(), (value.clone(), version, lease));
-                    WatchEvent::Put { key, value, version }
+                    let entry = Entry { value: value.clone(), version: revision, lease };
+                    self.entries.insert(key.clone(), entry);
+                    WatchEvent::Put { key, value, version: revision }
                 }
                 Write::Delete { key } => {
-                    self.rows.remove(&key);
-                    WatchEvent::Delete { key, version }
+                    self.entries.remove(&key);
+                    WatchEvent::Delete { key, version: revision }
                 }
             };
-            self.history.push((version, event));
+            self.history.push(Change { revision, event });
         }
-        if self.history.len() > KEPT {
-            self.history.drain(..self.history.len() - KEPT);
+        if self.history.len() > MAX_HISTORY {
+            self.history.drain(..self.history.len() - MAX_HISTORY);
         }
-        StoreOutcome::Committed(version)
+        revision
     }
 
-    /// Spoils every segment of the leader's log, or mends them again.
-    pub fn corrupt_assignment_log(&mut self, spoilt: bool) {
-        for (key, (value, ..)) in &mut self.rows {
-            let Some(text) = value.as_str().filter(|_| key.starts_with("gl/")) else { continue };
-            *value = match text.strip_prefix('!') {
-                Some(text) if !spoilt => text.into(),
-                None if spoilt => format!("!{text}").into(),
+    /// Makes every segment of the assignment log unreadable, or readable again.
+    pub fn corrupt_assignment_log(&mut self, corrupt: bool) {
+        for (key, entry) in &mut self.entries {
+            let text = entry.value.as_str().filter(|_| key.starts_with("gl/"));
+            let Some(text) = text else { continue };
+            entry.value = match text.strip_prefix('!') {
+                Some(text) if !corrupt => text.into(),
+                None if corrupt => format!("!{text}").into(),
                 _ => continue,
             };
         }
     }
 
-    /// Puts the start of the kept changes up to now, as if many had passed.
+    /// Forgets all changes up to now, as if many had passed.
     pub fn compact_history(&mut self) {
         self.revision += 1;
-        self.history = vec![(
-            self.revision,
-            WatchEvent::Delete { key: "elsewhere".into(), version: self.revision },
-        )];
+        let event = WatchEvent::Delete { key: "elsewhere".into(), version: self.revision };
+        self.history = vec![Change { revision: self.revision, event }];
     }
 }
--- /dev/null
+++ b/crates/gladekeel-testkit/tests/invariants/cancellation.rs
@@ -0,0 +1,61 @@
+use super::{
+    array_of_four, cancellation_deadline_s, checker_with, job_id, machine, respond, task, violated,
+};
+use gladekeel_testkit::{
+    invariants::JobRequest,
+    scenario::{example_job, example_type},
+};
+use gladekeel_wire::job::{JobSpec, JobState};
+
+#[test]
+fn a_task_that_runs_past_the_cancellation_deadline_is_a_violation() {
+    let mut checker = checker_with(&array_of_four());
+    checker.on_cancel_request(&job_id());
+    checker.on_task_started(1.0, &task(0), &machine("n-1", "a", false));
+    respond(&mut checker, 2.0, JobRequest::Other, 200, Some(JobState::Cancelled));
+    checker.check_cancellation_deadlines(2.0 + cancellation_deadline_s());
+    assert!(violated(&checker).is_empty());
+    checker.check_cancellation_deadlines(2.1 + cancellation_deadline_s());
+    assert_eq!(violated(&checker), ["ran_cancelled"]);
+}
+
+/// A start that was in flight when the cancellation was confirmed violates nothing: its
+/// command may be 4 s old, and then the image is fetched. What begins later does.
+#[test]
+fn a_start_after_a_cancellation_counts_once_none_can_be_in_flight() {
+    let spec = JobSpec { tasks: 4, ..example_job("job-1") };
+    for (image_gb, in_flight_until, late) in [(1.0, 6.9, 7.1), (10.0, 15.9, 16.1)] {
+        let mut checker = checker_with(&JobSpec { image_gb, ..spec.clone() });
+        checker.machine_types = vec![example_type(vec!["a".into()])];
+        respond(&mut checker, 1.0, JobRequest::Submit, 201, Some(JobState::Queued));
+        checker.on_cancel_request(&job_id());
+        respond(&mut checker, 2.0, JobRequest::Other, 200, Some(JobState::Cancelled));
+        checker.on_task_started(in_flight_until, &task(0), &machine("n-1", "a", false));
+        assert!(violated(&checker).is_empty(), "it was in flight");
+        checker.on_task_started(late, &task(1), &machine("n-1", "a", false));
+        assert_eq!(violated(&checker), ["started_cancelled"]);
+    }
+}
+
+/// A start that was sent directly before the cancellation was confirmed may be delayed for
+/// longer, as the protocol says; one sent after it, or repeated in a heartbeat response, may
+/// not.
+#[test]
+fn only_a_direct_start_of_before_the_cancellation_may_be_delayed() {
+    let violated_by = |sent_at: f64, repeated_in_response: bool| {
+        let mut checker = checker_with(&example_job("job-1"));
+        respond(&mut checker, 1.0, JobRequest::Submit, 201, Some(JobState::Queued));
+        checker.on_cancel_request(&job_id());
+        checker.on_direct_start_sent(sent_at, &task(0));
+        if repeated_in_response {
+            checker.on_start_in_heartbeat_response(&task(0));
+        }
+        respond(&mut checker, 2.0, JobRequest::Other, 200, Some(JobState::Cancelled));
+        checker.on_task_started(20.0, &task(0), &machine("n-1", "a", false));
+        checker.check_cancellation_deadlines(2.1 + cancellation_deadline_s());
+        violated(&checker).join(" ")
+    };
+    assert_eq!(violated_by(1.9, false), "ran_cancelled", "it must be gone all the same");
+    assert_eq!(violated_by(2.1, false), "started_cancelled ran_cancelled");
+    assert_eq!(violated_by(1.9, true), "started_cancelled ran_cancelled");
+}
--- a/crates/gladekeel-testkit/tests/stand_ins.rs
+++ b/crates/gladekeel-testkit/tests/stand_ins.rs
@@ -1,9 +1,12 @@
-//! What the stand-ins do in troubles is what the protocol says.
+//! Fake workers behave under faults as the protocol says.
 
 use gladekeel_testkit::{
     scenario,
     scenario::example_job,
-    stand_ins::worker::{FakeWorker, WorkerEvent},
+    stand_ins::{
+        resources::Resources,
+        worker::{DelayedHeartbeat, FakeWorker, MachineIdentity, WorkerEvent},
+    },
 };
 use gladekeel_wire::{
     TaskId,
@@ -21,9 +24,14 @@
     let spec = example_job("job-1");
     let task = TaskId { job: spec.id.clone(), index: 0 };
     let find = |_: &TaskId| Some(spec.clone());
-    let room = (32.0, 0.0, 64.0);
-    let mut worker =
-        FakeWorker::new("n-1".into(), "m32".into(), "a".into(), false, room, 30.0, 0.0, 0);
+    let machine = MachineIdentity {
+        name: "n-1".into(),
+        machine_type: "m32".into(),
+        zone: "a".into(),
+        spot: false,
+    };
+    let capacity = Resources { cpus: 32.0, gpus: 0.0, memory_gb: 64.0 };
+    let mut worker = FakeWorker::new(machine, capacity, 30.0, 0.0, 0);
     let answer = HeartbeatResponse { token: 7, commands: start(&task) };
     assert!(worker.handle_heartbeat_response(0.0, 1, 0.0, &answer, &find).is_empty());
     assert_eq!(worker.step(1.5), [WorkerEvent::TaskStarted(task.clone())]);
@@ -39,8 +47,8 @@
     let late = DirectCommands { token: 7, incarnation: 1, commands: start(&task) };
     assert!(!worker.handle_direct_commands(100.0, &late, &find).0);
     // The report that it was about to send shows what was there then.
-    let (made_at, report) = worker.delayed_heartbeat.take().unwrap();
-    assert_eq!((made_at, report.incarnation, report.tasks.len()), (2.0, 1, 1));
+    let DelayedHeartbeat { made_at, heartbeat } = worker.delayed_heartbeat.take().unwrap();
+    assert_eq!((made_at, heartbeat.incarnation, heartbeat.tasks.len()), (2.0, 1, 1));
 }
 
 /// A scenario with several seeds says which of them fails.
