--- a/crates/gladekeel-testkit/examples/decision_traces.rs
+++ b/crates/gladekeel-testkit/examples/decision_traces.rs
@@ -2,7 +2,7 @@
 //! `tests/fixtures/decision_traces.txt`:
 //!
 //! ```text
-//! cargo run -p gladekeel-testkit --example decision_traces -- crates/gladekeel-testkit/scenarios/*.txt
+//! cargo run -p gladekeel-testkit --example decision_traces -- crates/gladekeel-testkit/scenarios/*/*.txt
 //! ```
 
 use gladekeel_testkit::scenario;
--- a/crates/gladekeel-testkit/examples/playground.rs
+++ b/crates/gladekeel-testkit/examples/playground.rs
@@ -1,4 +1,4 @@
-//! The stand-ins on loopback: a state service, a cloud and its workers, and settings
+//! The fakes on loopback: a store, a cloud and its workers, and settings
 //! files for three controller nodes, to try gladekeel without anything else.
 //!
 //! Machines boot in five seconds, an image takes a second for each GB. Nothing is kept.
@@ -99,7 +99,7 @@
     cloud: RefCell<FakeCloud>,
     workers: RefCell<BTreeMap<String, FakeWorker>>,
     gangs: RefCell<GangRuntime>,
-    /// Jobs that were submitted: workers fetch descriptions without asking the state service.
+    /// Jobs that were submitted: workers fetch descriptions without asking the store.
     jobs: RefCell<BTreeMap<JobId, JobSpec>>,
 }
 
@@ -421,7 +421,7 @@
         loop {
             sleep(STEP).await;
             let now = self.now();
-            let (node, report) = {
+            let (node, heartbeat) = {
                 let mut workers = self.workers.borrow_mut();
                 let Some(worker) = workers.get_mut(&name) else { break };
                 worker.step(now);
@@ -432,9 +432,9 @@
                 }
                 worker.changed = false;
                 next = now + self.size.report_s();
-                let mut report = worker.heartbeat(now);
-                report.addr = addr.to_string();
-                (worker.node, report)
+                let mut heartbeat = worker.heartbeat(now);
+                heartbeat.addr = addr.to_string();
+                (worker.node, heartbeat)
             };
             // A worker keeps its connection for as long as it stays with a controller.
             if reports_to.as_ref().is_none_or(|(at, _)| *at != node) {
@@ -442,7 +442,7 @@
                 reports_to = Some((node, Client::new(addr, 1)));
             }
             if let Some((_, client)) = &reports_to {
-                self.send_heartbeat(&name, client, node, &report, now).await;
+                self.send_heartbeat(&name, client, node, &heartbeat, now).await;
             }
         }
         direct.abort();
@@ -453,10 +453,10 @@
         name: &str,
         client: &Client,
         node: usize,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         sent_at: f64,
     ) {
-        let body = serde_json::to_vec(report).unwrap_or_default();
+        let body = serde_json::to_vec(heartbeat).unwrap_or_default();
         let reply = client.send("POST", "/checkin", &body, Duration::from_secs(4)).await;
         let mut workers = self.workers.borrow_mut();
         let Some(worker) = workers.get_mut(name) else { return };
@@ -466,7 +466,7 @@
                     let find = |task: &TaskId| self.spec(task);
                     worker.handle_heartbeat_response(
                         self.now(),
-                        report.incarnation,
+                        heartbeat.incarnation,
                         sent_at,
                         &answer,
                         &find,
@@ -495,8 +495,8 @@
             let (executed, _) = worker.handle_direct_commands(self.now(), &direct, &find);
             status = if executed { 200 } else { 409 };
         }
-        let mut report = worker.heartbeat(self.now());
-        report.addr = addr.to_string();
-        json(status, &report)
+        let mut heartbeat = worker.heartbeat(self.now());
+        heartbeat.addr = addr.to_string();
+        json(status, &heartbeat)
     }
 }
--- a/crates/gladekeel-testkit/src/invariants/acceptance.rs
+++ b/crates/gladekeel-testkit/src/invariants/acceptance.rs
@@ -10,7 +10,7 @@
 };
 
 impl InvariantChecker {
-    /// A job that nobody submitted is not told of: it would be another client's, or garbage.
+    /// A job that nobody submitted is unknown: a state of it would be another client's, or garbage.
     pub(super) fn check_not_invented(&self, job: &JobId) -> Option<Invariant> {
         let submitted = self.observed_jobs.get(job).is_some_and(|observed| observed.submitted);
         (!submitted).then_some(Invariant::NoInventedJob)
--- a/crates/gladekeel-testkit/src/invariants/cancellation.rs
+++ b/crates/gladekeel-testkit/src/invariants/cancellation.rs
@@ -1,4 +1,4 @@
-//! Once a client was told that a job is cancelled, its tasks are gone within the
+//! Once a client has observed that a job is cancelled, its tasks are gone within the
 //! cancellation deadline, and none begins that was not in flight by then.
 
 use super::{Invariant, InvariantChecker};
--- a/crates/gladekeel-testkit/src/invariants/invariant.rs
+++ b/crates/gladekeel-testkit/src/invariants/invariant.rs
@@ -17,13 +17,13 @@
     NoStartAfterCancellation,
     /// An accepted job stays known.
     AcceptedJobKept,
-    /// Nothing is told of a job that nobody submitted.
+    /// A job that nobody submitted is unknown.
     NoInventedJob,
     /// A job that can never run is not accepted.
     AcceptedJobCanRun,
     /// The state of a job does not go back from a final one.
     StateOrder,
-    /// A job that is told to be done has completed all its tasks.
+    /// A job that is reported as done has completed all its tasks.
     DoneIsCompleted,
     /// Requests are answered once the faults are over.
     Availability,
--- a/crates/gladekeel-testkit/src/invariants/mod.rs
+++ b/crates/gladekeel-testkit/src/invariants/mod.rs
@@ -1,6 +1,6 @@
 //! The invariants of the protocol, checked from outside the controllers.
 //!
-//! [`InvariantChecker`] is told of everything that clients and machines observe. It keeps
+//! [`InvariantChecker`] receives everything that clients and machines observe. It keeps
 //! the history that the checks need, and records a [`Violation`] for each invariant that
 //! does not hold. Each invariant has a module of its own with the check and its reason.
 //! `docs/safety.md` says why the controllers keep them.
@@ -63,7 +63,7 @@
     /// When each job's first task began.
     began: BTreeMap<JobId, f64>,
     gang_starts: GangStarts,
-    /// Jobs of which a client was told that they are cancelled.
+    /// Jobs whose cancellation a client has observed.
     cancelled: BTreeSet<JobId>,
     /// Tasks that were reported as running after the deadline of a cancellation.
     reported_after_cancellation: BTreeSet<TaskId>,
@@ -174,7 +174,7 @@
         Some(spec)
     }
 
-    /// The state of a job that its client was told last.
+    /// The latest state of a job that its client observed.
     pub fn last_state(&self, job: &JobId) -> Option<JobState> {
         self.observed_jobs.get(job).and_then(|observed| observed.last_state)
     }
@@ -194,7 +194,7 @@
         self.running.used_by_team(team).cpus
     }
 
-    /// How many jobs a client was told are cancelled.
+    /// How many jobs are cancelled, as observed by clients.
     pub fn cancelled_jobs(&self) -> usize {
         self.cancelled.len()
     }
--- a/crates/gladekeel-testkit/src/invariants/observed_job.rs
+++ b/crates/gladekeel-testkit/src/invariants/observed_job.rs
@@ -1,4 +1,4 @@
-//! What the clients of a job have been told, in the order in which they learned it.
+//! What the clients of a job have observed, in the order of the responses.
 //!
 //! Clients have several requests in flight at once, and the responses may overtake one
 //! another. A response contradicts an earlier one only if its request was sent after that
@@ -46,33 +46,33 @@
     pub cancel_requested: bool,
     /// Since when requests have had no answer.
     pub unanswered_since: Option<f64>,
-    /// When a client was first told that it is accepted.
+    /// When a client first observed that it is accepted.
     pub accepted_at: Option<f64>,
-    /// When a client was first told that it is cancelled.
+    /// When a client first observed that it is cancelled.
     pub cancelled_at: Option<f64>,
-    /// When a client was first told of a final state.
+    /// When a client first observed a final state.
     pub final_at: Option<f64>,
-    /// The state that was told last, by the order of the requests.
+    /// The latest observed state, by the order of the requests.
     pub last_state: Option<JobState>,
 }
 
 impl ObservedJob {
-    /// A client is told that the job is accepted.
+    /// A client observes that the job is accepted.
     pub fn accept(&mut self, now: f64) {
         self.accepted_at.get_or_insert(now);
     }
 
-    /// Whether clients knew of the acceptance when they sent the request of a response.
+    /// Whether a client had observed the acceptance when it sent the request of a response.
     pub fn accepted_before(&self, response: &JobResponse) -> bool {
         self.accepted_at.is_some_and(|accepted_at| response.sent_at >= accepted_at)
     }
 
-    /// Whether clients knew of a final state when they sent the request of a response.
+    /// Whether a client had observed a final state when it sent the request of a response.
     pub fn final_before(&self, response: &JobResponse) -> bool {
         self.final_at.is_some_and(|final_at| response.sent_at >= final_at)
     }
 
-    /// The final state that was told, if any.
+    /// The final state that was observed, if any.
     pub fn final_state(&self) -> Option<JobState> {
         self.last_state.filter(|state| state.is_final())
     }
--- a/crates/gladekeel-testkit/src/invariants/state_order.rs
+++ b/crates/gladekeel-testkit/src/invariants/state_order.rs
@@ -1,11 +1,11 @@
-//! The states of a job that clients are told form one history: a final state stays, only a
+//! The states of a job that clients observe form one history: a final state stays, only a
 //! job whose client asked for it is cancelled, and one that is done has completed.
 
 use super::{Invariant, InvariantChecker, JobResponse};
 use gladekeel_wire::{JobId, TaskId, job::JobState};
 
 impl InvariantChecker {
-    /// Checks the state in a response against what was told before, and records it.
+    /// Checks the state in a response against those observed before, and records it.
     pub(super) fn check_state_order(
         &mut self,
         job: &JobId,
--- a/crates/gladekeel-testkit/src/scenario/expectations.rs
+++ b/crates/gladekeel-testkit/src/scenario/expectations.rs
@@ -62,7 +62,7 @@
     })
 }
 
-/// `JOBS done|cancelled|refused|open`, by what their users were told last.
+/// `JOBS done|cancelled|refused|open`, as last observed by their users.
 fn check_state(
     sim: &Simulation,
     jobs: &str,
--- a/crates/gladekeel-testkit/src/scenario/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/mod.rs
@@ -88,7 +88,7 @@
 //!
 //! | expectation | meaning |
 //! | --- | --- |
-//! | `JOBS done\|cancelled\|open\|refused` | What users were told last; `refused` means nothing. |
+//! | `JOBS done\|cancelled\|open\|refused` | The state that users observed last; `refused` means nothing. |
 //! | `JOB began\|on OP N` | When the job began; how many of its tasks are on machines. |
 //! | `JOB runs\|saves\|lost\|attempts OP N` | Of a gang: how often it ran and saved, seconds of lost progress, attempts. |
 //! | `broken INVARIANT` | The invariant was violated, and may be. |
@@ -117,5 +117,5 @@
 
 pub use error::{Check, FailedCheck, LineError, Mismatch, ScenarioError};
 pub use examples::{GangTimes, example_job, example_settings, example_type, settings_with};
-pub use files::{FileResult, run_files};
+pub use files::{FileResult, files_below, run_files, scenario_directory, scenario_name};
 pub use runner::run;
--- a/crates/gladekeel-testkit/src/scenario/steps/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/mod.rs
@@ -50,3 +50,16 @@
         other => Err(LineError::unexpected("a step", other)),
     }
 }
+
+/// A fault that begins at once and is cleared after a while.
+fn fault_for(
+    duration_s: f64,
+    begin: impl FnOnce(&mut Simulation) + 'static,
+    clear: impl FnOnce(&mut Simulation) + 'static,
+) -> Step {
+    Box::new(move |sim| {
+        begin(sim);
+        sim.fault_lasts(duration_s);
+        sim.after(duration_s, clear);
+    })
+}
--- a/crates/gladekeel-testkit/src/scenario/steps/nodes.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/nodes.rs
@@ -1,9 +1,9 @@
 //! Faults of nodes and of the network.
 
-use super::{Step, line::Line};
+use super::{Step, fault_for, line::Line};
 use crate::{
     scenario::{LineError, targets::node_indices},
-    simulation::{Cut, CutScope},
+    simulation::{Cut, CutScope, Simulation},
 };
 
 /// `crash WHO for S`, or `crash leader commits=N for S` between two transactions.
@@ -58,9 +58,6 @@
 /// `links slow FACTOR for S`.
 pub(super) fn links(line: &Line) -> Result<Step, LineError> {
     let (factor, duration_s) = (line.number(2, "a factor")?, line.duration_s);
-    Ok(Box::new(move |sim| {
-        sim.network_slowdown = factor;
-        sim.fault_lasts(duration_s);
-        sim.after(duration_s, |sim| sim.network_slowdown = 1.0);
-    }))
+    let slow_down = move |sim: &mut Simulation| sim.network_slowdown = factor;
+    Ok(fault_for(duration_s, slow_down, |sim| sim.network_slowdown = 1.0))
 }
--- a/crates/gladekeel-testkit/src/simulation/mod.rs
+++ b/crates/gladekeel-testkit/src/simulation/mod.rs
@@ -60,6 +60,21 @@
     next_request: RequestId,
 }
 
+impl SimulatedNode {
+    /// A node that has not been started.
+    fn new(settings: Settings) -> SimulatedNode {
+        SimulatedNode {
+            process: None,
+            settings,
+            incarnation: 0,
+            started_at: 0.0,
+            paused_until: 0.0,
+            pending_requests: BTreeMap::new(),
+            next_request: 0,
+        }
+    }
+}
+
 /// A cluster with everything around it.
 pub struct Simulation {
     /// Seconds since the beginning.
@@ -135,18 +150,7 @@
             queue: BTreeMap::new(),
             scheduled_events: 0,
             rng: StdRng::seed_from_u64(seed),
-            nodes: settings
-                .into_iter()
-                .map(|settings| SimulatedNode {
-                    process: None,
-                    settings,
-                    incarnation: 0,
-                    started_at: 0.0,
-                    paused_until: 0.0,
-                    pending_requests: BTreeMap::new(),
-                    next_request: 0,
-                })
-                .collect(),
+            nodes: settings.into_iter().map(SimulatedNode::new).collect(),
             store,
             store_responses_lost: false,
             crash_after_commits: None,
--- a/crates/gladekeel-testkit/src/simulation/read_your_writes.rs
+++ b/crates/gladekeel-testkit/src/simulation/read_your_writes.rs
@@ -26,7 +26,7 @@
 }
 
 impl Simulation {
-    /// A user was told of a job: if that is news, all nodes are queried.
+    /// A user got a response about a job: if it brings news, all nodes are queried.
     pub(super) fn probe_after_news(&mut self, id: &JobId, answer: Answer) {
         if !matches!(answer.status, 200 | 201) {
             return;
--- a/crates/gladekeel-testkit/src/simulation/services.rs
+++ b/crates/gladekeel-testkit/src/simulation/services.rs
@@ -8,8 +8,28 @@
 };
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use rand::Rng;
+use std::ops::Range;
+
+/// How much later a delayed transaction is executed.
+const COMMIT_DELAY_S: Range<f64> = 2.0..12.0;
+/// How much later a duplicated request arrives.
+const DUPLICATE_DELAY_S: Range<f64> = 0.5..20.0;
+/// How long the cloud takes to execute a request.
+const CLOUD_DELAY_S: f64 = 0.1;
+
+/// A request of a node to the store.
+struct StoreCall {
+    node: usize,
+    incarnation: u64,
+    call: CallId,
+    request: StoreRequest,
+    /// A copy that arrives later; nobody waits for its response.
+    is_duplicate: bool,
+    response_lost: bool,
+}
 
 impl Simulation {
+    /// A node sends a request to the store.
     pub(super) fn call_store(
         &mut self,
         node: usize,
@@ -21,54 +41,69 @@
         self.after(timeout_s, move |sim| {
             sim.event(node, incarnation, Event::Store { call, outcome: StoreOutcome::Unknown });
         });
-        let delayed = self.delayed_commit_share > 0.0
-            && matches!(request, StoreRequest::Commit(_))
-            && self.rng.random::<f64>() < self.delayed_commit_share
-            && !self.store.down
-            && !self.store.refused_nodes.contains(&node);
-        if delayed {
-            let after_s = self.rng.random_range(2.0..12.0);
+        let is_commit = matches!(request, StoreRequest::Commit(_));
+        if is_commit && self.draws_delayed_commit(node) {
+            let delay_s = self.rng.random_range(COMMIT_DELAY_S);
             return self.deliver(&Endpoint::Node(node), &Endpoint::Store, move |sim| {
-                sim.after(after_s, move |sim| sim.execute_late(request));
+                sim.after(delay_s, move |sim| sim.execute_late(request));
             });
         }
-        let response_lost = matches!(request, StoreRequest::Commit(_))
-            && self.occurs(self.message_faults.lost_response_share);
-        let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplicated_request_share);
-        for copy in 0..copies {
+        let response_lost = is_commit && self.occurs(self.message_faults.lost_response_share);
+        for &is_duplicate in self.draw_copies() {
+            let delay_s = if is_duplicate { self.rng.random_range(DUPLICATE_DELAY_S) } else { 0.0 };
+            let delay_s = delay_s + self.store_delay();
             let request = request.clone();
-            let extra = if copy == 0 { 0.0 } else { self.rng.random_range(0.5..20.0) };
-            let extra = extra + self.store_delay();
-            self.after(extra, move |sim| {
+            let call = StoreCall { node, incarnation, call, request, is_duplicate, response_lost };
+            self.after(delay_s, move |sim| {
                 sim.deliver(&Endpoint::Node(node), &Endpoint::Store, move |sim| {
-                    let outcome = sim.store.call(sim.now, node, &request);
-                    if copy == 0 && matches!(outcome, StoreOutcome::Committed(_)) {
-                        sim.message_faults.responses_lost += u64::from(response_lost);
-                        sim.committed(node);
-                    }
-                    if sim.store_responses_lost || response_lost || copy > 0 {
-                        return;
-                    }
-                    let slow_s = sim.store_delay();
-                    sim.after(slow_s, move |sim| {
-                        sim.deliver(&Endpoint::Store, &Endpoint::Node(node), move |sim| {
-                            sim.event(node, incarnation, Event::Store { call, outcome });
-                        });
-                    });
+                    sim.execute_store_call(call);
                 });
             });
         }
     }
 
+    /// Whether a transaction gets no answer and is executed late.
+    fn draws_delayed_commit(&mut self, node: usize) -> bool {
+        self.occurs(self.delayed_commit_share)
+            && !self.store.down
+            && !self.store.refused_nodes.contains(&node)
+    }
+
+    /// The copies of a request to a service, by whether they are duplicates.
+    fn draw_copies(&mut self) -> &'static [bool] {
+        let duplicated = self.rng.random::<f64>() < self.duplicated_request_share;
+        if duplicated { &[false, true] } else { &[false] }
+    }
+
+    /// The store executes a request and responds.
+    fn execute_store_call(&mut self, store_call: StoreCall) {
+        let StoreCall { node, incarnation, call, request, is_duplicate, response_lost } =
+            store_call;
+        let outcome = self.store.call(self.now, node, &request);
+        if !is_duplicate && matches!(outcome, StoreOutcome::Committed(_)) {
+            self.message_faults.responses_lost += u64::from(response_lost);
+            self.committed(node);
+        }
+        if self.store_responses_lost || response_lost || is_duplicate {
+            return;
+        }
+        let delay_s = self.store_delay();
+        self.after(delay_s, move |sim| {
+            sim.deliver(&Endpoint::Store, &Endpoint::Node(node), move |sim| {
+                sim.event(node, incarnation, Event::Store { call, outcome });
+            });
+        });
+    }
+
     /// A transaction of a node was committed.
     fn committed(&mut self, node: usize) {
-        let Some((left, for_s)) = self.crash_after_commits else { return };
+        let Some((left, downtime_s)) = self.crash_after_commits else { return };
         if self.leading() != Some(node) {
             return;
         }
-        self.crash_after_commits = (left > 1).then_some((left - 1, for_s));
+        self.crash_after_commits = (left > 1).then_some((left - 1, downtime_s));
         if left <= 1 {
-            self.restart(node, for_s);
+            self.restart(node, downtime_s);
         }
     }
 
@@ -87,6 +122,7 @@
         self.store.call(self.now, usize::MAX, &request);
     }
 
+    /// A node sends a request to the cloud.
     pub(super) fn call_cloud(
         &mut self,
         node: usize,
@@ -98,21 +134,14 @@
         self.after(timeout_s, move |sim| {
             sim.event(node, incarnation, Event::Cloud { call, outcome: CloudOutcome::Unknown });
         });
-        let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplicated_request_share);
-        for copy in 0..copies {
+        for &is_duplicate in self.draw_copies() {
+            let delay_s =
+                if is_duplicate { self.rng.random_range(DUPLICATE_DELAY_S) } else { CLOUD_DELAY_S };
             let request = request.clone();
-            let extra = if copy == 0 { 0.1 } else { self.rng.random_range(0.5..20.0) };
-            self.after(extra, move |sim| {
+            self.after(delay_s, move |sim| {
                 sim.deliver(&Endpoint::Node(node), &Endpoint::Cloud, move |sim| {
-                    let CloudResponse { outcome, rented, deleted } =
-                        sim.cloud.call(sim.now, &request);
-                    for name in rented {
-                        sim.boot(name);
-                    }
-                    for name in deleted {
-                        sim.remove_worker(&name);
-                    }
-                    if copy == 0 {
+                    let outcome = sim.execute_cloud_request(&request);
+                    if !is_duplicate {
                         sim.deliver(&Endpoint::Cloud, &Endpoint::Node(node), move |sim| {
                             sim.event(node, incarnation, Event::Cloud { call, outcome });
                         });
@@ -121,4 +150,16 @@
             });
         }
     }
+
+    /// The cloud executes a request; machines boot and go at once.
+    fn execute_cloud_request(&mut self, request: &CloudRequest) -> CloudOutcome {
+        let CloudResponse { outcome, rented, deleted } = self.cloud.call(self.now, request);
+        for name in rented {
+            self.boot(name);
+        }
+        for name in deleted {
+            self.remove_worker(&name);
+        }
+        outcome
+    }
 }
--- a/crates/gladekeel-testkit/src/simulation/users.rs
+++ b/crates/gladekeel-testkit/src/simulation/users.rs
@@ -37,7 +37,7 @@
 pub(super) struct Answer {
     /// The status; 0 without a response.
     pub status: u16,
-    /// The state of the job, if it is told.
+    /// The state of the job, if the response has it.
     pub state: Option<JobState>,
 }
 
@@ -78,10 +78,10 @@
         let sent_at = self.now;
         self.request(Endpoint::Users, node, request, timeout_s, move |sim, reply| {
             let status = reply.as_ref().map_or(0, |reply| reply.status);
-            let told = reply
+            let reported = reply
                 .and_then(|reply| serde_json::from_slice::<JobStatus>(&reply.body).ok())
-                .filter(|told| told.id == job);
-            let answer = Answer { status, state: told.map(|told| told.state) };
+                .filter(|reported| reported.id == job);
+            let answer = Answer { status, state: reported.map(|reported| reported.state) };
             let response = JobResponse {
                 sent_at,
                 received_at: sim.now,
--- a/crates/gladekeel-testkit/src/stand_ins/cloud.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/cloud.rs
@@ -53,7 +53,7 @@
 /// The outcome of a request, and what it changes at once.
 #[derive(Debug)]
 pub struct CloudResponse {
-    /// What the controller is told.
+    /// What the controller receives.
     pub outcome: CloudOutcome,
     /// Names of the machines that begin to boot.
     pub rented: Vec<String>,
--- a/crates/gladekeel-testkit/src/stand_ins/gang.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/gang.rs
@@ -92,6 +92,10 @@
     matches!(task.state, TaskState::Waiting | TaskState::Running)
 }
 
+fn is_same_attempt(a: &FakeTask, b: &FakeTask) -> bool {
+    a.attempt == b.attempt && a.task.job == b.task.job
+}
+
 impl GangRuntime {
     /// No gangs yet.
     pub fn new(peer_s: f64) -> GangRuntime {
@@ -103,37 +107,13 @@
         self.jobs.get(job).cloned().unwrap_or_default()
     }
 
-    /// Lets the gangs go on until now. Returns what events on which machine.
+    /// Advances all gangs to the present. Returns the events by the name of their machine.
     pub fn step(
         &mut self,
         now: f64,
         workers: &mut BTreeMap<String, FakeWorker>,
     ) -> Vec<(String, WorkerEvent)> {
-        let mut members: BTreeMap<(JobId, u64), Vec<GangMember>> = BTreeMap::new();
-        for (name, worker) in workers.iter() {
-            let name: Rc<str> = name.as_str().into();
-            let gangs = worker.tasks.iter().enumerate();
-            let gangs: Vec<_> = gangs.filter(|(_, task)| task.spec.kind == JobKind::Gang).collect();
-            // Tasks of an attempt mostly lie together: they are noted together.
-            let same =
-                |a: &FakeTask, b: &FakeTask| a.attempt == b.attempt && a.task.job == b.task.job;
-            for attempt in gangs.chunk_by(|(_, a), (_, b)| same(a, b)) {
-                let Some((_, first)) = attempt.first() else { continue };
-                let job = self.jobs.entry(first.task.job.clone()).or_default();
-                job.attempts.insert(first.attempt);
-                let present = attempt.iter().filter(|(_, task)| takes_part(task));
-                let here = present.map(|(position, task)| GangMember {
-                    index: task.task.index,
-                    machine: name.clone(),
-                    position: *position,
-                });
-                let mut here = here.peekable();
-                if here.peek().is_some() {
-                    let key = (first.task.job.clone(), first.attempt);
-                    members.entry(key).or_default().extend(here);
-                }
-            }
-        }
+        let mut members = self.find_members(workers);
         let mut events = Vec::new();
         let keys: BTreeSet<_> = members.keys().chain(self.runs.keys()).cloned().collect();
         for key in keys {
@@ -150,6 +130,38 @@
         events
     }
 
+    /// The tasks on the machines that wait for their gang or run with it, by attempt.
+    fn find_members(
+        &mut self,
+        workers: &BTreeMap<String, FakeWorker>,
+    ) -> BTreeMap<(JobId, u64), Vec<GangMember>> {
+        let mut members: BTreeMap<(JobId, u64), Vec<GangMember>> = BTreeMap::new();
+        for (name, worker) in workers {
+            let name: Rc<str> = name.as_str().into();
+            let tasks = worker.tasks.iter().enumerate();
+            let tasks: Vec<_> = tasks.filter(|(_, task)| task.spec.kind == JobKind::Gang).collect();
+            // Tasks of an attempt mostly follow one another: a run of them is added at once.
+            for attempt in tasks.chunk_by(|(_, a), (_, b)| is_same_attempt(a, b)) {
+                let Some((_, first)) = attempt.first() else { continue };
+                let job = self.jobs.entry(first.task.job.clone()).or_default();
+                job.attempts.insert(first.attempt);
+                let found = attempt.iter().filter(|(_, task)| takes_part(task));
+                let mut found = found
+                    .map(|(position, task)| GangMember {
+                        index: task.task.index,
+                        machine: name.clone(),
+                        position: *position,
+                    })
+                    .peekable();
+                if found.peek().is_some() {
+                    let key = (first.task.job.clone(), first.attempt);
+                    members.entry(key).or_default().extend(found);
+                }
+            }
+        }
+        members
+    }
+
     /// Starts an attempt once all of its tasks wait.
     fn start_if_complete(
         &mut self,
--- a/crates/gladekeel-testkit/src/stand_ins/store.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/store.rs
@@ -45,7 +45,7 @@
     expires_at: f64,
 }
 
-/// A change that watches are told of.
+/// A change that watches return.
 #[derive(Debug)]
 struct Change {
     revision: u64,
--- a/crates/gladekeel-testkit/tests/decision_trace.rs
+++ b/crates/gladekeel-testkit/tests/decision_trace.rs
@@ -6,7 +6,7 @@
 //! `cargo run -p gladekeel-testkit --example decision_traces -- SCENARIO_FILE...`.
 
 use gladekeel_testkit::scenario;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 const FIXTURE: &str = include_str!("fixtures/decision_traces.txt");
 
@@ -26,7 +26,7 @@
 fn nodes_act_as_recorded() {
     let expected = expected_digests();
     assert!(expected.iter().all(|(_, digests)| !digests.is_empty()));
-    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
+    let directory = scenario::scenario_directory();
     let file = |(name, _): &(&str, _)| -> PathBuf { directory.join(format!("{name}.txt")) };
     let results = scenario::run_files(expected.iter().map(file).collect());
     let mut differing = Vec::new();
--- a/crates/gladekeel-testkit/tests/stand_ins.rs
+++ b/crates/gladekeel-testkit/tests/fake_worker.rs
@@ -1,7 +1,6 @@
 //! Fake workers behave under faults as the protocol says.
 
 use gladekeel_testkit::{
-    scenario,
     scenario::example_job,
     stand_ins::{
         resources::Resources,
@@ -17,10 +16,10 @@
     vec![Command::Start { task: task.clone(), attempt: 1 }]
 }
 
-/// A machine that hangs past its lease keeps its tasks until it goes on; commands that
-/// reached it meanwhile are of an earlier session by then.
+/// A machine that hangs past its lease keeps its tasks until it resumes; commands that
+/// reached it meanwhile are of an earlier incarnation by then.
 #[test]
-fn a_hung_machine_keeps_its_tasks_past_its_lease() {
+fn a_hung_machine_keeps_its_tasks_until_it_resumes() {
     let spec = example_job("job-1");
     let task = TaskId { job: spec.id.clone(), index: 0 };
     let find = |_: &TaskId| Some(spec.clone());
@@ -46,18 +45,7 @@
     assert!(worker.tasks.is_empty());
     let late = DirectCommands { token: 7, incarnation: 1, commands: start(&task) };
     assert!(!worker.handle_direct_commands(100.0, &late, &find).0);
-    // The report that it was about to send shows what was there then.
+    // The heartbeat that it was about to send shows what was there then.
     let DelayedHeartbeat { made_at, heartbeat } = worker.delayed_heartbeat.take().unwrap();
     assert_eq!((made_at, heartbeat.incarnation, heartbeat.tasks.len()), (2.0, 1, 1));
 }
-
-/// A scenario with several seeds says which of them fails.
-#[test]
-fn each_seed_is_run() {
-    let text = "world seeds=4..6\nuntil 5\nexpect leaders >= 1\nexpect leaders = 9\n";
-    let failure = scenario::run(text).unwrap_err().to_string();
-    for seed in 4..=6 {
-        assert!(failure.contains(&format!("seed {seed}: line 4: leaders is 1")), "{failure}");
-    }
-    assert!(!failure.contains("line 3"), "{failure}");
-}
--- a/crates/gladekeel-testkit/tests/invariants/starvation.rs
+++ b/crates/gladekeel-testkit/tests/invariants/starvation.rs
@@ -35,55 +35,66 @@
     violated(&checker).into_iter().map(str::to_owned).collect()
 }
 
+fn array() -> JobSpec {
+    JobSpec { cpus: 8.0, tasks: 4, ..example_job("job-1") }
+}
+
+fn free_machine(_: u32, _: &mut InvariantChecker) -> (Vec<FreeCapacity>, bool) {
+    (vec![machine_with("a", false, 8.0)], false)
+}
+
 /// Without a fault a job that has nothing on any machine is pending for 90 s at most while a
-/// machine that fits is free; every reason to be pending longer is one of those listed.
+/// machine that fits is free. The tests below are the reasons to be pending longer.
 #[test]
 fn a_job_that_stays_pending_next_to_a_free_machine_is_a_violation() {
-    let mut spec = example_job("job-1");
-    (spec.cpus, spec.tasks) = (8.0, 4);
-    let beside = |_: u32, _: &mut InvariantChecker| (vec![machine_with("a", false, 8.0)], false);
-    assert!(violated_while_pending(&spec, 90, beside).is_empty(), "90 s have not passed");
-    assert_eq!(violated_while_pending(&spec, 400, beside), ["left_waiting"], "it is reported once");
+    assert!(violated_while_pending(&array(), 90, free_machine).is_empty(), "90 s have not passed");
+    let violated = violated_while_pending(&array(), 400, free_machine);
+    assert_eq!(violated, ["left_waiting"], "it is reported once");
+}
 
-    // The clock begins when the faults are cleared.
+#[test]
+fn the_time_that_a_job_is_pending_counts_once_faults_are_cleared() {
     let cleared_at = |at: f64| {
         move |_: u32, checker: &mut InvariantChecker| {
             checker.faults_cleared_at = at;
             (vec![machine_with("a", false, 8.0)], false)
         }
     };
-    assert!(violated_while_pending(&spec, 190, cleared_at(100.0)).is_empty());
-    assert_eq!(violated_while_pending(&spec, 195, cleared_at(100.0)), ["left_waiting"]);
+    assert!(violated_while_pending(&array(), 190, cleared_at(100.0)).is_empty());
+    assert_eq!(violated_while_pending(&array(), 195, cleared_at(100.0)), ["left_waiting"]);
+}
 
-    // No machine is free, not for a while or never.
-    assert!(
-        violated_while_pending(&spec, 400, |_, _| (vec![machine_with("a", false, 7.9)], false))
-            .is_empty()
-    );
-    let gap = |now: u32, _: &mut InvariantChecker| {
+#[test]
+fn a_job_may_be_pending_while_no_machine_that_fits_is_free() {
+    let too_small = |_: u32, _: &mut InvariantChecker| (vec![machine_with("a", false, 7.9)], false);
+    assert!(violated_while_pending(&array(), 400, too_small).is_empty());
+    let occupied_once = |now: u32, _: &mut InvariantChecker| {
         (if now == 60 { vec![] } else { vec![machine_with("a", false, 8.0)] }, false)
     };
-    assert!(violated_while_pending(&spec, 155, gap).is_empty());
-    assert_eq!(violated_while_pending(&spec, 160, gap), ["left_waiting"]);
+    assert!(violated_while_pending(&array(), 155, occupied_once).is_empty());
+    assert_eq!(violated_while_pending(&array(), 160, occupied_once), ["left_waiting"]);
+}
 
-    // Something of it is on a machine.
-    assert!(
-        violated_while_pending(&spec, 400, |_, _| (vec![machine_with("a", false, 8.0)], true))
-            .is_empty()
-    );
+#[test]
+fn a_job_with_a_task_on_a_machine_is_not_pending() {
+    let active = |_: u32, _: &mut InvariantChecker| (vec![machine_with("a", false, 8.0)], true);
+    assert!(violated_while_pending(&array(), 400, active).is_empty());
+}
 
-    // A machine is free where it may not be.
-    let elsewhere = JobSpec { zone: Some("b".into()), spot: false, ..spec.clone() };
-    assert!(violated_while_pending(&elsewhere, 400, beside).is_empty());
-    assert!(
-        violated_while_pending(&elsewhere, 400, |_, _| (vec![machine_with("b", true, 8.0)], false))
-            .is_empty()
-    );
-    let there = |_: u32, _: &mut InvariantChecker| (vec![machine_with("b", false, 8.0)], false);
-    assert_eq!(violated_while_pending(&elsewhere, 400, there), ["left_waiting"]);
+#[test]
+fn a_job_may_be_pending_while_only_machines_that_it_does_not_allow_are_free() {
+    let spec = JobSpec { zone: Some("b".into()), spot: false, ..array() };
+    assert!(violated_while_pending(&spec, 400, free_machine).is_empty());
+    let spot = |_: u32, _: &mut InvariantChecker| (vec![machine_with("b", true, 8.0)], false);
+    assert!(violated_while_pending(&spec, 400, spot).is_empty());
+    let allowed = |_: u32, _: &mut InvariantChecker| (vec![machine_with("b", false, 8.0)], false);
+    assert_eq!(violated_while_pending(&spec, 400, allowed), ["left_waiting"]);
+}
 
-    // Its team is at its limit of 200 CPUs.
-    let full = |cpus: f64| {
+/// The team's limit is 200 CPUs.
+#[test]
+fn a_job_may_be_pending_while_its_team_is_at_its_limit() {
+    let team_uses = |cpus: f64| {
         move |now: u32, checker: &mut InvariantChecker| {
             if now == 0 {
                 let other = JobSpec { cpus, ..example_job("job-2") };
@@ -94,23 +105,27 @@
             (vec![machine_with("a", false, 8.0)], false)
         }
     };
-    assert!(violated_while_pending(&spec, 400, full(193.0)).is_empty());
-    assert_eq!(violated_while_pending(&spec, 400, full(192.0)), ["left_waiting"]);
+    assert!(violated_while_pending(&array(), 400, team_uses(193.0)).is_empty());
+    assert_eq!(violated_while_pending(&array(), 400, team_uses(192.0)), ["left_waiting"]);
+}
 
-    // A gang begins whole, on several machines.
-    let gang = JobSpec { kind: JobKind::Gang, ..spec.clone() };
-    let two = |cpus: f64| {
+#[test]
+fn a_gang_may_be_pending_until_all_its_tasks_fit_on_several_machines() {
+    let gang = JobSpec { kind: JobKind::Gang, ..array() };
+    let second_machine = |cpus: f64| {
         move |_: u32, _: &mut InvariantChecker| {
             (vec![machine_with("a", false, 16.0), machine_with("b", false, cpus)], false)
         }
     };
-    assert!(violated_while_pending(&gang, 400, two(8.0)).is_empty());
-    assert_eq!(violated_while_pending(&gang, 400, two(16.0)), ["left_waiting"]);
+    assert!(violated_while_pending(&gang, 400, second_machine(8.0)).is_empty());
+    assert_eq!(violated_while_pending(&gang, 400, second_machine(16.0)), ["left_waiting"]);
+}
 
-    // Its user cancelled it.
+#[test]
+fn a_job_whose_user_cancelled_it_is_not_pending() {
     let cancelled = |_: u32, checker: &mut InvariantChecker| {
         checker.on_cancel_request(&job_id());
         (vec![machine_with("a", false, 8.0)], false)
     };
-    assert!(violated_while_pending(&spec, 400, cancelled).is_empty());
+    assert!(violated_while_pending(&array(), 400, cancelled).is_empty());
 }
--- a/crates/gladekeel-testkit/tests/known_failures.rs
+++ b/crates/gladekeel-testkit/tests/known_failures.rs
@@ -39,7 +39,7 @@
 fn all_scenarios() {
     let only = std::env::var("SCENARIO").unwrap_or_default();
     let skipped = std::env::var("SKIP_SCENARIOS").unwrap_or_default();
-    for name in ["calm", "stormy"] {
+    for name in ["calm", "weather/stormy"] {
         let selected = format!("scenarios/{name}.txt").contains(&only);
         if selected && !skipped.split(',').any(|skip| skip == name) {
             assert_eq!(name, "calm");
@@ -51,7 +51,7 @@
 /// A list under which the package passes.
 const COMPLETE: &str = "tests::bad | a fault | #1\n\
     tests::bad_too | another fault | #2\n\
-    scenario:stormy | bad weather | #3\n";
+    scenario:weather/stormy | bad weather | #3\n";
 
 struct Outcome {
     passed: bool,
@@ -79,13 +79,15 @@
 fn package(directory: &str) -> PathBuf {
     let package = Path::new(env!("CARGO_TARGET_TMPDIR")).join("known-failures").join(directory);
     let scenarios = package.join("crates/gladekeel-testkit/scenarios");
-    for path in [package.join("src"), package.join("tests"), scenarios.clone()] {
+    // A file that an earlier run has left must not count as a scenario.
+    let _ = fs::remove_dir_all(&scenarios);
+    for path in [package.join("src"), package.join("tests"), scenarios.join("weather")] {
         fs::create_dir_all(path).unwrap();
     }
     fs::write(package.join("Cargo.toml"), MANIFEST).unwrap();
     fs::write(package.join("src/lib.rs"), SOURCE).unwrap();
     fs::write(package.join("tests/scenarios.rs"), RUNNER).unwrap();
-    for name in ["calm", "stormy"] {
+    for name in ["calm", "weather/stormy"] {
         fs::write(scenarios.join(format!("{name}.txt")), "").unwrap();
     }
     let _ = fs::remove_file(package.join("KNOWN-RED.txt"));
@@ -104,7 +106,7 @@
     assert!(outcome.passed, "{}", outcome.output);
     for line in [
         "known to fail, fails: tests::bad (a fault; #1)",
-        "known to fail, fails: scenario:stormy (bad weather; #3)",
+        "known to fail, fails: scenario:weather/stormy (bad weather; #3)",
         "test tests::good ... ok",
     ] {
         assert!(outcome.output.contains(line), "{line}: {}", outcome.output);
@@ -116,7 +118,7 @@
 #[test]
 fn only_listed_tests_are_passed_over() {
     for list in [None, Some(""), Some("\n")] {
-        let outcome = run("empty", list, &[("SKIP_SCENARIOS", "stormy")]);
+        let outcome = run("empty", list, &[("SKIP_SCENARIOS", "weather/stormy")]);
         assert!(!outcome.passed);
         assert!(outcome.output.contains("test tests::bad ... FAILED"), "{}", outcome.output);
     }
@@ -134,6 +136,7 @@
         ("scenario:calm", "passes or is ignored, take it off the list: scenario:calm"),
         ("bad", "no such test: bad"),
         ("tests::none", "no such test: tests::none"),
+        ("scenario:stormy", "no such scenario: scenario:stormy"),
         ("scenario:none", "no such scenario: scenario:none"),
     ] {
         assert_fails("stale", &format!("{test} | a cause | #1\n"), message);
--- a/crates/gladekeel-testkit/tests/settling.rs
+++ b/crates/gladekeel-testkit/tests/node_startup.rs
@@ -8,18 +8,18 @@
 use gladekeel_wire::mesh::FrameHeader;
 use std::collections::VecDeque;
 
-fn state() -> FakeStore {
+fn new_store() -> FakeStore {
     FakeStore::new(StoreLimits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 })
 }
 
-/// Lets a node tick and answers its calls to the state service; returns its frames.
-fn tick(node: &mut Node, state: &mut FakeStore, now: f64) -> Vec<Vec<u8>> {
+/// Lets a node tick and answers its calls to the store; returns its frames.
+fn tick(node: &mut Node, store: &mut FakeStore, now: f64) -> Vec<Vec<u8>> {
     let mut frames = Vec::new();
     let mut actions = VecDeque::from(node.handle(now, Event::Tick));
     while let Some(action) = actions.pop_front() {
         match action {
             Action::CallStore { call, request, .. } => {
-                let outcome = state.call(now, 0, &request);
+                let outcome = store.call(now, 0, &request);
                 actions.extend(node.handle(now, Event::Store { call, outcome }));
             }
             Action::SendToPeer { frame, .. } => frames.push(frame),
@@ -42,32 +42,32 @@
 /// Workers that were taken before anybody led kept a small processor busy for 4 s.
 #[test]
 fn a_node_is_settled_once_it_leads() {
-    let (mut state, mut node) = (state(), Node::new(example_settings(0, 1), 7, 0.0));
+    let (mut store, mut node) = (new_store(), Node::new(example_settings(0, 1), 7, 0.0));
     assert!(!node.is_settled(0.0));
     let steps = (0..40).map(|step| f64::from(step) * 0.05);
     let settled = steps.into_iter().find(|now| {
-        tick(&mut node, &mut state, *now);
+        tick(&mut node, &mut store, *now);
         node.is_settled(*now)
     });
     assert!(settled.is_some_and(|at| at <= 1.0), "{settled:?}");
     assert!(node.leader().is_some());
 }
 
-/// Without its hello the leader's level is not known, and all workers would be sent to it.
+/// Without its heartbeat the leader's level is not known, and all workers would be sent to it.
 #[test]
-fn a_follower_is_settled_once_it_has_heard_the_leader() {
-    let mut state = state();
+fn a_follower_is_settled_after_a_heartbeat_of_the_leader() {
+    let mut store = new_store();
     let mut leader = Node::new(example_settings(0, 2), 7, 0.0);
     let mut follower = Node::new(example_settings(1, 2), 8, 0.0);
-    let mut hellos = Vec::new();
+    let mut heartbeats = Vec::new();
     for step in 0..60 {
         let now = f64::from(step) * 0.05;
-        hellos.extend(tick(&mut leader, &mut state, now));
+        heartbeats.extend(tick(&mut leader, &mut store, now));
         if leader.leader().is_some() {
-            tick(&mut follower, &mut state, now);
+            tick(&mut follower, &mut store, now);
         }
     }
-    assert!(!follower.is_settled(3.0), "it has read who leads and has not heard it");
-    hand_over(&mut follower, 3.0, hellos);
+    assert!(!follower.is_settled(3.0), "it has read who leads and has no heartbeat of it");
+    hand_over(&mut follower, 3.0, heartbeats);
     assert!(follower.is_settled(3.0));
 }
--- a/crates/gladekeel-testkit/tests/scenarios.rs
+++ b/crates/gladekeel-testkit/tests/scenarios.rs
@@ -1,32 +1,28 @@
-//! Runs every file under `scenarios/`.
+//! Runs every file below `scenarios/`.
 //!
 //! `SCENARIO=TEXT` runs those whose path contains the text, with the nodes' logs.
-//! `SKIP_SCENARIOS=NAME,NAME` passes over these; only `.ci/cargo-test` sets it, from the
-//! list of tests that are known to fail.
+//! `SKIP_SCENARIOS=NAME,NAME` passes over these, each named by its directory and file like
+//! `failover/leader-crash`; only `.ci/cargo-test` sets it, from the list of tests that are
+//! known to fail.
 
-use gladekeel_testkit::scenario;
+use gladekeel_testkit::scenario::{files_below, run_files, scenario_directory, scenario_name};
 use std::{
-    fs,
     io::{self, Write as _},
-    path::{Path, PathBuf},
+    path::PathBuf,
 };
 
-fn name(path: &Path) -> String {
-    path.file_stem().expect("a file has a name").to_string_lossy().into_owned()
-}
-
 /// The files to run: those whose path contains `only`, without those that `skipped` names.
 /// An unknown name in `skipped` is an error.
 fn select(mut files: Vec<PathBuf>, only: &str, skipped: &str) -> Result<Vec<PathBuf>, String> {
     let skipped: Vec<&str> = skipped.split(',').filter(|name| !name.is_empty()).collect();
     for wanted in &skipped {
-        if !files.iter().any(|path| name(path) == *wanted) {
+        if !files.iter().any(|path| scenario_name(path) == *wanted) {
             return Err(format!("no such scenario: {wanted}"));
         }
     }
     files.sort();
     files.retain(|path| path.to_string_lossy().contains(only));
-    files.retain(|path| !skipped.contains(&name(path).as_str()));
+    files.retain(|path| !skipped.contains(&scenario_name(path).as_str()));
     if files.is_empty() {
         return Err("no scenario is left".to_owned());
     }
@@ -35,7 +31,6 @@
 
 #[test]
 fn all_scenarios() {
-    let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     // One scenario alone shows the nodes' logs.
     let only = std::env::var("SCENARIO").unwrap_or_default();
     if !only.is_empty() {
@@ -46,10 +41,10 @@
         // Not `eprintln`, which the test harness keeps to itself when a test passes.
         writeln!(io::stderr(), "scenarios passed over, known to fail: {skipped}").unwrap();
     }
-    let files = fs::read_dir(dir).unwrap().map(|entry| entry.unwrap().path()).collect();
+    let files = files_below(&scenario_directory()).unwrap();
     let files = select(files, &only, &skipped).unwrap();
     let mut failed = Vec::new();
-    for result in scenario::run_files(files) {
+    for result in run_files(files) {
         if let Err(failure) = result.outcome {
             failed.push(format!("{}:\n{failure}", result.name));
         }
@@ -59,15 +54,24 @@
 
 #[test]
 fn only_named_scenarios_are_passed_over() {
-    let files = ["s/gap.txt", "s/gap-zone.txt", "s/quiet.txt"].map(PathBuf::from).to_vec();
+    let files = [
+        "scenarios/outage/long.txt",
+        "scenarios/outage/long-zone.txt",
+        "scenarios/calm/long.txt",
+        "scenarios/quiet.txt",
+    ];
+    let files = files.map(PathBuf::from).to_vec();
     let names = |only: &str, skipped: &str| {
         select(files.clone(), only, skipped)
-            .map(|files| files.iter().map(|path| name(path)).collect::<Vec<_>>())
+            .map(|files| files.iter().map(|path| scenario_name(path)).collect::<Vec<_>>())
     };
-    assert_eq!(names("", "").unwrap(), ["gap-zone", "gap", "quiet"]);
-    assert_eq!(names("", "gap").unwrap(), ["gap-zone", "quiet"]);
-    assert_eq!(names("", "gap,quiet").unwrap(), ["gap-zone"]);
-    assert_eq!(names("/gap.txt", "").unwrap(), ["gap"]);
-    assert!(names("", "ga").is_err());
-    assert!(names("/gap.txt", "gap").is_err());
+    let all = ["calm/long", "outage/long-zone", "outage/long", "quiet"];
+    assert_eq!(names("", "").unwrap(), all);
+    assert_eq!(names("", "outage/long").unwrap(), ["calm/long", "outage/long-zone", "quiet"]);
+    assert_eq!(names("", "outage/long,quiet").unwrap(), ["calm/long", "outage/long-zone"]);
+    assert_eq!(names("/outage/long.txt", "").unwrap(), ["outage/long"]);
+    assert!(names("", "long").is_err(), "the directory is part of the name");
+    assert!(names("", "outage/lo").is_err());
+    assert!(names("", "outage").is_err());
+    assert!(names("/outage/long.txt", "outage/long").is_err());
 }
--- a/crates/gladekeel-testkit/tests/between_tokens.rs
+++ b/crates/gladekeel-testkit/tests/token_renewal.rs
@@ -1,4 +1,4 @@
-//! A node by itself, between two of its tokens.
+//! A leader that renews its fencing token.
 
 use gladekeel_controller::{
     cloud_api::{CloudOutcome, CloudRequest},
@@ -16,12 +16,12 @@
 };
 use std::collections::VecDeque;
 
-/// A commit without an answer makes the leader take a new token, and the cloud answers
-/// after the old token and before the new one. That answer once got lost: the list, or
-/// the deletion, counted as under way for ever, and no other one followed.
+/// A commit with an unknown outcome makes the leader renew its token, and the cloud responds
+/// after the old token and before the new one. That response once got lost: the list, or the
+/// deletion, counted as in flight for ever, and no other one followed.
 #[test]
-fn answers_of_the_cloud_between_two_tokens_count() {
-    let mut state =
+fn cloud_responses_during_a_token_renewal_are_not_lost() {
+    let mut store =
         FakeStore::new(StoreLimits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 });
     let mut node = Node::new(example_settings(0, 1), 7, 0.0);
     let (mut unanswered, mut leaders, mut lists) = (false, 0, 0);
@@ -32,7 +32,7 @@
         while let Some(action) = actions.pop_front() {
             let event = match action {
                 Action::CallStore { call, request, .. } => {
-                    let outcome = state.call(now, 0, &request);
+                    let outcome = store.call(now, 0, &request);
                     let types = |write: &Write| matches!(write, Write::Put { key, .. } if key == keys::MACHINE_TYPES);
                     match &request {
                         StoreRequest::Commit(txn)
--- a/crates/gladekeel-testkit/tests/two_versions/main.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/main.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Lets time pass; the peers say heartbeat once a second.
+    /// Lets time pass; the peers send a heartbeat once a second.
     fn run(&mut self, seconds: u32) {
         for _ in 0..seconds * 20 {
             let now = f64::from(self.step) * 0.05;
