--- a/crates/gladekeel-controller/src/leader/attempt_id.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_id.rs
@@ -1,10 +1,10 @@
 //! Ids of attempts, and the numbers by which workers know them.
 
-/// Names one assignment of a task to a machine, in this process and in the assignment log. It
-/// is never used twice.
+/// Names an assignment of a task to a machine, in this process and in the assignment log.
 ///
 /// Workers know the same attempt by a number. The tasks of a gang share one number, by which they
-/// find one another; the id of each is that number plus the index of the task.
+/// find one another; the id of each is that number plus the index of the task. A task that is
+/// replaced while its gang waits to start gets its id again; no other id is used twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(u64);
 
--- a/crates/gladekeel-controller/src/leader/failure_detection/mod.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! The leader runs the [`detector::FailureDetector`] once in each scheduling cycle. It weighs
 //! who was seen and who responds to probes, and says which machines to probe and which to
-//! delete. Only the confirmed deletion of a machine releases its tasks, never its silence alone
-//! ("Machines" in `docs/safety.md`); [`evacuation`] does that, and stops tasks in time on
-//! machines that are about to go.
+//! delete. The silence of a machine never releases its tasks, its confirmed deletion does ("Machines"
+//! in `docs/safety.md`). [`evacuation`] does that, and stops tasks in time on machines that are
+//! about to go.
 
 mod cancellation_deadline;
 pub(in crate::leader) mod detector;
--- a/crates/gladekeel-controller/src/leader/machine/image_cache.rs
+++ b/crates/gladekeel-controller/src/leader/machine/image_cache.rs
@@ -10,8 +10,8 @@
     size_gb: f64,
 }
 
-/// The images of a machine. The worker evicts the image that was least recently used when the
-/// cache is full; this model does the same.
+/// The images of a machine. The worker's cache is assumed to evict the least recently used images
+/// when it is full.
 #[derive(Debug, Default)]
 pub struct ImageCache {
     /// Images that are cached or being fetched, least recently used first.
