--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
@@ -1,4 +1,4 @@
-//! Filling a transaction with what waits, in the order of its urgency.
+//! Filling a transaction with pending changes, the most time-critical first.
 
 use super::{
     AssignmentLogWriter, LeaderRecords, NAMED_ASSIGNMENT_BYTES, RELEASE_ROW_BYTES,
@@ -180,7 +180,7 @@
         true
     }
 
-    /// Adds what has no urgency: machine types, and the removal of keys that nobody needs any
+    /// Adds what is not time-critical: machine types, and the removal of keys that nobody needs any
     /// more.
     pub fn add_housekeeping(&mut self) {
         self.add_machine_types();
--- a/crates/gladekeel-controller/src/shell/mod.rs
+++ b/crates/gladekeel-controller/src/shell/mod.rs
@@ -5,11 +5,11 @@
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`listeners`] | listening sockets, the server for users and workers |
-//! | [`requests`] | HTTP requests until the node replies |
-//! | [`peer_connections`] | frames from and to the other controllers |
-//! | [`outgoing_calls`] | calls to the store, the cloud and workers |
-//! | [`tick_loop`] | the clock |
+//! | `listeners` | listening sockets, the server for users and workers |
+//! | `requests` | HTTP requests until the node replies |
+//! | `peer_connections` | frames from and to the other controllers |
+//! | `outgoing_calls` | calls to the store, the cloud and workers |
+//! | `tick_loop` | the clock |
 //!
 //! # Tasks, shutdown and cancellation
 //!
--- /dev/null
+++ b/crates/gladekeel-testkit/tests/protocol_words.rs
@@ -0,0 +1,400 @@
+//! The code and the docs use the field's terms: the themed words of the platform's protocol
+//! stand only where its JSON is spelled.
+//!
+//! Words are looked for in identifiers (each part of `snake_case` and `CamelCase`), comments
+//! and string literals, and in the prose of Markdown pages. The glossary maps the words to
+//! the terms that the code uses.
+
+use std::{
+    fmt, fs,
+    path::{Path, PathBuf},
+};
+
+/// Words of the protocol, and some of their forms. Words of the protocol that are ordinary
+/// English or Rust (`path`, `entry`, `write`, `rows`, `order`, `try`, `build`, `pattern`,
+/// `mark`, `launch`, `full`, `busy`, `siblings`, `endpoint`) are not on the list: as words they
+/// cannot be told from their usual meaning.
+const PROTOCOL_WORDS: &str = "
+    berth berths hull hulls yard yards driftwood charter charters rig rigs crew crews
+    ensemble ensembles urgency piece pieces scatter scattered reckon reckons reckoned stow
+    stows stowed helm helms tally tallies harbor harbors mooring moorings logline loglines
+    mark_s launch_s slack_s mates_gone name_id";
+
+/// `trim` is a state in the protocol, and a method of `str`: it may only be called.
+const TRIM: &str = "trim";
+
+/// `watch` is the incarnation of a worker in the protocol, and how the store delivers changes:
+/// it may not stand in files that are about workers and heartbeats.
+const WATCH: &str = "watch";
+const FILES_WITHOUT_WATCH: [&str; 3] = ["worker", "heartbeat", "incarnation"];
+
+/// `piece` is a task in the protocol, and ordinary English in prose ("resources that become free
+/// in small pieces"): outside the crate that documents the protocol it is found in code and
+/// literals alone.
+const PIECES: [&str; 2] = ["piece", "pieces"];
+
+/// The one crate whose serde attributes may name the protocol's fields.
+const WIRE_SOURCES: &str = "crates/gladekeel-wire/src/";
+
+/// Files whose string literals may be names of JSON fields: error messages cite a field by the
+/// name that the user wrote.
+const CITES_JSON_NAMES: [&str; 1] = ["crates/gladekeel-wire/src/job/json_names.rs"];
+
+/// Directories of test code, whose string literals may spell the protocol's JSON: only words
+/// that stand between quotation marks, as names and values in JSON do.
+const SPELLS_JSON: [&str; 3] = ["/tests/", "/examples/", "crates/gladekeel-testkit/src/"];
+
+/// This file must name the words.
+const THIS_FILE: &str = "crates/gladekeel-testkit/tests/protocol_words.rs";
+
+/// Pages that are not checked: the glossary, which maps the words, and records, which stay
+/// as they were written.
+const EXEMPT_PAGES: [&str; 3] = ["docs/glossary.md", "docs/incidents/", "CHANGELOG.md"];
+
+/// A word of the protocol where it may not stand.
+#[derive(Debug, PartialEq)]
+struct Finding {
+    file: String,
+    line: usize,
+    word: String,
+}
+
+impl fmt::Display for Finding {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}:{}: `{}`", self.file, self.line, self.word)
+    }
+}
+
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum FragmentKind {
+    Code,
+    Comment,
+    /// A string literal, with its quotation marks.
+    Literal,
+    /// The content of `#[serde(...)]`.
+    SerdeAttribute,
+}
+
+/// A part of a Rust source file.
+#[derive(Debug, PartialEq)]
+struct Fragment {
+    kind: FragmentKind,
+    line: usize,
+    text: String,
+}
+
+/// Splits a Rust source file into code, comments, literals and serde attributes.
+fn fragments(source: &str) -> Vec<Fragment> {
+    let mut fragments: Vec<Fragment> = Vec::new();
+    let (mut rest, mut line) = (source, 1);
+    while !rest.is_empty() {
+        let (kind, len) = next_fragment(rest);
+        let (text, after) = rest.split_at(len);
+        fragments.push(Fragment { kind, line, text: text.to_owned() });
+        line += text.matches('\n').count();
+        rest = after;
+    }
+    fragments
+}
+
+fn next_fragment(rest: &str) -> (FragmentKind, usize) {
+    if rest.starts_with("//") {
+        return (FragmentKind::Comment, rest.find('\n').unwrap_or(rest.len()));
+    }
+    if rest.starts_with("/*") {
+        return (FragmentKind::Comment, rest.find("*/").map_or(rest.len(), |end| end + 2));
+    }
+    if rest.starts_with("#[serde(") {
+        return (FragmentKind::SerdeAttribute, rest.find(")]").map_or(rest.len(), |end| end + 2));
+    }
+    if let Some(len) = literal_len(rest) {
+        return (FragmentKind::Literal, len);
+    }
+    if let Some(len) = char_literal_len(rest) {
+        return (FragmentKind::Code, len);
+    }
+    // A whole identifier at once, so that its last letters are not taken for a prefix of a
+    // literal; else one character.
+    let identifier = rest.find(|c: char| !is_word_char(c)).unwrap_or(rest.len());
+    let first = rest.chars().next().map_or(1, char::len_utf8);
+    (FragmentKind::Code, identifier.max(first))
+}
+
+/// Length of the string literal that the text starts with.
+fn literal_len(rest: &str) -> Option<usize> {
+    let unprefixed = rest.trim_start_matches(['b', 'c']);
+    let prefix = rest.len() - unprefixed.len();
+    if prefix > 1 {
+        return None;
+    }
+    if let Some(raw) = unprefixed.strip_prefix('r') {
+        let hashes = raw.len() - raw.trim_start_matches('#').len();
+        let body = raw[hashes..].strip_prefix('"')?;
+        let end = format!("\"{}", "#".repeat(hashes));
+        return Some(prefix + 1 + hashes + 1 + body.find(&end)? + end.len());
+    }
+    let body = unprefixed.strip_prefix('"')?;
+    let mut escaped = false;
+    for (at, c) in body.char_indices() {
+        match c {
+            '"' if !escaped => return Some(prefix + 1 + at + 1),
+            _ => escaped = c == '\\' && !escaped,
+        }
+    }
+    None
+}
+
+/// Length of the character literal that the text starts with; lifetimes are none.
+fn char_literal_len(rest: &str) -> Option<usize> {
+    let body = rest.strip_prefix('\'')?;
+    if let Some(escape) = body.strip_prefix('\\') {
+        let after_escaped = escape.chars().next()?.len_utf8();
+        return Some(2 + after_escaped + escape[after_escaped..].find('\'')? + 1);
+    }
+    let c = body.chars().next()?;
+    body[c.len_utf8()..].starts_with('\'').then_some(2 + c.len_utf8())
+}
+
+fn is_word_char(c: char) -> bool {
+    c.is_alphanumeric() || c == '_'
+}
+
+/// An identifier or a word of a text, and where it starts.
+fn words(text: &str) -> impl Iterator<Item = (usize, &str)> {
+    text.match_indices(is_word_char).filter_map(move |(start, _)| {
+        let begins = !text[..start].ends_with(is_word_char);
+        let len = text[start..].find(|c| !is_word_char(c)).unwrap_or(text.len() - start);
+        begins.then(|| (start, &text[start..start + len]))
+    })
+}
+
+/// The parts of an identifier, in lower case: `HelmToken` and `helm_token` have the same.
+fn parts(word: &str) -> Vec<String> {
+    let mut parts = vec![String::new()];
+    let mut previous_is_lower = false;
+    for c in word.chars() {
+        if c == '_' || (c.is_uppercase() && previous_is_lower) {
+            parts.push(String::new());
+        }
+        previous_is_lower = c.is_lowercase() || c.is_numeric();
+        if c != '_'
+            && let Some(part) = parts.last_mut()
+        {
+            part.extend(c.to_lowercase());
+        }
+    }
+    parts
+}
+
+/// The word of the protocol that an identifier is or contains.
+fn protocol_word(word: &str) -> Option<&'static str> {
+    let whole = word.to_lowercase();
+    let parts = parts(word);
+    PROTOCOL_WORDS.split_whitespace().chain([TRIM, WATCH]).find(|listed| {
+        whole == **listed || (*listed != TRIM && parts.iter().any(|part| part == listed))
+    })
+}
+
+/// Whether the word at `start` stands between quotation marks, which may be escaped.
+fn is_quoted(text: &str, start: usize, word: &str) -> bool {
+    let after = &text[start + word.len()..];
+    text[..start].ends_with('"') && (after.starts_with('"') || after.starts_with("\\\""))
+}
+
+fn is_allowed(file: &str, fragments: &[Fragment], index: usize, start: usize, word: &str) -> bool {
+    let fragment = &fragments[index];
+    let in_test_code = SPELLS_JSON.iter().any(|directory| file.contains(directory));
+    match fragment.kind {
+        FragmentKind::SerdeAttribute => file.starts_with(WIRE_SOURCES),
+        FragmentKind::Literal if CITES_JSON_NAMES.contains(&file) => true,
+        FragmentKind::Literal => in_test_code && is_quoted(&fragment.text, start, word),
+        FragmentKind::Code => {
+            let next = fragments.get(index + 1).map(|next| next.text.as_str());
+            word == TRIM && next == Some("(")
+        }
+        FragmentKind::Comment => {
+            let is_english = PIECES.contains(&word) && !file.starts_with(WIRE_SOURCES);
+            is_english || (in_test_code && is_in_backticks(&fragment.text, start, word))
+        }
+    }
+}
+
+/// Whether the word at `start` is quoted as a key of the scenario language or the protocol.
+fn is_in_backticks(text: &str, start: usize, word: &str) -> bool {
+    text[..start].ends_with('`') && text[start + word.len()..].starts_with('`')
+}
+
+/// Whether the store's sense of `watch` is the only one that can be meant.
+fn is_watch_of_the_store(file: &str, listed: &str) -> bool {
+    listed == WATCH && !FILES_WITHOUT_WATCH.iter().any(|part| file.contains(part))
+}
+
+fn findings_in_rust(file: &str, source: &str) -> Vec<Finding> {
+    let fragments = fragments(source);
+    let mut findings = Vec::new();
+    for (index, fragment) in fragments.iter().enumerate() {
+        for (start, word) in words(&fragment.text) {
+            let Some(listed) = protocol_word(word) else { continue };
+            if is_watch_of_the_store(file, listed)
+                || is_allowed(file, &fragments, index, start, word)
+            {
+                continue;
+            }
+            let line = fragment.line + fragment.text[..start].matches('\n').count();
+            findings.push(Finding { file: file.to_owned(), line, word: word.to_owned() });
+        }
+    }
+    findings
+}
+
+/// Whether the word at `start` is a part of a hyphenated name, as sites have.
+fn is_hyphenated(text: &str, start: usize, word: &str) -> bool {
+    text[..start].ends_with('-') || text[start + word.len()..].starts_with('-')
+}
+
+/// Words in a page. What stands in backticks or in a code block quotes the protocol, and what
+/// is hyphenated is a name.
+fn findings_in_page(file: &str, text: &str) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    let mut in_block = false;
+    for (index, line) in text.lines().enumerate() {
+        if line.trim_start().starts_with("```") {
+            in_block = !in_block;
+        }
+        if in_block {
+            continue;
+        }
+        for prose in line.split('`').step_by(2) {
+            let found = words(prose)
+                .filter(|(start, word)| !is_hyphenated(prose, *start, word))
+                .filter(|(_, word)| protocol_word(word).is_some_and(is_unambiguous));
+            findings.extend(found.map(|(_, word)| Finding {
+                file: file.to_owned(),
+                line: index + 1,
+                word: word.to_owned(),
+            }));
+        }
+    }
+    findings
+}
+
+/// Whether a word of the protocol has no ordinary meaning in prose.
+fn is_unambiguous(listed: &str) -> bool {
+    listed != WATCH && !PIECES.contains(&listed)
+}
+
+fn repository() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().unwrap()
+}
+
+/// Files under a path with an extension, in order of their names.
+fn files(path: &Path, extension: &str) -> Vec<PathBuf> {
+    if path.is_file() {
+        let matches = path.extension().is_some_and(|found| found == extension);
+        return if matches { vec![path.to_owned()] } else { Vec::new() };
+    }
+    let mut entries: Vec<PathBuf> =
+        fs::read_dir(path).unwrap().map(|entry| entry.unwrap().path()).collect();
+    entries.sort();
+    entries.iter().flat_map(|entry| files(entry, extension)).collect()
+}
+
+/// The files under some paths, by name within the repository, with their texts.
+fn texts(paths: &[&str], extension: &str) -> Vec<(String, String)> {
+    let root = repository();
+    let files = paths.iter().flat_map(|path| files(&root.join(path), extension));
+    files
+        .map(|file| {
+            let name = file.strip_prefix(&root).unwrap().to_str().unwrap().to_owned();
+            (name, fs::read_to_string(&file).unwrap())
+        })
+        .collect()
+}
+
+fn assert_none(findings: &[Finding]) {
+    let lines: Vec<String> = findings.iter().map(Finding::to_string).collect();
+    assert!(
+        findings.is_empty(),
+        "words of the protocol where the field's terms belong (see docs/glossary.md):\n{}",
+        lines.join("\n")
+    );
+}
+
+#[test]
+fn rust_code_uses_the_terms_of_the_field() {
+    let sources = texts(&["crates"], "rs");
+    assert!(sources.len() > 50, "the sources are found");
+    let checked = sources.iter().filter(|(file, _)| file != THIS_FILE);
+    let findings: Vec<Finding> =
+        checked.flat_map(|(file, source)| findings_in_rust(file, source)).collect();
+    assert_none(&findings);
+}
+
+#[test]
+fn pages_use_the_terms_of_the_field() {
+    let pages = texts(&["README.md", "CONTRIBUTING.md", "docs"], "md");
+    assert!(pages.len() > 3, "the pages are found");
+    let is_exempt = |file: &str| EXEMPT_PAGES.iter().any(|exempt| file.starts_with(exempt));
+    let checked = pages.iter().filter(|(file, _)| !is_exempt(file));
+    let findings: Vec<Finding> =
+        checked.flat_map(|(file, text)| findings_in_page(file, text)).collect();
+    assert_none(&findings);
+}
+
+/// Guards against a check that finds nothing.
+#[test]
+fn planted_words_are_found() {
+    let product = "crates/gladekeel-sched/src/cycle.rs";
+    let wire = "crates/gladekeel-wire/src/worker.rs";
+    let test = "crates/gladekeel-wire/tests/worker.rs";
+    for (file, source) in [
+        (product, "let helm = 1;"),
+        (product, "struct HelmToken;"),
+        (product, "fn of_crew() {}"),
+        (product, "let next_mark_s = 1.0;\nlet mark_s = 1.0;"),
+        (product, "/// Moves a berth.\nfn f() {}"),
+        (product, "/* the yard */"),
+        (product, "let quote = '\"'; // the yard\nlet other = '\"';"),
+        (product, "info!(\"driftwood lost\");"),
+        (product, "let name = \"pieces\";"),
+        (product, "#[serde(rename = \"rig\")]"),
+        (product, "let trim = 1;"),
+        (product, "// Its trim is known."),
+        (wire, "/// The watch of the worker."),
+        (wire, "let watch = 1;"),
+        (test, "// a berth"),
+        (product, "// `driftwood`"),
+        (wire, "/// State of a piece."),
+        (test, "assert!(ok, \"the piece is lost\");"),
+        (test, "fn rig() {}"),
+    ] {
+        let found = findings_in_rust(file, source).len();
+        assert_eq!(found, 1, "{file}: {source}");
+    }
+    assert_eq!(findings_in_page("docs/design.md", "A berth and a `berth`.").len(), 1);
+    let [finding] = &findings_in_rust(product, "\n\"a\n yard\"")[..] else { panic!("one") };
+    assert_eq!(finding.to_string(), "crates/gladekeel-sched/src/cycle.rs:3: `yard`");
+}
+
+/// Guards against a check that refuses what is meant.
+#[test]
+fn allowed_places_are_passed_over() {
+    let product = "crates/gladekeel-store/src/replica.rs";
+    let wire = "crates/gladekeel-wire/src/worker.rs";
+    let test = "crates/gladekeel-wire/tests/worker.rs";
+    for (file, source) in [
+        (product, "text.trim(); text.trim_start(); right; origin; shipyardless"),
+        (product, "/// Follows the store's watch.\nlet watch = 1; WatchEvent"),
+        (product, "let original: &'static str = \"a pattern\";"),
+        (product, "// Resources become free in small pieces."),
+        (test, "//! `scatter`: tasks run in several zones."),
+        (wire, "#[serde(rename = \"berth\", default)]"),
+        ("crates/gladekeel-wire/src/job/json_names.rs", "const TASKS: &str = \"pieces\";"),
+        (test, "let text = r#\"{\"piece\":\"job-1/1\",\"trim\":\"running\"}\"#;"),
+        (test, "(\"\\\"pieces\\\":16\", \"\\\"pieces\\\":0\")"),
+    ] {
+        assert_eq!(findings_in_rust(file, source), [], "{file}: {source}");
+    }
+    let page = "`berth`\n```json\n{\"berth\": 1}\n```\nThe store's watch at bahir-hull-lean.";
+    assert_eq!(findings_in_page("docs/design.md", page), []);
+}
