--- a/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
@@ -1,65 +1,101 @@
-//! An estimate of the money spent, by what machines were doing.
+//! Cost accounting: an estimate of the money spent on machines, by what they were doing.
 
-use crate::leader::Leader;
+use crate::leader::{Leader, Machine};
 use gladekeel_wire::worker::TaskState;
 
-/// How often what machines cost is added up.
-const SPEND_EVERY_S: f64 = 10.0;
+/// The interval at which costs are added up.
+const ACCOUNTING_INTERVAL_S: f64 = 10.0;
+/// The interval at which they are logged.
+const LOG_INTERVAL_S: f64 = 60.0;
+const SECONDS_PER_HOUR: f64 = 3600.0;
 
-/// Money by what machines were doing; parts of a machine count as parts.
+/// Costs by what machines were doing, in the cloud's currency. A machine's cost is divided
+/// between the tasks on it and what is free.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct CostBreakdown {
-    /// Not up yet.
+    /// Machines that were not up yet.
     pub boot: f64,
-    /// Up without any work.
+    /// Machines that were up without any task.
     pub idle: f64,
-    /// Room left over beside work.
+    /// What was free beside tasks.
     pub gaps: f64,
-    /// Assigned, not running yet: on the way, fetching.
+    /// Tasks that were assigned and not running yet, such as while an image was fetched.
     pub waiting: f64,
-    /// Running.
+    /// Running tasks.
     pub running: f64,
 }
 
+/// When costs were last added up and logged. The sums are in the leader's counters, since they
+/// outlive its token.
+#[derive(Debug)]
+pub(in crate::leader) struct CostAccounting {
+    accounted_until: f64,
+    logged_at: f64,
+}
+
+impl CostAccounting {
+    /// Accounts for what machines cost from now on.
+    pub fn new(now: f64) -> CostAccounting {
+        CostAccounting { accounted_until: now, logged_at: now }
+    }
+
+    /// Ends the accounting interval, if it is over, and returns its hours.
+    fn end_interval(&mut self, now: f64) -> Option<f64> {
+        let elapsed_s = now - self.accounted_until;
+        if elapsed_s < ACCOUNTING_INTERVAL_S {
+            return None;
+        }
+        self.accounted_until = now;
+        Some(elapsed_s.max(0.0) / SECONDS_PER_HOUR)
+    }
+
+    fn log_due(&mut self, now: f64) -> bool {
+        let due = now - self.logged_at >= LOG_INTERVAL_S;
+        if due {
+            self.logged_at = now;
+        }
+        due
+    }
+}
+
 impl Leader {
-    /// Adds up what machines cost since the last time, by what they were doing.
-    pub(in crate::leader) fn count_cost(&mut self, now: f64) {
-        if now - self.cost_counted_at < SPEND_EVERY_S {
-            return;
+    /// Adds up what machines have cost since the last time, if an accounting interval is over.
+    pub(in crate::leader) fn account_costs(&mut self, now: f64) {
+        let Some(hours) = self.cost_accounting.end_interval(now) else { return };
+        let mut costs = self.cluster.counters.cost;
+        for machine in
+            self.cluster.machines.values().filter(|machine| !machine.deletion.is_confirmed())
+        {
+            self.add_machine_cost(&mut costs, machine, hours);
+        }
+        self.cluster.counters.cost = costs;
+        if self.cost_accounting.log_due(now) {
+            tracing::info!(?costs, machines = self.cluster.machines.len(), "costs accounted");
         }
-        let hours = (now - self.cost_counted_at).max(0.0) / 3600.0;
-        self.cost_counted_at = now;
-        let spend = &mut self.cluster.counters.cost;
-        for machine in self.cluster.machines.values().filter(|m| !m.deletion.is_confirmed()) {
-            let Some(kind) = machine.machine_type else { continue };
-            let (Some(machine_type), Some(whole)) =
-                (self.catalog.machine_type(kind), self.catalog.capacity(kind))
-            else {
-                continue;
-            };
-            let spot = machine_type.spot_price.filter(|_| machine.spot);
-            let cost = spot.unwrap_or(machine_type.price) * hours;
-            if !machine.liveness.was_seen() {
-                spend.boot += cost;
-            } else if machine.is_idle() {
-                spend.idle += cost;
-            } else {
-                let (mut running, mut waiting) = (0.0, 0.0);
-                for attempt in machine.attempts().iter().filter_map(|id| self.attempts.get(*id)) {
-                    let part = attempt.resources.dominant_share_of(whole);
-                    match attempt.reported_state {
-                        Some(TaskState::Running) => running += part,
-                        _ => waiting += part,
-                    }
+    }
+
+    fn add_machine_cost(&self, costs: &mut CostBreakdown, machine: &Machine, hours: f64) {
+        let Some(machine_type_idx) = machine.machine_type else { return };
+        let Some(machine_type) = self.catalog.machine_type(machine_type_idx) else { return };
+        let Some(capacity) = self.catalog.capacity(machine_type_idx) else { return };
+        let spot_price = machine_type.spot_price.filter(|_| machine.spot);
+        let cost = spot_price.unwrap_or(machine_type.price) * hours;
+        if !machine.liveness.was_seen() {
+            costs.boot += cost;
+        } else if machine.is_idle() {
+            costs.idle += cost;
+        } else {
+            let (mut running, mut waiting) = (0.0, 0.0);
+            for attempt in machine.attempts().iter().filter_map(|id| self.attempts.get(*id)) {
+                let share = attempt.resources.dominant_share_of(capacity);
+                match attempt.reported_state {
+                    Some(TaskState::Running) => running += share,
+                    _ => waiting += share,
                 }
-                spend.running += cost * running;
-                spend.waiting += cost * waiting;
-                spend.gaps += cost * (1.0 - running - waiting).max(0.0);
             }
-        }
-        if now - self.cost_logged_at >= 60.0 {
-            self.cost_logged_at = now;
-            tracing::info!(?spend, machines = self.cluster.machines.len(), "spent so far");
+            costs.running += cost * running;
+            costs.waiting += cost * waiting;
+            costs.gaps += cost * (1.0 - running - waiting).max(0.0);
         }
     }
 }
--- a/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -1,125 +1,199 @@
-//! Machines that are kept for gangs.
+//! The warm pool: machines that are kept for gangs whose users want them to start at once.
+//!
+//! Machines for a whole gang would be late if they first had to be freed, and so would its image.
+//! So in each zone some on-demand machines are left to gangs, by the gangs that arrived of late.
+//! [`Leader::maintain_warm_pool`] chooses the machines and sets [`Machine::warm_pool`]; scheduling
+//! leaves them to gangs until an array has waited for too long, and scale-in keeps them.
+//!
+//! [`Machine::warm_pool`]: crate::leader::Machine::warm_pool
 
-use crate::leader::Leader;
+use super::{arrivals::ArrivalClass, demand::MachineFit};
+use crate::leader::{Leader, Machine};
 use gladekeel_sched::{ImageIdx, JobIdx, MachineIdx, MachineTypeIdx, ZoneIdx};
 use std::{
     cmp::Reverse,
     collections::{BTreeMap, BTreeSet},
 };
 
-/// Gangs of a class as they came in the last minutes, in machines.
-#[derive(Debug, Default)]
-struct Gangs {
-    /// Machine-seconds, old ones counting less and less.
-    work: f64,
-    /// The largest.
+/// Time constant with which gangs that have arrived decay, and after which a class without new
+/// ones is forgotten.
+const GANG_DECAY_S: f64 = 180.0;
+/// Machines in the pool per machine that gangs keep busy on average: they arrive in clusters.
+const POOL_PER_BUSY_MACHINE: f64 = 1.5;
+/// So many machines beyond the target stay in the pool: the target goes up and down.
+const MAX_EXCESS: usize = 2;
+/// The pool has at most one in so many on-demand machines of a zone.
+const MIN_MACHINES_PER_POOL_MACHINE: usize = 3;
+
+/// Gangs of a class that arrived in the last minutes.
+#[derive(Debug)]
+struct GangArrivals {
+    /// Machine-seconds of work as of `last_at`, the older the less it counts.
+    machine_seconds: f64,
+    /// Machines that the largest of them takes.
     largest: f64,
-    /// When the first and the last one came.
-    since: f64,
-    at: f64,
-    /// Their images.
+    first_at: f64,
+    last_at: f64,
     images: BTreeSet<ImageIdx>,
 }
 
-impl Gangs {
+impl GangArrivals {
+    fn new(first_at: f64) -> GangArrivals {
+        GangArrivals {
+            machine_seconds: 0.0,
+            largest: 0.0,
+            first_at,
+            last_at: 0.0,
+            images: BTreeSet::new(),
+        }
+    }
+
+    fn add(&mut self, submitted_at: f64, machine_seconds: f64, machines: f64, image: ImageIdx) {
+        self.machine_seconds =
+            self.machine_seconds * decay(submitted_at - self.last_at) + machine_seconds;
+        self.largest = self.largest.max(machines);
+        self.last_at = self.last_at.max(submitted_at);
+        self.images.insert(image);
+    }
+
     /// Machines that they keep busy on average.
-    fn busy(&self, now: f64) -> f64 {
-        let faded = |seconds: f64| (-seconds.max(0.0) / GANGS_S).exp();
-        // What has come for a short while tells of as short a while.
-        let told_s = GANGS_S * (1.0 - faded((now - self.since).max(GANGS_S / 6.0)));
-        self.work * faded(now - self.at) / told_s
+    fn busy_machines(&self, now: f64) -> f64 {
+        // Over a short time since the first one only so much can have been added up; one gang
+        // alone does not make a high average.
+        let observed_s = (now - self.first_at).max(GANG_DECAY_S / 6.0);
+        let weighted_s = GANG_DECAY_S * (1.0 - decay(observed_s));
+        self.machine_seconds * decay(now - self.last_at) / weighted_s
+    }
+}
+
+/// The weight of what is so many seconds old.
+fn decay(age_s: f64) -> f64 {
+    (-age_s.max(0.0) / GANG_DECAY_S).exp()
+}
+
+/// What the gangs of a machine type ask of its pool.
+#[derive(Debug, Clone, Copy, Default)]
+struct PoolDemand {
+    busy_machines: f64,
+    largest: f64,
+}
+
+impl PoolDemand {
+    fn target(self) -> usize {
+        (POOL_PER_BUSY_MACHINE * self.busy_machines + self.largest).ceil() as usize + 1
     }
 }
 
-/// Gangs that should start at once, and the machines that are kept for them.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PoolKey {
+    machine_type: MachineTypeIdx,
+    zone: ZoneIdx,
+}
+
+/// The gangs that arrived of late, and how many machines are kept for them.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct WarmPool {
-    /// Gangs that came lately, by type and class.
-    gangs: BTreeMap<(MachineTypeIdx, String), Gangs>,
-    /// Ordinary machines to keep for them, by type.
-    machines: BTreeMap<MachineTypeIdx, u32>,
+    arrivals: BTreeMap<ArrivalClass, GangArrivals>,
+    sizes: BTreeMap<MachineTypeIdx, u32>,
 }
 
 impl WarmPool {
-    /// How many ordinary machines of a type are to be kept.
-    pub fn wanted(&self, kind: MachineTypeIdx) -> u32 {
-        self.machines.get(&kind).copied().unwrap_or(0)
+    /// How many on-demand machines of a type are to be kept.
+    pub fn target(&self, machine_type_idx: MachineTypeIdx) -> u32 {
+        self.sizes.get(&machine_type_idx).copied().unwrap_or(0)
+    }
+
+    fn forget_old_arrivals(&mut self, now: f64) {
+        self.arrivals.retain(|_, arrivals| now - arrivals.last_at < GANG_DECAY_S);
     }
-}
 
-/// Gangs that came within this time tell of what will come.
-const GANGS_S: f64 = 180.0;
-/// WarmPool for gangs, over what they keep busy on average: they come in clusters.
-const STANDBY: f64 = 1.5;
-/// So many more than that stay once they are kept.
-const STANDBY_SPARE: usize = 2;
-/// At most one in so many ordinary machines of a zone is kept for gangs.
-const STANDBY_PART: usize = 3;
+    fn demands(&self, now: f64) -> BTreeMap<MachineTypeIdx, PoolDemand> {
+        let mut demands: BTreeMap<MachineTypeIdx, PoolDemand> = BTreeMap::new();
+        for (class, arrivals) in &self.arrivals {
+            let demand = demands.entry(class.machine_type).or_default();
+            demand.busy_machines += arrivals.busy_machines(now);
+            demand.largest = demand.largest.max(arrivals.largest);
+        }
+        demands
+    }
+
+    fn images(&self) -> BTreeSet<ImageIdx> {
+        self.arrivals.values().flat_map(|arrivals| arrivals.images.iter().copied()).collect()
+    }
+}
 
 impl Leader {
-    /// A gang has come: so much work, so many of whose tasks fit on a machine.
-    pub(in crate::leader) fn count_gang(
-        &mut self,
-        ix: JobIdx,
-        kind: MachineTypeIdx,
-        work: f64,
-        fits: u32,
-    ) {
-        let Some(job) = self.jobs.get(&ix).filter(|job| job.is_gang()) else { return };
-        if job.has_start_objective(&self.deployment) {
-            let (at, class) = (job.submitted_at, job.spec.class.clone());
-            let image = job.image;
-            let new = || Gangs { since: at, ..Gangs::default() };
-            let gangs = self.cluster.warm_pool.gangs.entry((kind, class)).or_insert_with(new);
-            gangs.images.insert(image);
-            gangs.work = gangs.work * (-(at - gangs.at).max(0.0) / GANGS_S).exp() + work;
-            gangs.largest = gangs.largest.max(f64::from(job.spec.tasks) / f64::from(fits));
-            gangs.at = gangs.at.max(at);
+    /// Counts a job that was just submitted, if it is a gang that should start at once. `work`
+    /// is in machine-seconds.
+    pub(super) fn count_gang_arrival(&mut self, job_idx: JobIdx, fit: MachineFit, work: f64) {
+        let Some(job) = self.jobs.get(&job_idx) else { return };
+        if !job.is_gang() || !job.has_start_objective(&self.deployment) {
+            return;
         }
+        let class = ArrivalClass { machine_type: fit.machine_type, class: job.spec.class.clone() };
+        let machines = f64::from(job.spec.tasks) / f64::from(fit.tasks_per_machine);
+        let arrivals = &mut self.cluster.warm_pool.arrivals;
+        let of_class = arrivals.entry(class).or_insert_with(|| GangArrivals::new(job.submitted_at));
+        of_class.add(job.submitted_at, work, machines, job.image);
     }
 
-    /// Keeps ordinary machines in each zone for gangs that should start at once: room for
-    /// a whole gang would be late if it had to be gathered, and so would the image.
+    /// Chooses the machines of the warm pool anew. Called at each maintenance interval, before
+    /// [`Leader::autoscale`].
     pub(in crate::leader) fn maintain_warm_pool(&mut self, now: f64) {
-        let standby = &mut self.cluster.warm_pool;
-        standby.gangs.retain(|_, gangs| now - gangs.at < GANGS_S);
-        let mut wanted: BTreeMap<MachineTypeIdx, (f64, f64)> = BTreeMap::new();
-        let mut images: BTreeSet<ImageIdx> = BTreeSet::new();
-        for ((kind, _), gangs) in &standby.gangs {
-            let (busy, largest) = wanted.entry(*kind).or_default();
-            *busy += gangs.busy(now);
-            *largest = largest.max(gangs.largest);
-            images.extend(&gangs.images);
+        self.cluster.warm_pool.forget_old_arrivals(now);
+        let demands = self.cluster.warm_pool.demands(now);
+        let images = self.cluster.warm_pool.images();
+        self.cluster.warm_pool.sizes.clear();
+        let mut chosen = BTreeSet::new();
+        for (key, machines) in self.warm_pool_candidates(&demands) {
+            let target = demands[&key.machine_type].target();
+            let machines = self.choose_warm_pool(machines, target, &images);
+            let sizes = &mut self.cluster.warm_pool.sizes;
+            *sizes.entry(key.machine_type).or_default() += machines.len() as u32;
+            chosen.extend(machines);
+        }
+        for (machine_idx, machine) in &mut self.cluster.machines {
+            machine.warm_pool = chosen.contains(machine_idx);
         }
-        standby.machines.clear();
-        let mut pools: BTreeMap<(MachineTypeIdx, ZoneIdx), Vec<MachineIdx>> = BTreeMap::new();
-        let machines = &mut self.cluster.machines;
-        for (ix, machine) in &*machines {
-            let (Some(kind), Some(zone)) = (machine.machine_type, machine.zone) else { continue };
+    }
+
+    /// The on-demand machines of types with a demand, by type and zone.
+    fn warm_pool_candidates(
+        &self,
+        demands: &BTreeMap<MachineTypeIdx, PoolDemand>,
+    ) -> BTreeMap<PoolKey, Vec<MachineIdx>> {
+        let mut candidates: BTreeMap<PoolKey, Vec<MachineIdx>> = BTreeMap::new();
+        for (machine_idx, machine) in &self.cluster.machines {
+            let (Some(machine_type), Some(zone)) = (machine.machine_type, machine.zone) else {
+                continue;
+            };
             let usable = !machine.spot && !machine.is_leaving() && machine.liveness.was_seen();
-            if usable && wanted.contains_key(&kind) {
-                pools.entry((kind, zone)).or_default().push(*ix);
+            if usable && demands.contains_key(&machine_type) {
+                candidates.entry(PoolKey { machine_type, zone }).or_default().push(*machine_idx);
             }
         }
-        let mut kept = BTreeSet::new();
-        for ((kind, _), mut pool) in pools {
-            let (busy, largest) = wanted[&kind];
-            let count = (STANDBY * busy + largest).ceil() as usize + 1;
-            let count = count.min(pool.len() / STANDBY_PART);
-            // Those that were kept so far, then those that have the images, then the
-            // emptiest. A few more than are needed stay: need goes up and down.
-            let had = pool.iter().filter(|ix| machines[*ix].warm_pool).count();
-            pool.sort_by_key(|ix| {
-                let machine = &machines[ix];
-                let ready = machine.images.cached().intersection(&images).count();
-                (!machine.warm_pool, Reverse(ready), machine.requested().cpus)
-            });
-            let count = count.max(had.min(count + STANDBY_SPARE));
-            kept.extend(pool.into_iter().take(count));
-            *self.cluster.warm_pool.machines.entry(kind).or_default() += count as u32;
-        }
-        for (ix, machine) in machines {
-            machine.warm_pool = kept.contains(ix);
-        }
+        candidates
+    }
+
+    /// The machines of a zone that are kept: those of the pool so far, then those that have
+    /// most of the images, then those with the least work.
+    fn choose_warm_pool(
+        &self,
+        mut machines: Vec<MachineIdx>,
+        target: usize,
+        images: &BTreeSet<ImageIdx>,
+    ) -> Vec<MachineIdx> {
+        let machine =
+            |machine_idx: &MachineIdx| -> &Machine { &self.cluster.machines[machine_idx] };
+        let target = target.min(machines.len() / MIN_MACHINES_PER_POOL_MACHINE);
+        let so_far = machines.iter().filter(|idx| machine(idx).warm_pool).count();
+        let size = target.max(so_far.min(target + MAX_EXCESS));
+        machines.sort_by_key(|machine_idx| {
+            let machine = machine(machine_idx);
+            let cached = machine.images.cached().intersection(images).count();
+            (!machine.warm_pool, Reverse(cached), machine.requested().cpus)
+        });
+        machines.truncate(size);
+        machines
     }
 }
--- a/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
@@ -1,87 +1,134 @@
-//! Machines for jobs that may run in one zone only.
+//! Zone-constrained demand: machines for jobs that may run in one zone only.
 //!
-//! The plan for a machine type counts its machines in all zones together. Machines that stand
-//! idle in one zone then looked like room for work that is bound to another one, which waited
-//! for ever.
+//! The plan for a machine type counts its machines in all zones together. Without this module
+//! machines that are idle in one zone would count as supply for work that is bound to another
+//! zone, and that work would wait for ever.
 
-use crate::leader::{Job, Leader, autoscaling::cloud_requests::MachinePool};
+use super::machine_pool::{MachinePool, PurchaseModel};
+use crate::leader::{Job, Leader};
 use gladekeel_sched::{MachineTypeIdx, ZoneIdx};
 use std::collections::BTreeMap;
 
-/// Work that is bound to a zone and has waited for longer gets machines of its own.
-const BOUND_WAITS_S: f64 = 10.0;
+/// Zone-constrained work that has waited for longer gets machines of its own.
+const MAX_WAIT_S: f64 = 10.0;
 
-/// Machines, as parts of whole ones, by type and zone.
-type ByZone = BTreeMap<(MachineTypeIdx, ZoneIdx), f64>;
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct MachineTypeInZone {
+    machine_type: MachineTypeIdx,
+    zone: ZoneIdx,
+}
+
+/// Numbers of machines, in fractions, by type and zone.
+#[derive(Debug, Default)]
+struct MachinesByZone(BTreeMap<MachineTypeInZone, f64>);
+
+impl MachinesByZone {
+    fn add(&mut self, machine_type: MachineTypeIdx, zone: ZoneIdx, machines: f64) {
+        *self.0.entry(MachineTypeInZone { machine_type, zone }).or_default() += machines;
+    }
+
+    fn get(&self, key: MachineTypeInZone) -> f64 {
+        self.0.get(&key).copied().unwrap_or(0.0)
+    }
+
+    fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+}
+
+/// Waiting work that is bound to a zone, in machines.
+#[derive(Debug, Default)]
+struct ZoneDemand {
+    /// Of jobs that may use spot machines.
+    any: MachinesByZone,
+    /// Of jobs that may not.
+    on_demand_only: MachinesByZone,
+}
 
 impl Leader {
-    /// Asks for machines in zones to which waiting work is bound and that lack room for it.
-    pub(in crate::leader) fn want_bound_rentals(&mut self, now: f64) {
-        let (mut lacking, mut lacking_ordinary) = (ByZone::new(), ByZone::new());
-        for job in self.jobs.values().filter(|job| waits_bound(job, now)) {
-            let Some(zone) = bound_zone(job) else { continue };
-            let Some((kind, fits)) = self.kind_for(job) else { continue };
-            let machines = job.pending.len() as f64 / f64::from(fits);
-            let by_zone = if job.spec.spot { &mut lacking } else { &mut lacking_ordinary };
-            *by_zone.entry((kind, zone)).or_default() += machines;
-        }
-        if lacking.is_empty() && lacking_ordinary.is_empty() {
+    /// Requests machines in zones to which waiting work is bound and whose machines cannot
+    /// take it.
+    pub(super) fn scale_out_for_zone_demand(&mut self, now: f64) {
+        let demand = self.zone_demand(now);
+        if demand.any.is_empty() && demand.on_demand_only.is_empty() {
             return;
         }
-        let (spot, ordinary) = (self.room_by_zone(true), self.room_by_zone(false));
-        let room = |of: &ByZone, at: &(MachineTypeIdx, ZoneIdx)| of.get(at).copied().unwrap_or(0.0);
-        for (at, machines) in lacking_ordinary {
-            let count = (machines - room(&ordinary, &at)).ceil().max(0.0) as u32;
-            self.want_in_zone(now, at, count, &[false]);
+        let free_spot = self.free_by_zone(PurchaseModel::Spot);
+        let free_on_demand = self.free_by_zone(PurchaseModel::OnDemand);
+        for (key, machines) in demand.on_demand_only.0 {
+            let missing = machines - free_on_demand.get(key);
+            self.scale_out_in_zone(now, key, missing, &[PurchaseModel::OnDemand]);
         }
-        for (at, machines) in lacking {
-            let count = (machines - room(&spot, &at) - room(&ordinary, &at)).ceil().max(0.0) as u32;
-            self.want_in_zone(now, at, count, &[true, false]);
+        for (key, machines) in demand.any.0 {
+            let missing = machines - free_spot.get(key) - free_on_demand.get(key);
+            let preferred = [PurchaseModel::Spot, PurchaseModel::OnDemand];
+            self.scale_out_in_zone(now, key, missing, &preferred);
         }
     }
 
-    /// Free room and room to come in each zone, in whole machines.
-    fn room_by_zone(&self, spot: bool) -> ByZone {
-        let mut room = ByZone::new();
+    fn zone_demand(&self, now: f64) -> ZoneDemand {
+        let mut demand = ZoneDemand::default();
+        for job in self.jobs.values().filter(|job| has_waited_too_long(job, now)) {
+            let Some(zone) = only_zone(job) else { continue };
+            let Some(fit) = self.cheapest_fit(job) else { continue };
+            let machines = job.pending.len() as f64 / f64::from(fit.tasks_per_machine);
+            let by_zone = if job.spec.spot { &mut demand.any } else { &mut demand.on_demand_only };
+            by_zone.add(fit.machine_type, zone, machines);
+        }
+        demand
+    }
+
+    /// What is free on machines of a purchase model, and the machines that are being rented.
+    fn free_by_zone(&self, purchase_model: PurchaseModel) -> MachinesByZone {
+        let mut free = MachinesByZone::default();
         for machine in self.cluster.machines.values() {
-            let (Some(kind), Some(zone)) = (machine.machine_type, machine.zone) else { continue };
-            let Some(whole) = self.catalog.capacity(kind) else { continue };
-            if machine.spot == spot && !machine.is_leaving() {
-                let used = machine.requested().dominant_share_of(whole).min(1.0);
-                *room.entry((kind, zone)).or_default() += 1.0 - used;
+            let (Some(machine_type), Some(zone)) = (machine.machine_type, machine.zone) else {
+                continue;
+            };
+            let Some(capacity) = self.catalog.capacity(machine_type) else { continue };
+            if machine.spot == purchase_model.is_spot() && !machine.is_leaving() {
+                let used = machine.requested().dominant_share_of(capacity).min(1.0);
+                free.add(machine_type, zone, 1.0 - used);
             }
         }
-        for (pool, count) in self.cluster.cloud.open_rentals().filter(|(p, _)| p.spot == spot) {
-            *room.entry((pool.kind, pool.zone)).or_default() += f64::from(count);
+        for (pool, count) in self.cluster.cloud.pending_rents() {
+            if pool.purchase_model == purchase_model {
+                free.add(pool.machine_type, pool.zone, f64::from(count));
+            }
         }
-        room
+        free
     }
 
-    /// Asks for machines of the first kind that the cloud may have there.
-    fn want_in_zone(
+    /// Requests the missing machines from the first pool in the zone that may have capacity.
+    fn scale_out_in_zone(
         &mut self,
         now: f64,
-        (kind, zone): (MachineTypeIdx, ZoneIdx),
-        count: u32,
-        kinds: &[bool],
+        MachineTypeInZone { machine_type, zone }: MachineTypeInZone,
+        missing: f64,
+        preferred: &[PurchaseModel],
     ) {
-        let pools = kinds.iter().map(|spot| MachinePool { kind, zone, spot: *spot });
-        let pool = pools.into_iter().find(|pool| self.cluster.cloud.may_have_capacity(*pool, now));
+        let count = missing.ceil().max(0.0) as u32;
+        let mut pools = preferred.iter().map(|purchase_model| MachinePool {
+            machine_type,
+            zone,
+            purchase_model: *purchase_model,
+        });
+        let pool = pools.find(|pool| self.cluster.cloud.may_have_capacity(*pool, now));
         if let Some(pool) = pool.filter(|_| count > 0) {
-            self.cluster.cloud.want(pool, count);
+            self.cluster.cloud.request_scale_out(pool, count);
         }
     }
 }
 
-/// Whether a job has waited long enough for room in the one zone that it may use.
-fn waits_bound(job: &Job, now: f64) -> bool {
+/// Whether a job could be scheduled and has waited for longer than the plan may take.
+fn has_waited_too_long(job: &Job, now: f64) -> bool {
     !job.is_finished()
         && !job.pending.is_empty()
         && !job.backoff.is_active(now)
-        && job.pending.waited_s(now) > BOUND_WAITS_S
+        && job.pending.waited_s(now) > MAX_WAIT_S
 }
 
 /// The only zone in which further tasks of a job may be, if there is only one.
-fn bound_zone(job: &Job) -> Option<ZoneIdx> {
+fn only_zone(job: &Job) -> Option<ZoneIdx> {
     job.zone.or_else(|| job.zone_placement.first_zone().filter(|_| job.spec.single_zone))
 }
--- a/crates/gladekeel-controller/src/leader/cluster_state.rs
+++ b/crates/gladekeel-controller/src/leader/cluster_state.rs
@@ -2,7 +2,7 @@
 
 use super::{
     LeaderCounters, Machine,
-    autoscaling::{cloud_requests::CloudRequestQueue, scaling::Demand, warm_pool::WarmPool},
+    autoscaling::{AutoscalerState, cloud_requests::CloudRequestQueue, warm_pool::WarmPool},
     catalog::Catalog,
     failure_detection::reachability::ReachableZones,
 };
@@ -21,7 +21,7 @@
     /// Machines that may be on their way out; [`Machine::is_leaving`] says which are.
     pub(super) leaving: BTreeSet<MachineIdx>,
     pub(super) cloud: CloudRequestQueue,
-    pub(super) demand: Demand,
+    pub(super) autoscaler: AutoscalerState,
     pub(super) warm_pool: WarmPool,
     /// Since when each zone has been reachable. Between two tokens only, like the catalog: the
     /// failure detector holds it.
--- a/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -137,7 +137,7 @@
         job: &Job,
         gangs: &mut GangReachability,
     ) -> bool {
-        let run_s = job.run_times.median_s().unwrap_or_else(|| self.expected_run(job));
+        let run_s = job.run_times.median_s().unwrap_or_else(|| self.expected_run_s(job));
         let ran_s = attempt.running_since.map_or(0.0, |since| now - since);
         let exceeds_termination = run_s - ran_s > left_s - TERMINATION_MARGIN_S;
         if !job.is_gang() || job.spec.checkpoint_interval_s == 0.0 {
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -57,6 +57,7 @@
 use assignment_log::AssignmentLogWriter;
 use attempt_numbers::AttemptNumbers;
 use attempt_table::AttemptTable;
+use autoscaling::cost::CostAccounting;
 use catalog::Catalog;
 use commands::CommandQueue;
 use failure_detection::detector::FailureDetector;
@@ -133,8 +134,7 @@
     token_renewal: TokenRenewal,
 
     /// Cost accounting.
-    cost_counted_at: f64,
-    cost_logged_at: f64,
+    cost_accounting: CostAccounting,
 
     /// Status: jobs whose progress has changed since it was last published.
     changed_progress: BTreeSet<JobIdx>,
@@ -201,8 +201,7 @@
             scheduling_suspended: false,
             commands: CommandQueue::new(SocketBudget::new(&deployment.limits).worker_calls),
             token_renewal: TokenRenewal::default(),
-            cost_counted_at: now,
-            cost_logged_at: now,
+            cost_accounting: CostAccounting::new(now),
             changed_progress: BTreeSet::new(),
             deployment,
         }
@@ -252,9 +251,10 @@
         if maintenance_due {
             self.restart_stragglers(now, options);
             self.preempt_for_waiting_jobs(now, options);
-            self.count_cost(now);
+            self.account_costs(now);
             self.restart_incomplete_gangs(now);
             self.maintain_warm_pool(now);
+            self.remove_deleted_machines(now);
             self.autoscale(now, options);
         }
     }
@@ -270,12 +270,12 @@
 
     /// The next request to the cloud, if one is due.
     pub fn next_cloud(&mut self, now: f64) -> Option<CloudRequest> {
-        self.next_cloud_call(now)
+        self.next_cloud_request(now)
     }
 
     /// Applies a response of the cloud.
     pub fn cloud_answered(&mut self, now: f64, call: &CloudRequest, outcome: CloudOutcome) {
-        self.on_cloud(now, call, outcome);
+        self.apply_cloud_outcome(now, call, outcome);
     }
 
     /// Records when the request was sent whose response is the last one of the store, if there has
