--- a/crates/gladekeel-controller/src/keys.rs
+++ b/crates/gladekeel-controller/src/keys.rs
@@ -69,6 +69,11 @@
     format!("{ASSIGNMENT_LOG_PREFIX}{slot:06}")
 }
 
+/// The slot of the assignment log that a key stands for, if it does.
+pub fn parse_log_slot(key: &str) -> Option<u32> {
+    key.strip_prefix(ASSIGNMENT_LOG_PREFIX)?.parse().ok()
+}
+
 /// Who leads.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
--- a/crates/gladekeel-controller/src/node/leadership/takeover.rs
+++ b/crates/gladekeel-controller/src/node/leadership/takeover.rs
@@ -122,7 +122,7 @@
 
 /// Parses a row of the assignment log.
 fn parse_row(row: KeyValue) -> Option<LogRow> {
-    let slot = row.key.strip_prefix(keys::ASSIGNMENT_LOG_PREFIX)?.parse().ok()?;
+    let slot = keys::parse_log_slot(&row.key)?;
     Some(LogRow { slot, version: row.version, text: row.value.as_str()?.to_owned() })
 }
 
--- a/crates/gladekeel-controller/src/store_view.rs
+++ b/crates/gladekeel-controller/src/store_view.rs
@@ -169,9 +169,12 @@
     }
 
     fn apply_machine_types(&mut self, part: u32, change: &Change) -> ChangeKind {
-        let stored = change.current.as_ref();
-        let stored = stored.map(|(value, version)| (read(&change.key, value), *version));
-        self.machine_types.apply(part, stored);
+        match &change.current {
+            Some((value, version)) => {
+                self.machine_types.set_part(part, read(&change.key, value), *version);
+            }
+            None => self.machine_types.remove_part(part),
+        }
         ChangeKind::Other
     }
 
--- a/crates/gladekeel-controller/src/stored_types.rs
+++ b/crates/gladekeel-controller/src/stored_types.rs
@@ -40,17 +40,15 @@
         self.parts.iter().map(|(number, part)| (*number, part.version)).collect()
     }
 
-    /// Applies a change of a part: its types, which are none if they cannot be read, and its
-    /// version; or none if its key is gone.
-    pub fn apply(&mut self, number: u32, stored: Option<(Option<MachineTypes>, u64)>) {
-        match stored {
-            Some((types, version)) => {
-                self.parts.insert(number, StoredPart { types, version });
-            }
-            None => {
-                self.parts.remove(&number);
-            }
-        }
+    /// Sets a part as it is now stored. `types` is none if this version cannot read the value.
+    pub fn set_part(&mut self, number: u32, types: Option<MachineTypes>, version: u64) {
+        self.parts.insert(number, StoredPart { types, version });
+        self.all = self.join().map(Rc::new);
+    }
+
+    /// Removes a part whose key is gone.
+    pub fn remove_part(&mut self, number: u32) {
+        self.parts.remove(&number);
         self.all = self.join().map(Rc::new);
     }
 
--- a/crates/gladekeel-controller/tests/formats_37c5e95.rs
+++ b/crates/gladekeel-controller/tests/formats_37c5e95.rs
@@ -60,7 +60,7 @@
     assert_eq!(encode(&expected), text);
 }
 
-/// Guards against ends of attempts, and chunks of progress, that are numbered anew.
+/// Guards against outcomes of attempts, and pages of progress, that are numbered anew.
 #[test]
 fn numbers_in_segments_stay() {
     assert_eq!(
@@ -139,6 +139,7 @@
     assert_eq!(keys::final_state(&id), "gk/fate/job-000412");
     assert_eq!(keys::drain("n-000007"), "gk/drain/n-000007");
     assert_eq!(keys::log(1), "gl/000001");
+    assert_eq!(keys::parse_log_slot("gl/000001"), Some(1));
     assert_eq!(
         (keys::LEADER, keys::MACHINE_TYPES, keys::OPTIONS),
         ("gk/leader", "gk/types", "gk/options")
@@ -150,7 +151,7 @@
 }
 
 /// Guards against stored values that are read otherwise than production meant them, and
-/// against rows that are silently passed over.
+/// against rows that are silently ignored.
 #[test]
 fn stored_values_are_read() {
     let mut store = StoreView::default();
@@ -258,8 +259,7 @@
     assert!(!store.has_legacy_assignments, "production keeps no assignments in pages");
 }
 
-/// Guards against options that are dropped whole for one that this version does not
-/// know. The name is put to production's value by hand: production has none such.
+/// Guards against all options being dropped for one that this version does not know. The name is put to production's value by hand: production has none such.
 #[test]
 fn an_option_without_a_place_costs_no_other() {
     let mut stored = STORED.value(keys::OPTIONS);
--- a/crates/gladekeel-controller/tests/formats_fe9a16c.rs
+++ b/crates/gladekeel-controller/tests/formats_fe9a16c.rs
@@ -30,8 +30,8 @@
 /// The values that fe9a16c committed.
 const STORED: StoredValues = StoredValues::new(include_str!("fixtures/fe9a16c_values.jsonl"));
 
-/// Guards against a gang that is told otherwise: each task has the id that its gang's
-/// number and its own make.
+/// Guards against a gang that is recorded otherwise: the attempt of each task is the gang's
+/// number plus the task's index.
 #[test]
 fn segments_with_a_gang_are_read_and_written() {
     let text = include_str!("fixtures/fe9a16c_segment.txt").trim_end();
@@ -87,14 +87,14 @@
         .map(|(key, value)| (key, value.as_str().unwrap().to_owned()))
         .collect();
     let mut log = Vec::new();
-    for (seq, (key, text)) in (0..).zip(&texts) {
+    for (sequence, (key, text)) in (0..).zip(&texts) {
         let segment = decode(text).expect("a segment");
-        assert_eq!(segment.sequence, seq, "{key}");
+        assert_eq!(segment.sequence, sequence, "{key}");
         assert_eq!(&encode(&segment), text, "{key}");
         log.push(segment);
     }
     assert_eq!(log.len(), 13);
-    // The second leader writes over the slots in which nothing counts any more.
+    // The second leader overwrites the slots that hold no newest record any more.
     assert_eq!((texts[11].0.as_str(), texts[12].0.as_str()), ("gl/000000", "gl/000001"));
 
     let (first, second) = (job("job-g_2"), job("job-g.1"));
--- a/crates/gladekeel-controller/tests/stored_types.rs
+++ b/crates/gladekeel-controller/tests/stored_types.rs
@@ -40,8 +40,8 @@
     }
     let mut stored = StoredTypes::default();
     for (part, types) in parts.into_iter().enumerate().rev() {
-        assert_eq!(stored.all(), None, "the first part tells that all were read");
-        stored.apply(part as u32, Some((Some(types), 7)));
+        assert_eq!(stored.all(), None, "the types are known once the first part is");
+        stored.set_part(part as u32, Some(types), 7);
     }
     assert_eq!(stored.all(), Some(&all));
     assert!(stored.versions().values().all(|version| *version == 7));
@@ -50,11 +50,11 @@
 #[test]
 fn a_part_that_cannot_be_read_leaves_no_types() {
     let mut stored = StoredTypes::default();
-    stored.apply(0, Some((Some(types(2)), 5)));
-    stored.apply(1, Some((None, 6)));
+    stored.set_part(0, Some(types(2)), 5);
+    stored.set_part(1, None, 6);
     assert_eq!(stored.all(), None);
     assert_eq!(stored.versions(), BTreeMap::from([(0, 5), (1, 6)]));
-    stored.apply(1, None);
+    stored.remove_part(1);
     assert_eq!(stored.all(), Some(&types(2)));
 }
 
--- a/crates/gladekeel-wire/tests/frames_37c5e95.rs
+++ b/crates/gladekeel-wire/tests/frames_37c5e95.rs
@@ -20,11 +20,11 @@
 /// The frames that production sent.
 const FRAMES: RecordedFrames = RecordedFrames::new(include_str!("fixtures/37c5e95_frames.txt"));
 
-/// Guards against a head whose fields move, widen or change their meaning: each frame
+/// Guards against a header whose fields move, widen or change their meaning: each frame
 /// of production is read to the values that it was sent with, and this version makes
 /// the same bytes of them.
 #[test]
-fn heads_are_production_s() {
+fn headers_are_production_s() {
     for (name, kind, status, correlation_id, sender) in [
         ("nudge", FrameKind::StoreChanged, 0, 0, 1),
         ("relay", FrameKind::RelayedHeartbeat, 0, 45, 1),
@@ -66,18 +66,18 @@
     for (name, sender, contact_ms, leads) in [("hello", 0, 250, 2), ("hello-follower", 1, 299, 0)] {
         let bytes = FRAMES.frame(name);
         let (header, _, payload) = open(&bytes);
-        // No level is told: nothing that production cannot read may be sent to it.
+        // No protocol level is announced: nothing that production cannot read may be sent to it.
         assert!(header.status.get() < 1, "{name}");
-        let hello = PeerHeartbeat::read_from_bytes(payload).expect("production's hello");
+        let heartbeat = PeerHeartbeat::read_from_bytes(payload).expect("production's heartbeat");
         assert_eq!(
-            (hello.store_contact_age_ms.get(), hello.leader_token.get()),
+            (heartbeat.store_contact_age_ms.get(), heartbeat.leader_token.get()),
             (contact_ms, leads),
             "{name}"
         );
 
-        let hello =
+        let heartbeat =
             PeerHeartbeat { store_contact_age_ms: contact_ms.into(), leader_token: leads.into() };
-        let ours = write(peer_heartbeat(PROTOCOL_LEVEL, sender), hello.as_bytes());
+        let ours = write(peer_heartbeat(PROTOCOL_LEVEL, sender), heartbeat.as_bytes());
         assert_eq!(ours.len(), bytes.len(), "{name}");
         let differ: Vec<usize> = (0..ours.len()).filter(|at| ours[*at] != bytes[*at]).collect();
         assert_eq!(differ, [6], "only the status, which production passes over");
@@ -85,9 +85,9 @@
     }
 }
 
-/// Guards against rows of counts that shift: the ids follow rows of a fixed size.
+/// Guards against rows of job progress that shift: the ids follow rows of a fixed size.
 #[test]
-fn counts_are_read_and_written_as_production_s() {
+fn job_progress_is_read_and_written_as_production_s() {
     let bytes = FRAMES.frame("counts");
     let (_, _, payload) = open(&bytes);
     let rows = decode_job_progress(payload).expect("production's counts");
--- a/crates/gladekeel-wire/tests/frames_fe9a16c.rs
+++ b/crates/gladekeel-wire/tests/frames_fe9a16c.rs
@@ -35,9 +35,9 @@
     TaskStatus { task: id.parse().unwrap(), attempt, state, cause, saved }
 }
 
-/// Guards against a head whose fields move, widen or change their meaning.
+/// Guards against a header whose fields move, widen or change their meaning.
 #[test]
-fn heads_are_read_and_written() {
+fn headers_are_read_and_written() {
     for (name, kind, status, correlation_id, sender) in [
         ("nudge", FrameKind::StoreChanged, 0, 0, 0),
         ("relay-waiting", FrameKind::RelayedHeartbeat, 0, 0x83, 2),
@@ -70,7 +70,7 @@
         assert_eq!(kind as u16, number);
     }
     // A kind that fe9a16c does not know must come with a level above 1, which peers of
-    // fe9a16c never tell.
+    // fe9a16c never announce.
     let newer =
         (0..=u16::MAX).filter(|n| FrameKind::from_number(*n).is_some()).count() - known.len();
     assert!(newer == 0 || PROTOCOL_LEVEL > 1, "{newer} kinds are new");
@@ -81,19 +81,20 @@
 /// Guards against a level that fe9a16c would take for less than it understands, and
 /// against peer heartbeats that one of the versions misreads.
 #[test]
-fn peer_heartbeats_tell_the_level() {
+fn peer_heartbeats_announce_the_level() {
     for (name, sender, leads) in [("hello-leader", 1, TOKEN), ("hello-follower", 0, 0)] {
         let bytes = FRAMES.frame(name);
         let (header, _, payload) = open(&bytes);
         assert_eq!(header.status.get(), 1, "{name}");
-        let hello = PeerHeartbeat::read_from_bytes(payload).expect("a hello");
+        let heartbeat = PeerHeartbeat::read_from_bytes(payload).expect("a peer heartbeat");
         assert_eq!(
-            (hello.store_contact_age_ms.get(), hello.leader_token.get()),
+            (heartbeat.store_contact_age_ms.get(), heartbeat.leader_token.get()),
             (199, leads),
             "{name}"
         );
-        let hello = PeerHeartbeat { store_contact_age_ms: 199.into(), leader_token: leads.into() };
-        assert_eq!(write(peer_heartbeat(1, sender), hello.as_bytes()), bytes, "{name}");
+        let heartbeat =
+            PeerHeartbeat { store_contact_age_ms: 199.into(), leader_token: leads.into() };
+        assert_eq!(write(peer_heartbeat(1, sender), heartbeat.as_bytes()), bytes, "{name}");
     }
     let ours = PROTOCOL_LEVEL;
     assert!(ours >= 1, "cancellations go to peers of level 1 and more");
@@ -112,9 +113,9 @@
     assert_eq!(encode_job_ids(two.iter()), b"job-g_2\njob-s.4");
 }
 
-/// Guards against rows of counts that shift: the ids follow rows of a fixed size.
+/// Guards against rows of job progress that shift: the ids follow rows of a fixed size.
 #[test]
-fn counts_are_read_and_written() {
+fn job_progress_is_read_and_written() {
     let bytes = FRAMES.frame("counts");
     let (_, _, payload) = open(&bytes);
     let rows = decode_job_progress(payload).expect("counts");
