--- a/crates/gladekeel-controller/tests/formats_37c5e95.rs
+++ b/crates/gladekeel-controller/tests/formats_37c5e95.rs
@@ -153,6 +153,7 @@
 /// Guards against stored values that are read otherwise than production meant them, and
 /// against rows that are silently ignored.
 #[test]
+#[allow(clippy::too_many_lines, reason = "one recorded set of values, checked key by key")]
 fn stored_values_are_read() {
     let mut store = StoreView::default();
     let (a, b) = (job("job-000412"), job("job-a_b.c-9"));
