--- a/crates/gladekeel-controller/src/leader/assignment_log/commit.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/commit.rs
@@ -19,11 +19,7 @@
 
 impl Leader {
     /// The next transaction, if one is due. None is as long as a new token is awaited.
-    pub(in crate::leader) fn build_commit(
-        &mut self,
-        now: f64,
-        budget: &mut TokenBucket,
-    ) -> Option<Transaction> {
+    pub fn next_commit(&mut self, now: f64, budget: &mut TokenBucket) -> Option<Transaction> {
         if self.token_renewal.is_required() {
             return None;
         }
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/mod.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/mod.rs
@@ -26,7 +26,7 @@
 impl Leader {
     /// The next request to send, if one is due: machine types first, then deletions, rents and
     /// the list.
-    pub(in crate::leader) fn next_cloud_request(&mut self, now: f64) -> Option<CloudRequest> {
+    pub fn next_cloud_request(&mut self, now: f64) -> Option<CloudRequest> {
         if self.cluster.cloud.is_backing_off(now) {
             return None;
         }
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
@@ -19,12 +19,7 @@
 
 impl Leader {
     /// Applies what came of a request that [`Leader::next_cloud_request`] has returned.
-    pub(in crate::leader) fn apply_cloud_outcome(
-        &mut self,
-        now: f64,
-        request: &CloudRequest,
-        outcome: CloudOutcome,
-    ) {
+    pub fn apply_cloud_outcome(&mut self, now: f64, request: &CloudRequest, outcome: CloudOutcome) {
         self.cluster.cloud.note_ended(request);
         match (request, outcome) {
             (CloudRequest::ListMachineTypes, CloudOutcome::Types(types)) => {
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -48,11 +48,8 @@
 pub use status::Backlog;
 
 use crate::{
-    assignment_log::UnreadableSegment,
-    cloud_api::{CloudOutcome, CloudRequest},
-    runtime_settings::RuntimeSettings,
-    socket_budget::SocketBudget,
-    store_view::StoreView,
+    assignment_log::UnreadableSegment, runtime_settings::RuntimeSettings,
+    socket_budget::SocketBudget, store_view::StoreView,
 };
 use assignment_log::AssignmentLogWriter;
 use attempt_numbers::AttemptNumbers;
@@ -62,7 +59,7 @@
 use commands::CommandQueue;
 use failure_detection::detector::FailureDetector;
 use gladekeel_sched::{Interner, JobIdx, MachineIdx, Resources, ZoneIdx, snapshot::TeamQuota};
-use gladekeel_wire::{JobId, settings::Deployment, store::Transaction};
+use gladekeel_wire::{JobId, settings::Deployment};
 use scheduling::stragglers::StragglerScan;
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -259,25 +256,6 @@
         }
     }
 
-    /// The next transaction, if one is due.
-    pub fn next_commit(
-        &mut self,
-        now: f64,
-        budget: &mut gladekeel_store::TokenBucket,
-    ) -> Option<Transaction> {
-        self.build_commit(now, budget)
-    }
-
-    /// The next request to the cloud, if one is due.
-    pub fn next_cloud(&mut self, now: f64) -> Option<CloudRequest> {
-        self.next_cloud_request(now)
-    }
-
-    /// Applies a response of the cloud.
-    pub fn cloud_answered(&mut self, now: f64, call: &CloudRequest, outcome: CloudOutcome) {
-        self.apply_cloud_outcome(now, call, outcome);
-    }
-
     /// Records when the request was sent whose response is the last one of the store, if there has
     /// been one.
     pub fn note_store_contact(&mut self, at: Option<f64>) {
--- a/crates/gladekeel-controller/src/node/leadership/mod.rs
+++ b/crates/gladekeel-controller/src/node/leadership/mod.rs
@@ -159,7 +159,7 @@
             return;
         }
         match &mut self.role {
-            Role::Leading(leader) => leader.cloud_answered(now, &call.request, outcome),
+            Role::Leading(leader) => leader.apply_cloud_outcome(now, &call.request, outcome),
             Role::TakingOver(takeover) => takeover.hold_cloud_outcome(call.request, outcome),
             Role::Follower => {}
         }
--- a/crates/gladekeel-controller/src/node/leadership/requests.rs
+++ b/crates/gladekeel-controller/src/node/leadership/requests.rs
@@ -9,7 +9,7 @@
         while let Some(leader) = self.leadership.leader_mut()
             && self.rate_limits.cloud.can_take(now, 1.0)
         {
-            let Some(request) = leader.next_cloud(now) else { break };
+            let Some(request) = leader.next_cloud_request(now) else { break };
             self.rate_limits.cloud.try_take(now, 1.0);
             self.actions.push(self.calls.call_cloud(leadership, request));
         }
--- a/crates/gladekeel-controller/src/node/leadership/takeover.rs
+++ b/crates/gladekeel-controller/src/node/leadership/takeover.rs
@@ -179,7 +179,7 @@
         let term = LeaderTerm { token, now, epoch: self.epoch, deployment, salt };
         let mut leader = Leader::new(view, rows, term, cluster)?;
         for HeldCloudOutcome { request, outcome } in cloud_outcomes {
-            leader.cloud_answered(now, &request, outcome);
+            leader.apply_cloud_outcome(now, &request, outcome);
         }
         Ok(leader)
     }
