--- a/crates/gladekeel-controller/src/leader/scheduling/binding.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/binding.rs
@@ -1,4 +1,4 @@
-//! Binding of a task to a machine: the assignment is proposed, and counts at once.
+//! Binds a task to a machine: proposes the assignment, which counts as resource use immediately.
 //!
 //! Upholds "Write ahead" of `docs/safety.md`: the start is sent only after the assignment log
 //! writer has committed the proposal.
@@ -6,20 +6,20 @@
 use crate::leader::{AssignmentPhase, Attempt, AttemptId, Leader};
 use gladekeel_sched::{DenseIndex, JobIdx, MachineIdx};
 
-/// A decision that the next pending task of a job goes to a machine.
+/// The decision to bind the next pending task of a job to a machine.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TaskBinding {
-    /// The job.
+    /// The job whose next pending task is bound.
     pub job: JobIdx,
-    /// The machine.
+    /// The machine that the task is bound to.
     pub machine: MachineIdx,
-    /// The attempt number that the tasks of a gang share; `None` for other jobs.
+    /// The attempt number that all tasks of a gang share; `None` if the job is not a gang.
     pub gang_attempt: Option<u64>,
 }
 
 impl Leader {
-    /// Proposes the assignment of a job's next pending task. From now on it counts for the quota
-    /// of the team, for the zone, and for the machine's resources.
+    /// Proposes the assignment of a job's next pending task. The task's resources count against
+    /// the team's quota and the machine's capacity from now on, and the task counts in its zone.
     pub(super) fn bind(&mut self, binding: TaskBinding, now: f64) {
         let (Some(job), Some(machine)) =
             (self.jobs.get_mut(&binding.job), self.cluster.machines.get_mut(&binding.machine))
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle.rs
@@ -1,4 +1,4 @@
-//! The scheduling cycle: pending tasks are bound to machines.
+//! The scheduling cycle: binds pending tasks to machines.
 
 use super::{
     binding::TaskBinding,
@@ -10,13 +10,13 @@
 use std::collections::BTreeMap;
 
 impl Leader {
-    /// Runs a scheduling cycle and proposes the assignments that it decides on.
+    /// Runs a scheduling cycle and proposes the assignments that the cycle decides on.
     pub(in crate::leader) fn run_scheduling_cycle(&mut self, now: f64, options: &RuntimeSettings) {
         self.cluster.counters.scheduling_cycles += 1;
         if self.jobs.values().all(|job| job.pending.is_empty()) {
             return;
         }
-        // Resources are reserved for an overdue gang also on machines that are full by now.
+        // Resources are reserved for an overdue gang on machines that are currently full, too.
         let scope = if self.has_overdue_gang(now) { MachineScope::All } else { MachineScope::Free };
         let mut input = self.cycle_input(now, scope);
         let pending: u32 = input.cycle.jobs.iter().map(|job| job.pending).sum();
@@ -27,7 +27,7 @@
             pending,
             bound = bindings.len(),
             max_bindings = input.cycle.max_bindings,
-            "scheduling cycle"
+            "scheduling cycle completed"
         );
         self.bind_all(&input, bindings, now);
         for job in self.jobs.values_mut().filter(|job| !job.is_finished()) {
@@ -35,13 +35,14 @@
         }
     }
 
+    /// Whether an unfinished gang has waited for longer than [`OVERDUE_AFTER_S`].
     fn has_overdue_gang(&self, now: f64) -> bool {
         self.jobs.values().any(|job| {
             job.is_gang() && !job.is_finished() && job.pending.waited_s(now) > OVERDUE_AFTER_S
         })
     }
 
-    /// Binds tasks as a cycle has decided; those of a gang share an attempt number.
+    /// Binds tasks as a cycle has decided. The tasks of a gang get the same attempt number.
     fn bind_all(&mut self, input: &CycleInput, bindings: Vec<Binding>, now: f64) {
         let mut gang_attempts: BTreeMap<JobIdx, u64> = BTreeMap::new();
         for binding in bindings {
@@ -54,8 +55,9 @@
         }
     }
 
-    /// The attempt number of the gang's tasks that are bound now. If others of the gang are on
-    /// machines, which wait for the missing ones, it is theirs.
+    /// Returns the attempt number for the tasks of a gang that are bound in this cycle. If other
+    /// tasks of the gang are already on machines, waiting for the missing ones, the new tasks get
+    /// the same number as those.
     fn next_gang_attempt(&mut self, job_idx: JobIdx) -> u64 {
         let gang = &self.jobs[&job_idx];
         if self.attempts.of_job(job_idx).is_empty() {
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -1,4 +1,4 @@
-//! What a scheduling cycle is given: the machines, teams and jobs as the leader has them.
+//! The input of a scheduling cycle: a snapshot of the leader's machines, teams and jobs.
 
 use crate::leader::{Job, Leader, Machine};
 use gladekeel_sched::cycle::SchedulingCycle;
@@ -7,23 +7,25 @@
 use gladekeel_wire::job::JobKind;
 use std::collections::{BTreeSet, HashMap};
 
-/// A job that has waited for longer, with nothing on any machine, is scheduled first.
+/// A job that has waited for longer than this without a task on any machine is scheduled first.
 pub(super) const OVERDUE_AFTER_S: f64 = 60.0;
-/// An array that has waited for longer, with nothing on any machine, may use the warm pool.
+/// An array that has waited for longer than this without a task on any machine may use the warm
+/// pool.
 const STARVED_AFTER_S: f64 = 75.0;
 
-/// The input of a scheduling cycle, with the leader's indices beside the cycle's positions.
+/// The input of a scheduling cycle, which refers to jobs and machines by position, together with
+/// the leader's index of the job or machine at each position.
 pub(in crate::leader) struct CycleInput {
-    /// Jobs and machines by position.
+    /// The cycle, which refers to jobs and machines by position.
     pub cycle: SchedulingCycle,
-    /// The job at each position.
+    /// The leader's index of the job at each position.
     pub jobs: Vec<JobIdx>,
-    /// The machine at each position.
+    /// The leader's index of the machine at each position.
     pub machines: Vec<MachineIdx>,
 }
 
 impl CycleInput {
-    /// The position of each machine.
+    /// Returns the position of each machine in the input.
     pub fn machine_positions(&self) -> HashMap<MachineIdx, usize> {
         self.machines
             .iter()
@@ -33,18 +35,19 @@
     }
 }
 
-/// Which machines a cycle is given.
+/// Which machines the input of a cycle contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::leader) enum MachineScope {
-    /// Those that may take a task now.
+    /// Machines that can take a task now.
     Free,
-    /// Also those that are full or must not get tasks for now: their resources may be reserved
-    /// for later, or freed by preemption.
+    /// All machines, also those that are full or must not get tasks at present: their resources
+    /// may be reserved for later, or freed by preemption.
     All,
 }
 
 impl Leader {
-    /// The input as things are, with the jobs in the order in which they were submitted.
+    /// Builds the input from the leader's current state, with the unfinished jobs in the order in
+    /// which they were submitted.
     pub(in crate::leader) fn cycle_input(&self, now: f64, scope: MachineScope) -> CycleInput {
         let cycle = SchedulingCycle {
             max_bindings: self.log_writer.max_new_assignments(&self.deployment),
@@ -60,10 +63,13 @@
         input
     }
 
+    /// Adds the machines in `scope` to the input. Every machine that is seen and not leaving counts
+    /// in the total capacity, whatever the scope.
     fn add_machines(&self, input: &mut CycleInput, now: f64, scope: MachineScope) {
         let unreachable_zones: BTreeSet<ZoneIdx> =
             self.failure_detector.unreachable_zones(now).collect();
-        // Arrays may use the warm pool before they have waited for too long.
+        // The warm pool is open to arrays once any of them is starved, before their wait becomes
+        // too long.
         let warm_pool_reserved = !self.is_any_array_starved(now);
         for (machine_idx, machine) in &self.cluster.machines {
             let (Some(machine_type), Some(zone)) = (machine.machine_type, machine.zone) else {
@@ -97,22 +103,25 @@
         }
     }
 
-    /// Whether a machine may get new tasks, as far as it is concerned by itself.
+    /// Whether a machine may get new tasks, judged by its own state; whether its zone is reachable
+    /// is checked separately.
     fn is_schedulable(&self, machine: &Machine, now: f64) -> bool {
-        // One that answers probes and sends no heartbeats will lose its tasks with its lease.
+        // A machine that responds to probes but sends no heartbeats will lose its tasks when its
+        // lease expires.
         machine.liveness.heartbeat_age_s(now) < self.deployment.workers.heartbeat_timeout_s()
             && !machine.quarantine.is_active(now)
             && machine.is_reachable()
     }
 
-    /// Whether one of a machine's tasks waits for an image, as far as known.
+    /// Whether one of a machine's tasks is waiting for its image, as far as the leader knows.
     fn is_fetching(&self, machine_idx: MachineIdx, machine: &Machine) -> bool {
         self.attempts
             .images_not_yet_running(machine_idx)
             .any(|image| !machine.images.is_cached(image))
     }
 
-    /// Whether an array has waited for too long with nothing on any machine.
+    /// Whether an array or service has waited for longer than [`STARVED_AFTER_S`] without a task on
+    /// any machine.
     fn is_any_array_starved(&self, now: f64) -> bool {
         self.jobs.iter().any(|(job_idx, job)| {
             !job.is_finished()
@@ -123,6 +132,7 @@
         })
     }
 
+    /// Builds the scheduler's view of a job.
     fn schedulable_job(&self, job_idx: JobIdx, job: &Job, now: f64) -> SchedulableJob {
         let is_held = is_held(job, now);
         let has_attempts = !self.attempts.of_job(job_idx).is_empty();
@@ -142,7 +152,7 @@
             tasks_by_zone: job.zone_placement.by_zone().to_vec(),
             gang: job.is_gang(),
             replaces_gang_members: has_attempts && self.is_gang_unstarted(job_idx),
-            // The cycle prefers machines with a gang's image in any case.
+            // Not needed for a gang: the cycle prefers machines that have its image anyway.
             requires_cached_image: !job.is_gang()
                 && job.requires_cached_image(&self.deployment, self.fetch_s(job), now),
             overdue_s: overdue_s(job, has_attempts, now),
@@ -151,15 +161,19 @@
 }
 
 /// Whether a job must not be scheduled now. After a takeover the zone of a machine may not be
-/// known yet; jobs whose tasks must be in certain zones relative to one another wait for it.
+/// known yet; a job that constrains the zones of its tasks relative to one another is held until
+/// the zones of all its tasks are known.
 fn is_held(job: &Job, now: f64) -> bool {
     let zones_matter = job.spec.single_zone || job.spec.spread;
     job.backoff.is_active(now) || (zones_matter && job.zone_placement.has_unknown_zone())
 }
 
-/// For how many seconds a job has waited beyond [`OVERDUE_AFTER_S`]. A gang that waits has
-/// nothing on any machine. An array has not as long as its fair share rounds down to nothing, or
-/// resources become free in small pieces. Services never count as overdue.
+/// How many seconds a job has waited beyond [`OVERDUE_AFTER_S`]; 0 if the job is not overdue.
+///
+/// A waiting gang has no task on any machine, so it always counts. An array counts only while it
+/// has no task on any machine, which happens as long as its fair share rounds down to zero or
+/// resources become free in amounts that are too small for a task. Services never count as
+/// overdue.
 fn overdue_s(job: &Job, has_attempts: bool, now: f64) -> u32 {
     let may_be_overdue = match job.spec.kind {
         JobKind::Gang => true,
--- a/crates/gladekeel-controller/src/leader/scheduling/mod.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/mod.rs
@@ -1,8 +1,9 @@
-//! Scheduling: pending tasks are bound to machines, and running ones stopped for others.
+//! Scheduling: binds pending tasks to machines, and stops running tasks by preemption or as
+//! stragglers.
 //!
-//! [`Leader::tick`](crate::leader::Leader::tick) calls every part when it is due. Decisions are
-//! made in `gladekeel-sched`, which knows nothing of the store and of workers; what is here
-//! builds its input and applies its results as proposed assignments and stop reasons.
+//! [`Leader::tick`](crate::leader::Leader::tick) runs each step when it is due. The decisions are
+//! made in `gladekeel-sched`, which is independent of the store and of workers; this module builds
+//! the input of `gladekeel-sched` and applies its results as proposed assignments and stop reasons.
 
 mod binding;
 pub(in crate::leader) mod cycle;
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -1,8 +1,10 @@
-//! Preemption: running tasks are stopped for waiting jobs that have a better claim.
+//! Preemption: stops running tasks to free resources for waiting jobs that take precedence, either
+//! by a higher priority or by the guarantee of their team.
 //!
-//! Runs after the scheduling cycle, on what that left pending. Only decides and marks attempts as
-//! stopping; their resources are free once the releases are committed, and a later cycle binds
-//! the waiting tasks. A task is preempted once at most, so that it completes in the end.
+//! Preemption runs after the scheduling cycle, for the tasks that the cycle left pending. It only
+//! chooses attempts and marks them as stopping; their resources become free once their releases
+//! are committed, and a later cycle binds the waiting tasks. A task is preempted at most once, so
+//! that it completes eventually.
 
 use super::{
     cycle_input::{CycleInput, MachineScope},
@@ -16,7 +18,7 @@
 };
 
 impl Leader {
-    /// Preempts tasks for jobs that have a better claim and have waited for long enough.
+    /// Preempts tasks for jobs that take precedence and have waited for long enough.
     pub(in crate::leader) fn preempt_for_waiting_jobs(
         &mut self,
         now: f64,
@@ -30,7 +32,7 @@
         input.cycle.run(&options.fair_share);
         let victims = self.choose_victims(now, options, &mut input, tasks);
         if victims.is_empty() {
-            // Gangs are preempted last, one at a time, and each as a whole.
+            // Gangs are preempted only if no single task was, one gang at a time, each as a whole.
             self.preempt_one_gang(now, options, &mut input, gangs);
         }
         for id in victims {
@@ -38,8 +40,8 @@
         }
     }
 
-    /// Whether a job may preempt that has a higher priority than another, or whose team uses less
-    /// than it is guaranteed.
+    /// Whether a job that may preempt others has a higher priority than another unfinished job, or
+    /// belongs to a team that uses less than its guarantee.
     fn has_preemptor(&self, now: f64, options: &RuntimeSettings) -> bool {
         let mut unfinished = self.jobs.iter().filter(|(_, job)| !job.is_finished());
         let lowest = unfinished.clone().map(|(_, job)| job.spec.priority.level()).min();
@@ -51,7 +53,8 @@
         })
     }
 
-    /// Whether a job has waited for long enough that others may be preempted for it.
+    /// Whether a job has waited for long enough that tasks may be preempted for it. A job that
+    /// requires a cached image need not wait.
     fn may_preempt(&self, job_idx: JobIdx, now: f64, options: &RuntimeSettings) -> bool {
         let min_wait_s = options.preempt_after_s.min(options.preempt_checkpointed_after_s);
         let requires_cached_image = self
@@ -62,7 +65,8 @@
             .is_some_and(|waited_s| waited_s >= min_wait_s || requires_cached_image)
     }
 
-    /// How long a job's tasks have waited for resources; `None` if it may not be scheduled now.
+    /// How long a job's pending tasks have waited for resources, in seconds; `None` if the job has
+    /// none that wait, or must not be scheduled now.
     fn schedulable_wait_s(&self, job_idx: JobIdx, now: f64) -> Option<f64> {
         let job = self.jobs.get(&job_idx)?;
         if job.backoff.is_active(now) || job.pending.is_empty() {
@@ -71,8 +75,8 @@
         Some(now - job.pending.waiting_since()?)
     }
 
-    /// Chooses the single tasks that are preempted, for waiting jobs in the order in which those
-    /// are scheduled.
+    /// Chooses the single tasks to preempt for waiting jobs, which are considered in scheduling
+    /// order.
     fn choose_victims(
         &mut self,
         now: f64,
@@ -90,7 +94,8 @@
             {
                 continue;
             }
-            // Tasks that lose little are preempted soon, others only after a longer wait.
+            // Tasks that checkpoint lose little work, so they are preempted after a short wait;
+            // other tasks are preempted only after a longer one.
             let waited_s = self.schedulable_wait_s(job_idx, now).unwrap_or(0.0);
             let scope = if waited_s < options.preempt_after_s {
                 PreemptionScope::CheckpointingTasks
@@ -109,14 +114,15 @@
         search.into_victims()
     }
 
-    /// Lets a job be bound to machines that have to fetch its image.
+    /// Allows a job to be bound to machines that do not have its image cached.
     fn give_up_on_cached_image(&mut self, job_idx: JobIdx) {
         let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         job.gave_up_on_cached_image = true;
         self.timers.request_cycle();
     }
 
-    /// Preempts one gang as a whole, for the first job that has waited for long enough.
+    /// Preempts one gang as a whole, for the first job in scheduling order that is not a gang and
+    /// has waited for `preempt_after_s`.
     fn preempt_one_gang(
         &mut self,
         now: f64,
@@ -140,6 +146,7 @@
         }
     }
 
+    /// Stops all tasks of a gang, and marks each of them as preempted.
     fn preempt_gang(&mut self, job_idx: JobIdx) {
         let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         self.cluster.counters.preemptions += u64::from(job.spec.tasks);
@@ -148,6 +155,7 @@
         self.stop_gang(job_idx, StopReason::Preempted);
     }
 
+    /// Stops a single task, and marks the task as preempted.
     fn preempt(&mut self, id: AttemptId) {
         self.attempts.update(id, |attempt| attempt.stop_reason = Some(StopReason::Preempted));
         let Some(attempt) = self.attempts.get(id) else { return };
--- a/crates/gladekeel-controller/src/leader/scheduling/stragglers.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/stragglers.rs
@@ -1,5 +1,5 @@
-//! Straggler mitigation: running tasks on machines where everything is slow are stopped, to be
-//! restarted elsewhere.
+//! Straggler mitigation: stops running tasks on machines where all tasks are slow, and restarts
+//! them elsewhere.
 
 use crate::leader::{AssignmentPhase, Attempt, AttemptId, Job, Leader, Machine, StopReason};
 use crate::runtime_settings::RuntimeSettings;
@@ -10,29 +10,31 @@
 use gladekeel_wire::{job::JobKind, worker::TaskState};
 use std::collections::{BTreeMap, HashMap};
 
-/// Calls in which the scan has looked at every machine.
+/// Number of calls in which the scan covers every machine once.
 const CALLS_PER_SCAN: usize = 5;
 
-/// Goes over the machines a part at a time, since looking at all running tasks at once would take
-/// too long.
+/// Scans the machines in batches, one batch per call, since examining all running tasks in one
+/// call would take too long.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct StragglerScan {
-    /// The machine at which the next part begins.
+    /// The machine at which the next batch begins.
     cursor: MachineIdx,
 }
 
 impl StragglerScan {
-    /// The machines to look at now; the cursor moves past them, and at the end to the start.
-    fn next_part(&mut self, machines: &BTreeMap<MachineIdx, Machine>) -> Vec<MachineIdx> {
-        let part_len = machines.len() / CALLS_PER_SCAN + 1;
+    /// Returns the next batch of machines and advances the cursor past the batch, or resets the
+    /// cursor to the first machine after the last batch.
+    fn next_batch(&mut self, machines: &BTreeMap<MachineIdx, Machine>) -> Vec<MachineIdx> {
+        let batch_len = machines.len() / CALLS_PER_SCAN + 1;
         let mut rest = machines.range(self.cursor..).map(|(machine_idx, _)| *machine_idx);
-        let part = rest.by_ref().take(part_len).collect();
+        let batch = rest.by_ref().take(batch_len).collect();
         self.cursor = rest.next().unwrap_or_default();
-        part
+        batch
     }
 }
 
-/// Running tasks as the rule for stragglers sees them, with their attempts in the same order.
+/// Running tasks as the input of straggler detection, with the ids of their attempts in the same
+/// order.
 #[derive(Default)]
 struct RunningTasks {
     ids: Vec<AttemptId>,
@@ -40,15 +42,16 @@
 }
 
 impl Leader {
-    /// Stops stragglers among the running tasks of the next part of the machines.
+    /// Stops stragglers among the running tasks on the next batch of machines.
     pub(in crate::leader) fn restart_stragglers(&mut self, now: f64, options: &RuntimeSettings) {
-        let machines = self.straggler_scan.next_part(&self.cluster.machines);
+        let machines = self.straggler_scan.next_batch(&self.cluster.machines);
         let running = self.running_tasks(now, &machines);
         for position in straggler::find_stragglers(&running.tasks, options.straggler_multiple) {
             self.stop_straggler(running.ids[position], running.tasks[position].ran_s);
         }
     }
 
+    /// Returns the running tasks on `machines`.
     fn running_tasks(&self, now: f64, machines: &[MachineIdx]) -> RunningTasks {
         let mut running = RunningTasks::default();
         let mut medians_s: HashMap<JobIdx, Option<f64>> = HashMap::new();
@@ -71,6 +74,7 @@
         running
     }
 
+    /// Stops a straggler, which had run for `ran_s` seconds.
     fn stop_straggler(&mut self, id: AttemptId, ran_s: f64) {
         self.attempts.update(id, |attempt| attempt.stop_reason = Some(StopReason::Straggler));
         let Some(attempt) = self.attempts.get(id) else { return };
@@ -86,8 +90,8 @@
     }
 }
 
-/// Whether a task may be restarted as a straggler: at most once, and only tasks of arrays, which
-/// need no others.
+/// Whether a task may be restarted as a straggler. A task restarts as a straggler at most once, and
+/// only if it belongs to an array, whose tasks do not depend on one another.
 fn may_restart(job: &Job, attempt: &Attempt) -> bool {
     job.spec.kind == JobKind::Array
         && attempt.stop_reason.is_none()
--- a/crates/gladekeel-controller/src/leader/scheduling/victims.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/victims.rs
@@ -1,4 +1,4 @@
-//! Which running tasks may be preempted, and the search among them.
+//! Candidates for preemption, and the search for victims among the candidates.
 
 use super::cycle_input::CycleInput;
 use crate::leader::{
@@ -11,27 +11,31 @@
 };
 use std::collections::BTreeMap;
 
-/// In one call a task may be preempted for every so many machines.
+/// The limit on victims of one call is the number of machines divided by this, but at least
+/// [`MIN_VICTIMS`].
 const MACHINES_PER_VICTIM: usize = 20;
-/// But at least so many tasks.
+/// Lower bound of the limit on victims of one call.
 const MIN_VICTIMS: usize = 8;
-/// Gangs for which victims are sought in one call: each search copies the whole input.
+/// Maximum number of gangs for which one call searches for victims, since each search copies the
+/// whole input.
 const MAX_GANG_SEARCHES: usize = 4;
 
-/// Gangs that may be preempted, by job and position of the machine that their tasks are on.
+/// Gangs that may be preempted: one candidate for each job and each position of a machine that has
+/// tasks of that job.
 pub(super) type GangCandidates = BTreeMap<(JobIdx, usize), PreemptionCandidate>;
 
-/// What may be preempted.
+/// The candidates for preemption.
 #[derive(Default)]
 pub(super) struct Preemptible {
-    /// Single tasks.
+    /// Tasks of jobs that are not gangs, which can be preempted one by one.
     pub tasks: Vec<PreemptionCandidate>,
-    /// Gangs.
+    /// Gangs, which are preempted as a whole.
     pub gangs: GangCandidates,
 }
 
 impl Preemptible {
-    /// Adds a task of a gang. Stopping it costs what stopping the whole gang does.
+    /// Adds a task of a gang. The work that is lost counts for the whole gang, since preempting one
+    /// of its tasks stops all of them.
     fn add_gang_task(&mut self, job_idx: JobIdx, job: &Job, task: PreemptionCandidate) {
         let lost_work = task.lost_work * f64::from(job.spec.tasks);
         self.gangs
@@ -41,8 +45,9 @@
     }
 }
 
-/// The search for tasks to preempt, for one waiting job after the other. `input` counts what it
-/// has found as free, and as taken by the jobs that it was found for.
+/// The search for tasks to preempt, for one waiting job after another. In `input`, the victims
+/// found so far count as stopped, and their resources as used by the jobs that they were found
+/// for.
 pub(super) struct VictimSearch<'a> {
     pub input: &'a mut CycleInput,
     candidates: PreemptionCandidates,
@@ -52,6 +57,7 @@
 }
 
 impl VictimSearch<'_> {
+    /// Creates a search that has no victims yet.
     pub fn new(input: &mut CycleInput, tasks: Vec<PreemptionCandidate>) -> VictimSearch<'_> {
         let machines = input.machines.len();
         VictimSearch {
@@ -63,12 +69,12 @@
         }
     }
 
-    /// How many more tasks may be preempted.
+    /// Returns how many more tasks may be preempted.
     pub fn remaining(&self) -> usize {
         self.max_victims.saturating_sub(self.victims.len())
     }
 
-    /// Seeks victims for the pending tasks of the job at this position.
+    /// Searches for victims for the pending tasks of the job at this position.
     pub fn search_for_tasks(&mut self, position: usize, scope: PreemptionScope) {
         let remaining = self.remaining();
         let cycle = &mut self.input.cycle;
@@ -76,7 +82,8 @@
         self.victims.extend(victims);
     }
 
-    /// Seeks victims for the whole gang at this position, if none of it is on a machine.
+    /// Searches for victims for the whole gang at this position, if none of its tasks is on a
+    /// machine.
     pub fn search_for_gang(&mut self, position: usize, scope: PreemptionScope) {
         let remaining = self.remaining();
         let cycle = &mut self.input.cycle;
@@ -89,22 +96,22 @@
         self.victims.extend(victims);
     }
 
-    /// Whether a job that requires a cached image still has pending tasks, although more could
-    /// have been preempted: no machine that has the image can be freed.
+    /// Whether a job that requires a cached image still has pending tasks although the limit on
+    /// victims was not reached. No machine that has the image can then be freed for the job.
     pub fn lacks_cached_image(&self, position: usize) -> bool {
         let job = &self.input.cycle.jobs[position];
         job.requires_cached_image && job.pending > 0 && self.remaining() > 0
     }
 
-    /// The attempts to preempt.
+    /// Returns the attempts to preempt.
     pub fn into_victims(self) -> Vec<AttemptId> {
         self.victims.into_iter().map(AttemptId::from_logged).collect()
     }
 }
 
 impl Leader {
-    /// What may be preempted. The resources of attempts that are ending count as free in `input`,
-    /// so that nothing is preempted for tasks that will fit anyway.
+    /// Returns the candidates for preemption. Counts the resources of attempts that are ending as
+    /// free in `input`, so that nothing is preempted for tasks that will fit anyway.
     pub(super) fn preemptible(&self, now: f64, input: &mut CycleInput) -> Preemptible {
         let positions = input.machine_positions();
         let mut preemptible = Preemptible::default();
@@ -133,18 +140,20 @@
     }
 }
 
-/// Whether an attempt's resources will be free without anything being preempted.
+/// Whether an attempt's resources will become free without preemption, because the attempt is being
+/// stopped or released.
 fn is_ending(attempt: &Attempt) -> bool {
     attempt.stop_reason.is_some() || matches!(attempt.phase, AssignmentPhase::Releasing(_))
 }
 
-/// Whether an attempt may be preempted: it is committed, and its task was not preempted before.
+/// Whether an attempt may be preempted: it must be committed, and its task must not have been
+/// preempted before.
 fn may_be_preempted(job: &Job, attempt: &Attempt) -> bool {
     attempt.phase == AssignmentPhase::Committed && !job.preempted.contains(attempt.task_index)
 }
 
-/// An attempt on the machine at this position as a candidate. Preempting it loses what it has
-/// worked since its last checkpoint, weighted by the CPUs that it uses.
+/// Returns an attempt on the machine at this position as a candidate for preemption. Preempting the
+/// attempt loses the work since its last checkpoint, weighted by the CPUs that the task requests.
 fn preemption_candidate(
     now: f64,
     id: AttemptId,
