--- a/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
@@ -1,31 +1,32 @@
-//! Arrival rates: the work of each class of jobs that has arrived of late, from which the
-//! autoscaler extrapolates.
+//! Arrival rates: the recent work of each class of jobs, from which the autoscaler extrapolates
+//! the work that is yet to arrive.
 
 use crate::leader::Leader;
 use gladekeel_sched::{JobIdx, MachineTypeIdx, autoscaling::ArrivalRate};
 use std::collections::BTreeMap;
 
-/// Time constant with which the work that has arrived decays.
+/// Time constant with which the weight of past arrivals decays, in seconds.
 const ARRIVAL_DECAY_S: f64 = 60.0;
-/// Least machine-seconds that the mean due time of a class is divided by.
+/// Minimum work, in machine-seconds, that the mean due time of a class is divided by. Avoids a
+/// division by zero.
 const MIN_WORK: f64 = 1e-9;
 
-/// Jobs of one class, as users name it, that run on one machine type.
+/// A class of jobs, as named by users, on the machine type that its jobs are planned for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ArrivalClass {
     pub machine_type: MachineTypeIdx,
     pub class: String,
 }
 
-/// Work of a class that has arrived, the older the less it counts.
+/// Work of a class that has arrived. Older work counts less, by exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
 struct ArrivedWork {
     machine_seconds: f64,
-    /// Mean time from submission until the work is due, weighted by work.
+    /// Mean time from a job's submission until its work is due, in seconds, weighted by work.
     due_s: f64,
 }
 
-/// The work that has arrived, by class.
+/// The work that has arrived, by class, as of the last decay.
 #[derive(Debug, Default)]
 pub(super) struct ArrivalHistory {
     by_class: BTreeMap<ArrivalClass, ArrivedWork>,
@@ -33,14 +34,14 @@
 }
 
 impl ArrivalHistory {
-    /// Lets the work that has arrived decay until now.
+    /// Decays the work that has arrived up to `now`.
     pub fn decay(&mut self, now: f64) {
         let weight = (-(now - self.decayed_at).max(0.0) / ARRIVAL_DECAY_S).exp();
         self.decayed_at = now;
         self.by_class.values_mut().for_each(|arrived| arrived.machine_seconds *= weight);
     }
 
-    /// Adds work, in machine-seconds, that is due so many seconds after its submission.
+    /// Adds `work` machine-seconds that are due `due_s` seconds after their submission.
     fn add(&mut self, class: ArrivalClass, work: f64, due_s: f64) {
         let arrived = self.by_class.entry(class).or_default();
         let total = (arrived.machine_seconds + work).max(MIN_WORK);
@@ -48,7 +49,7 @@
         arrived.machine_seconds = total;
     }
 
-    /// The arrival rates of a machine type's classes.
+    /// Returns the arrival rates of the classes on a machine type.
     pub fn rates(&self, machine_type_idx: MachineTypeIdx) -> Vec<ArrivalRate> {
         let of_type = self.by_class.iter().filter(|(c, _)| c.machine_type == machine_type_idx);
         of_type
@@ -61,7 +62,7 @@
 }
 
 impl Leader {
-    /// Counts a job that was just submitted. Called by reconciliation.
+    /// Adds a job that was just submitted to the arrivals of its class. Called by reconciliation.
     pub(in crate::leader) fn count_arrival(&mut self, job_idx: JobIdx) {
         let Some(job) = self.jobs.get(&job_idx) else { return };
         let Some(fit) = self.cheapest_fit(job) else { return };
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/deleted_machines.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/deleted_machines.rs
@@ -2,29 +2,31 @@
 
 use std::collections::{HashMap, VecDeque};
 
-/// How long a tombstone is kept: longer than heartbeats and lists can be late.
+/// How long a tombstone is kept, in seconds. Longer than heartbeats and lists can be delayed.
 const TOMBSTONE_S: f64 = 600.0;
 
 /// Machines whose deletion is confirmed. Late heartbeats and lists that name them are ignored.
 #[derive(Debug, Default)]
 pub(super) struct DeletedMachines {
     deleted_at: HashMap<String, f64>,
-    /// The same names, oldest deletion first.
+    /// The names in `deleted_at`, oldest deletion first.
     oldest_first: VecDeque<String>,
 }
 
 impl DeletedMachines {
+    /// Whether the machine's deletion is confirmed and its tombstone has not expired.
     pub fn contains(&self, name: &str) -> bool {
         self.deleted_at.contains_key(name)
     }
 
+    /// Adds a tombstone for a machine.
     pub fn add(&mut self, name: &str, now: f64) {
         self.deleted_at.insert(name.to_owned(), now);
         self.oldest_first.push_back(name.to_owned());
     }
 
-    /// Removes the tombstones that are old enough.
-    pub fn forget_old(&mut self, now: f64) {
+    /// Removes the tombstones that have expired.
+    pub fn expire(&mut self, now: f64) {
         while let Some(name) = self.oldest_first.front()
             && self.deleted_at.get(name).is_none_or(|at| now - *at >= TOMBSTONE_S)
         {
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/inventory.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/inventory.rs
@@ -1,4 +1,4 @@
-//! The inventory: compares the cloud's list of machines with those that the leader knows.
+//! The inventory: compares the cloud's list of machines with the machines that the leader knows.
 
 use crate::leader::{
     Leader, Machine,
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Takes a page of the cloud's list, and applies the list with its last page.
+    /// Adds a page of the cloud's list, and applies the whole list once its last page was read.
     pub(super) fn apply_list_page(&mut self, now: f64, page: MachinePage) {
         let Some(rows) = self.cluster.cloud.add_list_page(now, page) else { return };
         let mut listed = BTreeSet::new();
@@ -21,7 +21,8 @@
         self.count_missing_machines(now, &listed);
     }
 
-    /// Applies a row of the list; adopts the machine if it is not known, as after a takeover.
+    /// Applies a row of the list. Adopts the machine if the leader does not know it, which happens
+    /// after a takeover.
     fn apply_listed_machine(&mut self, now: f64, row: ListedMachine) -> MachineIdx {
         let machine_idx = self.cluster.machine_names.intern(&row.name);
         let machine = self.cluster.machines.entry(machine_idx).or_insert_with(|| {
@@ -45,19 +46,19 @@
         machine_idx
     }
 
-    /// Marks machines for deletion that are silent and that several lists in a row lack.
+    /// Marks machines for deletion that are silent and missing from several consecutive lists.
     fn count_missing_machines(&mut self, now: f64, listed: &BTreeSet<MachineIdx>) {
         let timeout_s = self.deployment.workers.heartbeat_timeout_s();
-        let mut gone = Vec::new();
+        let mut to_delete = Vec::new();
         for (machine_idx, machine) in &mut self.cluster.machines {
             let is_missing = machine.was_listed()
                 && !listed.contains(machine_idx)
                 && machine.liveness.silent_s(now) > timeout_s;
             if is_missing && machine.listing.record_missing() {
-                gone.push(*machine_idx);
+                to_delete.push(*machine_idx);
             }
         }
-        for machine_idx in gone {
+        for machine_idx in to_delete {
             self.cluster.mark_for_deletion(now, machine_idx, DeletionReason::NoLongerListed);
         }
     }
@@ -65,7 +66,7 @@
     /// Removes machines whose deletion is confirmed and whose attempts are all released. Called
     /// at each maintenance interval.
     pub(in crate::leader) fn remove_deleted_machines(&mut self, now: f64) {
-        self.cluster.cloud.forget_old_deletions(now);
+        self.cluster.cloud.expire_deletions(now);
         let machines = &self.cluster.machines;
         let is_removable = |machine_idx: &MachineIdx| {
             machines.get(machine_idx).is_some_and(|m| m.deletion.is_confirmed() && m.is_idle())
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/mod.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/mod.rs
@@ -1,12 +1,12 @@
-//! Requests to the cloud: rent and delete machines, list them and their types.
+//! Requests to the cloud: rents, deletes and lists machines, and lists machine types.
 //!
-//! Which machines to rent or delete is decided elsewhere; this module sends the requests as the
+//! Which machines to rent or delete is decided elsewhere; this module issues the requests as the
 //! cloud's limits allow, and applies the responses. The node takes a request with
 //! [`Leader::next_cloud_request`], sends it and passes the outcome to
 //! [`Leader::apply_cloud_outcome`].
 //!
-//! - [`queue`] keeps what is to be requested, what is in flight, and when to back off;
-//! - [`deleted_machines`] remembers machines whose deletion the cloud has confirmed;
+//! - [`queue`] holds the pending requests, the requests in flight, and when to back off;
+//! - [`deleted_machines`] holds the machines whose deletion the cloud has confirmed;
 //! - [`inventory`] compares the cloud's list with the machines that the leader knows;
 //! - [`outcomes`] applies the other responses.
 
@@ -24,8 +24,9 @@
 use queue::NewRent;
 
 impl Leader {
-    /// The next request to send, if one is due: machine types first, then deletions, rents and
-    /// the list.
+    /// Returns the next request to send, if one is due. The order of precedence is machine types,
+    /// deletions, rents, list of machines. The caller must pass the outcome of the request to
+    /// [`Leader::apply_cloud_outcome`].
     pub fn next_cloud_request(&mut self, now: f64) -> Option<CloudRequest> {
         if self.cluster.cloud.is_backing_off(now) {
             return None;
@@ -35,7 +36,7 @@
             .or_else(|| self.next_delete_request(now))
             .or_else(|| self.next_rent_request(now).map(CloudRequest::Rent))
             .or_else(|| self.next_list_request(now))?;
-        self.cluster.cloud.note_sent(&request);
+        self.cluster.cloud.record_sent(&request);
         Some(request)
     }
 
@@ -51,12 +52,13 @@
         if names.is_empty() {
             return None;
         }
-        self.cluster.cloud.note_delete_sent(now);
+        self.cluster.cloud.record_delete_sent(now);
         Some(CloudRequest::Delete(names))
     }
 
-    /// The machines of the next deletion, those with tasks first, since these are lost or lose
-    /// their lease. They get no more work from now on.
+    /// Returns the names of the machines for the next delete request, and marks their deletion as
+    /// requested. Machines with tasks come first, since those machines are lost or about to lose
+    /// their lease. The machines get no more tasks from now on.
     fn take_machines_to_delete(&mut self) -> Vec<String> {
         let key = |machine_idx: &MachineIdx| {
             let machine = self.cluster.machines.get(machine_idx)?;
@@ -75,14 +77,15 @@
         names
     }
 
+    /// Returns a rent request that must be retried, else one for the next scale-out.
     fn next_rent_request(&mut self, now: f64) -> Option<RentRequest> {
         if let Some(rent) = self.cluster.cloud.next_rent_retry(now) {
             return Some(rent);
         }
         let NewRent { pool, count, number } = self.cluster.cloud.take_scale_out(now)?;
         let rent = RentRequest {
-            // Token, number and the node's own random number: never used twice, and repeated
-            // only with a retry of the same request.
+            // Unique by the fencing token, the request's number and the node's random number. Only
+            // a retry of the same request has the same id.
             request_id: format!("gk-{}-{}-{:08x}", self.token, number, self.salt as u32),
             machine_type: self.catalog.machine_type_names.name(pool.machine_type).clone(),
             zone: self.catalog.zones.name(pool.zone).clone(),
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
@@ -1,15 +1,15 @@
-//! Applies what came of requests to the cloud, the list excepted.
+//! Applies the outcomes of requests to the cloud, except for the pages of the list of machines.
 
 use crate::cloud_api::{CloudOutcome, CloudRequest};
 use crate::leader::{Leader, Machine};
 use gladekeel_wire::cloud::{MachineType, MachineTypes, RentRequest};
 
-/// How long no request is made after the cloud's rate limit was hit.
+/// How long no request is sent after the cloud's rate limit was exceeded, in seconds.
 const RATE_LIMIT_BACKOFF_S: f64 = 0.5;
-/// How long no request is made after another failure.
+/// How long no request is sent after any other failure, in seconds.
 const FAILURE_BACKOFF_S: f64 = 1.0;
 
-/// How long no request is made after a request has failed in this way.
+/// How long no request is sent after a request has failed with this outcome, in seconds.
 fn backoff_s(outcome: &CloudOutcome) -> f64 {
     match outcome {
         CloudOutcome::RateLimited => RATE_LIMIT_BACKOFF_S,
@@ -18,9 +18,9 @@
 }
 
 impl Leader {
-    /// Applies what came of a request that [`Leader::next_cloud_request`] has returned.
+    /// Applies the outcome of a request that [`Leader::next_cloud_request`] has returned.
     pub fn apply_cloud_outcome(&mut self, now: f64, request: &CloudRequest, outcome: CloudOutcome) {
-        self.cluster.cloud.note_ended(request);
+        self.cluster.cloud.record_ended(request);
         match (request, outcome) {
             (CloudRequest::ListMachineTypes, CloudOutcome::Types(types)) => {
                 self.apply_machine_types(now, types);
@@ -40,13 +40,15 @@
         }
     }
 
+    /// Applies the outcome of a rent request. A failed request is retried unless the cloud has no
+    /// capacity or has rejected the request.
     fn apply_rent_outcome(&mut self, now: f64, rent: &RentRequest, outcome: CloudOutcome) {
         let cloud = &mut self.cluster.cloud;
         match outcome {
             CloudOutcome::Rented(names) => self.apply_rented(now, rent, names),
             CloudOutcome::NoCapacity | CloudOutcome::Rejected => {
                 if let Some(pool) = cloud.finish_rent(rent) {
-                    cloud.note_no_capacity(pool, now);
+                    cloud.record_no_capacity(pool, now);
                 }
             }
             failure => {
@@ -57,6 +59,8 @@
         }
     }
 
+    /// Adds machines that were rented. Fewer machines than requested mean that the pool has no more
+    /// capacity.
     fn apply_rented(&mut self, now: f64, rent: &RentRequest, names: Vec<String>) {
         let Some(pool) = self.cluster.cloud.finish_rent(rent) else { return };
         tracing::info!(
@@ -68,7 +72,7 @@
             "machines rented"
         );
         if names.len() < rent.count as usize {
-            self.cluster.cloud.note_no_capacity(pool, now);
+            self.cluster.cloud.record_no_capacity(pool, now);
         }
         for name in names {
             self.cluster.counters.rented += 1;
@@ -82,10 +86,11 @@
         }
     }
 
+    /// Updates the catalog with the cloud's machine types, and queues changed types for the store.
     fn apply_machine_types(&mut self, now: f64, types: MachineTypes) {
-        self.cluster.cloud.note_machine_types_read(now);
+        self.cluster.cloud.record_machine_types_read(now);
         let has_none = self.catalog.machine_type_names.is_empty();
-        // A leader that begins while the cloud is away takes the types from the store.
+        // The types are stored for a leader that begins to lead while the cloud is unavailable.
         if has_none || types.types.iter().any(|machine_type| self.has_changed(machine_type)) {
             self.log_writer.pending().set_machine_types(types.clone());
         }
@@ -93,7 +98,7 @@
         self.timers.request_cycle();
     }
 
-    /// Whether a machine type is new or differs in more than its spot price, which changes all
+    /// Whether a machine type is new or differs in anything but its spot price, which changes all
     /// the time.
     fn has_changed(&self, machine_type: &MachineType) -> bool {
         let without_spot_price = |t: &MachineType| MachineType { spot_price: None, ..t.clone() };
@@ -102,6 +107,7 @@
         known.map(without_spot_price) != Some(without_spot_price(machine_type))
     }
 
+    /// Applies the cloud's confirmation that machines are deleted.
     fn apply_deletion(&mut self, now: f64, names: &[String]) {
         for name in names {
             let machine_idx = self.cluster.machine_names.get(name.as_str());
@@ -109,7 +115,7 @@
             let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { continue };
             machine.deletion.confirm();
             self.cluster.counters.deleted += 1;
-            self.cluster.cloud.note_deleted(name, now);
+            self.cluster.cloud.record_deleted(name, now);
         }
         self.timers.request_cycle();
         self.evacuate_leaving_machines(now);
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
@@ -8,19 +8,21 @@
 };
 use std::collections::{BTreeSet, HashMap};
 
-/// How long nothing is requested from a pool that had no capacity.
+/// How long no machine is requested from a pool that had no capacity, in seconds.
 const NO_CAPACITY_BACKOFF_S: f64 = 12.0;
-/// The maximum of rent requests without a final response.
+/// Maximum number of rent requests without a final response.
 const MAX_PENDING_RENTS: usize = 4;
-/// The interval at which machine types and their prices are read.
+/// Interval at which machine types and their prices are read.
 const MACHINE_TYPES_INTERVAL_S: f64 = 60.0;
-/// After a failure they are read again sooner.
+/// How soon machine types are read again after a failure, in seconds.
 const MACHINE_TYPES_RETRY_S: f64 = 2.0;
-/// The least interval between delete requests, so that they leave requests for rents.
+/// Minimum interval between delete requests, so that they do not use up the rate limit that rent
+/// requests need.
 const DELETE_INTERVAL_S: f64 = 0.5;
-/// The least interval between two lists.
+/// Minimum interval between two lists of machines.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
-/// What each further page of the list adds to the interval: long lists would use up the requests.
+/// Extra interval between two lists for each page after the first. Without it, long lists would
+/// use up the rate limit.
 const LIST_INTERVAL_PER_PAGE_S: f64 = 2.0;
 
 /// A rent request that has no final response yet.
@@ -28,42 +30,44 @@
 struct PendingRent {
     request: RentRequest,
     pool: MachinePool,
+    /// Whether the request was sent and its outcome is not known yet.
     in_flight: bool,
+    /// When to send the request again if it is not in flight.
     retry_at: f64,
 }
 
-/// Machines to rent.
+/// Machines to rent from a pool, for which no rent request was made yet.
 #[derive(Debug, Clone, Copy)]
 struct ScaleOut {
     pool: MachinePool,
     count: u32,
 }
 
-/// A rent request to make.
+/// The content of a new rent request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct NewRent {
     pub pool: MachinePool,
     pub count: u32,
-    /// Differs from that of all earlier ones.
+    /// The number of the request, which differs from the numbers of all earlier requests.
     pub number: u64,
 }
 
-/// Requests of which one is in flight at a time.
+/// A kind of request of which at most one is in flight at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum RequestLane {
+enum ExclusiveRequestKind {
     MachineTypes,
     Delete,
     List,
 }
 
-impl RequestLane {
-    /// The lane of a request; rents have none, since several may be in flight.
-    fn of(request: &CloudRequest) -> Option<RequestLane> {
+impl ExclusiveRequestKind {
+    /// Returns the kind of a request; `None` for rents, since several may be in flight.
+    fn of(request: &CloudRequest) -> Option<ExclusiveRequestKind> {
         match request {
-            CloudRequest::ListMachineTypes => Some(RequestLane::MachineTypes),
+            CloudRequest::ListMachineTypes => Some(ExclusiveRequestKind::MachineTypes),
             CloudRequest::Rent(_) => None,
-            CloudRequest::Delete(_) => Some(RequestLane::Delete),
-            CloudRequest::ListMachines { .. } => Some(RequestLane::List),
+            CloudRequest::Delete(_) => Some(ExclusiveRequestKind::Delete),
+            CloudRequest::ListMachines { .. } => Some(ExclusiveRequestKind::List),
         }
     }
 }
@@ -71,82 +75,86 @@
 /// The cloud's list of machines, read page by page.
 #[derive(Debug, Default)]
 struct MachineListing {
-    /// The rows of the pages so far.
+    /// The rows of the pages read so far.
     rows: Vec<ListedMachine>,
-    /// Pages of the last complete list.
+    /// Number of pages of the last complete list.
     pages: u32,
-    /// When a list was last completed or given up.
+    /// When a list was last completed or aborted; `None` before the first list.
     ended_at: Option<f64>,
 }
 
-/// Requests to the cloud: to be made and in flight, and what limits them.
+/// The requests to the cloud that are pending or in flight, and the limits that delay them.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct CloudRequestQueue {
     deleted: DeletedMachines,
+    /// Until when each pool that had no capacity is left out.
     no_capacity_until: HashMap<MachinePool, f64>,
     pending_rents: Vec<PendingRent>,
     scale_outs: Vec<ScaleOut>,
-    lanes_in_flight: BTreeSet<RequestLane>,
+    exclusive_in_flight: BTreeSet<ExclusiveRequestKind>,
     machine_types_read_at: Option<f64>,
     delete_sent_at: Option<f64>,
     listing: MachineListing,
-    rents_numbered: u64,
-    /// No request is made before this time.
+    last_rent_number: u64,
+    /// No request is sent before this time.
     backoff_until: f64,
 }
 
-/// Whether an interval has passed since a time, if there was one.
+/// Whether the interval has passed since a time; true if there was no such time.
 fn has_passed(since: Option<f64>, interval_s: f64, now: f64) -> bool {
     since.is_none_or(|since| now - since >= interval_s)
 }
 
-/// What has become of machines and pools.
+/// Deleted machines, and pools without capacity.
 impl CloudRequestQueue {
-    /// Whether the machine's deletion is confirmed.
+    /// Whether the cloud has confirmed the machine's deletion.
     pub fn is_gone(&self, name: &str) -> bool {
         self.deleted.contains(name)
     }
 
-    /// Notes that the deletion of a machine is confirmed.
-    pub(super) fn note_deleted(&mut self, name: &str, now: f64) {
+    /// Records that the cloud has confirmed the deletion of a machine.
+    pub(super) fn record_deleted(&mut self, name: &str, now: f64) {
         self.deleted.add(name, now);
     }
 
-    /// Forgets deletions that no late heartbeat or list can name any more.
-    pub(super) fn forget_old_deletions(&mut self, now: f64) {
-        self.deleted.forget_old(now);
+    /// Removes records of deletions that are too old for a late heartbeat or list to name the
+    /// machine.
+    pub(super) fn expire_deletions(&mut self, now: f64) {
+        self.deleted.expire(now);
     }
 
-    /// Whether a rent from this pool may succeed, as far as the last responses say.
+    /// Whether a rent from this pool may succeed, judged by the latest responses.
     pub fn may_have_capacity(&self, pool: MachinePool, now: f64) -> bool {
         self.no_capacity_until.get(&pool).is_none_or(|until| now >= *until)
     }
 
-    /// Notes that a pool had fewer machines than requested.
-    pub(super) fn note_no_capacity(&mut self, pool: MachinePool, now: f64) {
+    /// Records that a pool had fewer machines than requested.
+    pub(super) fn record_no_capacity(&mut self, pool: MachinePool, now: f64) {
         self.no_capacity_until.insert(pool, now + NO_CAPACITY_BACKOFF_S);
     }
 }
 
-/// Scale-out and rents.
+/// Scale-outs and rent requests.
 impl CloudRequestQueue {
-    /// Requests machines from a pool, as soon as limits allow it.
+    /// Queues a request for machines from a pool, which is sent as soon as the limits allow.
     pub fn request_scale_out(&mut self, pool: MachinePool, count: u32) {
         self.scale_outs.push(ScaleOut { pool, count });
     }
 
-    /// Drops scale-outs for which no rent request was made yet: they are decided anew.
+    /// Drops the scale-outs for which no rent request was made yet, before the autoscaler decides
+    /// again.
     pub fn clear_scale_outs(&mut self) {
         self.scale_outs.clear();
     }
 
-    /// Rents that have no final response yet, with how many machines they request.
+    /// Returns the pool and the number of machines of each rent request without a final response.
     pub fn pending_rents(&self) -> impl Iterator<Item = (MachinePool, u32)> {
         self.pending_rents.iter().map(|rent| (rent.pool, rent.request.count))
     }
 
-    /// The next rent request to retry. Without a response the very same request is repeated: it
-    /// may have been carried out, and then the retry gets the same machines.
+    /// Returns the next rent request to retry, if one is due, and marks it as in flight. A retry
+    /// repeats the identical request: if the cloud has executed the request although no response
+    /// arrived, the retry gets the same machines.
     pub(super) fn next_rent_retry(&mut self, now: f64) -> Option<RentRequest> {
         let is_due = |rent: &&mut PendingRent| !rent.in_flight && now >= rent.retry_at;
         let rent = self.pending_rents.iter_mut().find(is_due)?;
@@ -154,8 +162,8 @@
         Some(rent.request.clone())
     }
 
-    /// The next rent request to make, if there may be one more. What exceeds the maximum of a
-    /// request stays in the queue.
+    /// Returns the next rent request to make, if one more may be pending. Machines beyond the
+    /// maximum of one request stay in the queue.
     pub(super) fn take_scale_out(&mut self, now: f64) -> Option<NewRent> {
         while self.pending_rents.len() < MAX_PENDING_RENTS {
             let ScaleOut { pool, count } = self.scale_outs.pop()?;
@@ -165,25 +173,25 @@
             if count > MAX_MACHINES_PER_RENT_REQUEST {
                 self.request_scale_out(pool, count - MAX_MACHINES_PER_RENT_REQUEST);
             }
-            self.rents_numbered += 1;
+            self.last_rent_number += 1;
             let count = count.min(MAX_MACHINES_PER_RENT_REQUEST);
-            return Some(NewRent { pool, count, number: self.rents_numbered });
+            return Some(NewRent { pool, count, number: self.last_rent_number });
         }
         None
     }
 
-    /// Adds a rent request that is sent now.
+    /// Adds a rent request that is being sent.
     pub(super) fn add_rent(&mut self, pool: MachinePool, request: RentRequest) {
         self.pending_rents.push(PendingRent { request, pool, in_flight: true, retry_at: 0.0 });
     }
 
-    /// Ends a rent that has a final response, and returns its pool.
+    /// Removes a rent request that has its final response, and returns its pool.
     pub(super) fn finish_rent(&mut self, request: &RentRequest) -> Option<MachinePool> {
         let position = self.rent_position(request)?;
         Some(self.pending_rents.swap_remove(position).pool)
     }
 
-    /// Lets a rent that has no final response be retried after a while.
+    /// Schedules the retry of a rent request that has no final response.
     pub(super) fn retry_rent_at(&mut self, request: &RentRequest, retry_at: f64) {
         if let Some(position) = self.rent_position(request) {
             let rent = &mut self.pending_rents[position];
@@ -197,76 +205,80 @@
     }
 }
 
-/// What is due and what is in flight.
+/// Requests that are due and requests in flight.
 impl CloudRequestQueue {
-    /// Whether no request may be made now.
+    /// Whether no request may be sent now.
     pub(super) fn is_backing_off(&self, now: f64) -> bool {
         now < self.backoff_until
     }
 
-    /// Makes no request before this time.
+    /// Delays all requests until this time.
     pub(super) fn back_off_until(&mut self, time: f64) {
         self.backoff_until = time;
     }
 
-    /// Notes that a request is sent.
-    pub(super) fn note_sent(&mut self, request: &CloudRequest) {
-        self.lanes_in_flight.extend(RequestLane::of(request));
+    /// Records that a request is sent.
+    pub(super) fn record_sent(&mut self, request: &CloudRequest) {
+        self.exclusive_in_flight.extend(ExclusiveRequestKind::of(request));
     }
 
-    /// Notes that a request has ended, with a response or without.
-    pub(super) fn note_ended(&mut self, request: &CloudRequest) {
-        if let Some(lane) = RequestLane::of(request) {
-            self.lanes_in_flight.remove(&lane);
+    /// Records that a request has ended, with or without a response.
+    pub(super) fn record_ended(&mut self, request: &CloudRequest) {
+        if let Some(kind) = ExclusiveRequestKind::of(request) {
+            self.exclusive_in_flight.remove(&kind);
         }
     }
 
-    fn is_free(&self, lane: RequestLane) -> bool {
-        !self.lanes_in_flight.contains(&lane)
+    /// Whether no request of this kind is in flight.
+    fn none_in_flight(&self, kind: ExclusiveRequestKind) -> bool {
+        !self.exclusive_in_flight.contains(&kind)
     }
 
     /// Whether machine types should be read now.
     pub(super) fn machine_types_due(&self, now: f64) -> bool {
-        self.is_free(RequestLane::MachineTypes)
+        self.none_in_flight(ExclusiveRequestKind::MachineTypes)
             && has_passed(self.machine_types_read_at, MACHINE_TYPES_INTERVAL_S, now)
     }
 
-    /// Notes that machine types were read.
-    pub(super) fn note_machine_types_read(&mut self, now: f64) {
+    /// Records that machine types were read.
+    pub(super) fn record_machine_types_read(&mut self, now: f64) {
         self.machine_types_read_at = Some(now);
     }
 
-    /// Lets machine types that could not be read be read again soon.
+    /// Schedules another read of the machine types after [`MACHINE_TYPES_RETRY_S`], because a read
+    /// has failed.
     pub(super) fn retry_machine_types(&mut self, now: f64) {
-        // As if they had been read so long ago that they are due when the retry is.
+        // Sets the time of the last read such that the regular interval ends at the retry.
         self.machine_types_read_at = Some(now - MACHINE_TYPES_INTERVAL_S + MACHINE_TYPES_RETRY_S);
     }
 
-    /// Whether a delete request may be made now.
+    /// Whether a delete request may be sent now.
     pub(super) fn delete_due(&self, now: f64) -> bool {
-        self.is_free(RequestLane::Delete) && has_passed(self.delete_sent_at, DELETE_INTERVAL_S, now)
+        self.none_in_flight(ExclusiveRequestKind::Delete)
+            && has_passed(self.delete_sent_at, DELETE_INTERVAL_S, now)
     }
 
-    /// Notes that a delete request is sent.
-    pub(super) fn note_delete_sent(&mut self, now: f64) {
+    /// Records that a delete request is sent.
+    pub(super) fn record_delete_sent(&mut self, now: f64) {
         self.delete_sent_at = Some(now);
     }
 
-    /// Whether a page of the list should be read now. Lists may be as old as `list_lag_s`.
+    /// Whether a page of the list should be read now. The cloud's list may lag behind by
+    /// `list_lag_s` seconds, so lists are read no more often than that.
     pub(super) fn list_due(&self, now: f64, list_lag_s: f64) -> bool {
         let further_pages = f64::from(self.listing.pages.max(1) - 1);
         let interval_s =
             list_lag_s.max(MIN_LIST_INTERVAL_S) + LIST_INTERVAL_PER_PAGE_S * further_pages;
-        self.is_free(RequestLane::List)
+        self.none_in_flight(ExclusiveRequestKind::List)
             && (!self.listing.rows.is_empty() || has_passed(self.listing.ended_at, interval_s, now))
     }
 
-    /// The machine after which the next page of the list begins.
+    /// Returns the machine after which the next page of the list begins; `None` for the first page.
     pub(super) fn next_list_page_after(&self) -> Option<String> {
         self.listing.rows.last().map(|row| row.name.clone())
     }
 
-    /// Takes a page of the list; returns the whole list with the last page.
+    /// Adds a page of the list. Returns the whole list if the page is the last one, else `None`.
     pub(super) fn add_list_page(
         &mut self,
         now: f64,
@@ -281,7 +293,7 @@
         Some(std::mem::take(&mut self.listing.rows))
     }
 
-    /// Gives up a list of which a page could not be read.
+    /// Aborts a list of which a page could not be read.
     pub(super) fn abort_list(&mut self, now: f64) {
         self.listing.rows.clear();
         self.listing.ended_at = Some(now);
--- a/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
@@ -1,32 +1,33 @@
-//! Cost accounting: an estimate of the money spent on machines, by what they were doing.
+//! Cost accounting: estimates the money spent on machines, broken down by how the machines were
+//! used.
 
 use crate::leader::{Leader, Machine};
 use gladekeel_wire::worker::TaskState;
 
-/// The interval at which costs are added up.
+/// Interval at which costs are added up.
 const ACCOUNTING_INTERVAL_S: f64 = 10.0;
-/// The interval at which they are logged.
+/// Interval at which the costs are logged.
 const LOG_INTERVAL_S: f64 = 60.0;
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
-/// Costs by what machines were doing, in the cloud's currency. A machine's cost is divided
-/// between the tasks on it and what is free.
+/// Costs by how machines were used, in the cloud's currency. The cost of a machine with tasks is
+/// divided between its tasks and its free resources, by their shares of its capacity.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct CostBreakdown {
     /// Machines that were not up yet.
     pub boot: f64,
     /// Machines that were up without any task.
     pub idle: f64,
-    /// What was free beside tasks.
+    /// Free resources on machines that had tasks.
     pub gaps: f64,
-    /// Tasks that were assigned and not running yet, such as while an image was fetched.
+    /// Tasks that were assigned but not running yet, for example because their image was fetched.
     pub waiting: f64,
     /// Running tasks.
     pub running: f64,
 }
 
-/// When costs were last added up and logged. The sums are in the leader's counters, since they
-/// outlive its token.
+/// When costs were last added up and logged. The sums themselves are in the leader's counters,
+/// which outlive its token.
 #[derive(Debug)]
 pub(in crate::leader) struct CostAccounting {
     accounted_until: f64,
@@ -34,12 +35,12 @@
 }
 
 impl CostAccounting {
-    /// Accounts for what machines cost from now on.
+    /// Starts accounting for costs from `now` on.
     pub fn new(now: f64) -> CostAccounting {
         CostAccounting { accounted_until: now, logged_at: now }
     }
 
-    /// Ends the accounting interval, if it is over, and returns its hours.
+    /// Ends the accounting interval if it is over, and returns its length in hours.
     fn end_interval(&mut self, now: f64) -> Option<f64> {
         let elapsed_s = now - self.accounted_until;
         if elapsed_s < ACCOUNTING_INTERVAL_S {
@@ -49,6 +50,7 @@
         Some(elapsed_s.max(0.0) / SECONDS_PER_HOUR)
     }
 
+    /// Whether costs should be logged now; if so, a new logging interval begins.
     fn log_due(&mut self, now: f64) -> bool {
         let due = now - self.logged_at >= LOG_INTERVAL_S;
         if due {
@@ -59,7 +61,7 @@
 }
 
 impl Leader {
-    /// Adds up what machines have cost since the last time, if an accounting interval is over.
+    /// Adds up the costs of machines since the last accounting, if an accounting interval is over.
     pub(in crate::leader) fn account_costs(&mut self, now: f64) {
         let Some(hours) = self.cost_accounting.end_interval(now) else { return };
         let mut costs = self.cluster.counters.cost;
@@ -74,6 +76,7 @@
         }
     }
 
+    /// Adds the cost of a machine for this many hours.
     fn add_machine_cost(&self, costs: &mut CostBreakdown, machine: &Machine, hours: f64) {
         let Some(machine_type_idx) = machine.machine_type else { return };
         let Some(machine_type) = self.catalog.machine_type(machine_type_idx) else { return };
--- a/crates/gladekeel-controller/src/leader/autoscaling/demand.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/demand.rs
@@ -1,4 +1,4 @@
-//! Demand: how many machines of which type the unfinished jobs need.
+//! Demand: how many machines of each type the unfinished jobs need.
 
 use crate::leader::{Job, Leader};
 use gladekeel_sched::{
@@ -6,27 +6,28 @@
 };
 use std::collections::BTreeMap;
 
-/// The maximum of tasks that are counted on one machine.
+/// Maximum number of tasks that are assumed to fit on one machine.
 const MAX_TASKS_PER_MACHINE: u32 = 1000;
-/// Quotas don't bound memory: more than any job requests, and far from overflow in sums.
+/// Stands for unlimited memory, since quotas don't limit memory: more than any job requests, and
+/// small enough that sums don't overflow.
 const UNLIMITED_MEMORY: i64 = i64::MAX / 4;
-/// Least expected run time of a task.
+/// Minimum expected run time of a task.
 const MIN_RUN_S: f64 = 1.0;
-/// Rate at which images are assumed to be fetched if no machine type fits the job.
+/// Assumed fetch rate for images if no machine type fits the job.
 const DEFAULT_FETCH_GB_PER_S: f64 = 1.0;
-/// Least rate at which images are assumed to be fetched.
+/// Minimum assumed fetch rate for images.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
 /// The demands of unfinished jobs for one machine type.
 #[derive(Debug, Default)]
 pub(super) struct MachineTypeDemand {
-    /// Of all jobs.
+    /// Demands of all jobs.
     pub any: Vec<JobDemand>,
-    /// Of the jobs that may not use spot machines.
+    /// Demands of the jobs that may not use spot machines.
     pub on_demand_only: Vec<JobDemand>,
 }
 
-/// The machine type that a job is planned for.
+/// The machine type that a job is planned for, and how the job's tasks fit on its machines.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct MachineFit {
     pub machine_type: MachineTypeIdx,
@@ -35,8 +36,8 @@
 }
 
 impl Leader {
-    /// The demands of unfinished jobs, by machine type; jobs are counted as far as their team's
-    /// limit allows them to run, oldest first.
+    /// Returns the demands of unfinished jobs by machine type. Jobs count only as far as their
+    /// team's limit allows them to run, the oldest jobs first.
     pub(super) fn demands_by_machine_type(
         &self,
         now: f64,
@@ -56,6 +57,7 @@
         demands
     }
 
+    /// Returns the demand of a job of which `allowed_tasks` may run within the team's limit.
     fn job_demand(
         &self,
         now: f64,
@@ -77,7 +79,8 @@
         }
     }
 
-    /// How long a machine takes to fetch the job's image, in seconds.
+    /// How long a machine of the cheapest type that fits the job takes to fetch the job's image, in
+    /// seconds.
     pub(in crate::leader) fn fetch_s(&self, job: &Job) -> f64 {
         let machine_type =
             self.cheapest_fit(job).and_then(|fit| self.catalog.machine_type(fit.machine_type));
@@ -85,15 +88,15 @@
         job.spec.image_gb / gb_per_s.max(MIN_FETCH_GB_PER_S)
     }
 
-    /// How long a task of the job is expected to run, in seconds: the owner's estimate,
-    /// corrected by the ratio that the job's class has shown.
+    /// How long a task of the job is expected to run, in seconds: the user's estimate, corrected by
+    /// the ratio of actual to estimated run times of the job's class.
     pub(in crate::leader) fn expected_run_s(&self, job: &Job) -> f64 {
         let ratio = self.cluster.run_time_ratios.get(&job.spec.class).copied().unwrap_or(1.0);
         (job.spec.estimate_s * ratio).max(MIN_RUN_S)
     }
 
-    /// The machine type on which a job's tasks cost least at list prices; `None` if none that
-    /// the cloud offers fits.
+    /// Returns the machine type on which a job's tasks cost least at list prices; `None` if the
+    /// cloud offers no machine type that fits.
     pub(super) fn cheapest_fit(&self, job: &Job) -> Option<MachineFit> {
         let all: Vec<MachineTypeIdx> = self.catalog.machine_type_indices().collect();
         job.machine_types
@@ -105,7 +108,8 @@
             .map(|(_, fit)| fit)
     }
 
-    /// How a job fits a machine type, with the price of one task.
+    /// Returns how a job fits a machine type, with the price of one task; `None` if the type does
+    /// not fit or is not offered in the job's zone.
     fn fit_with_task_price(
         &self,
         job: &Job,
@@ -124,11 +128,12 @@
     }
 }
 
-/// What is left of each team's limit.
+/// The unused part of each team's limit, by team.
 struct RemainingQuotas(Vec<Resources>);
 
 impl RemainingQuotas {
-    /// Takes up to `max_tasks` of a team's tasks out of what is left, and returns how many.
+    /// Subtracts the resources of up to `max_tasks` tasks from what is left of a team's limit, and
+    /// returns for how many tasks the limit sufficed.
     fn take(&mut self, team: TeamIdx, task_request: Resources, max_tasks: u32) -> u32 {
         let remaining = &mut self.0[team.position()];
         let available = Resources { memory: UNLIMITED_MEMORY, ..*remaining };
--- a/crates/gladekeel-controller/src/leader/autoscaling/machine_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/machine_pool.rs
@@ -1,4 +1,4 @@
-//! Machine pools: what the cloud rents machines from.
+//! Machine pools: the units in which the cloud has capacity and rents out machines.
 
 use gladekeel_sched::{MachineTypeIdx, ZoneIdx};
 
@@ -12,25 +12,25 @@
 }
 
 impl PurchaseModel {
-    /// The purchase model of a machine, by the cloud's flag for it.
+    /// Returns the purchase model that the cloud's spot flag of a machine stands for.
     pub fn from_spot_flag(spot: bool) -> PurchaseModel {
         if spot { PurchaseModel::Spot } else { PurchaseModel::OnDemand }
     }
 
-    /// Whether these are spot machines.
+    /// Whether machines with this purchase model are spot machines.
     pub fn is_spot(self) -> bool {
         self == PurchaseModel::Spot
     }
 }
 
-/// Machines of one type and zone with one purchase model. The cloud has capacity in a pool or
-/// has none, whatever it has in others.
+/// The machines of one type in one zone with one purchase model. The capacity of a pool is
+/// independent of the capacity of other pools.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(in crate::leader) struct MachinePool {
-    /// Their type.
+    /// The type of the machines.
     pub machine_type: MachineTypeIdx,
-    /// Their zone.
+    /// The zone of the machines.
     pub zone: ZoneIdx,
-    /// How they are paid for.
+    /// How the machines are paid for.
     pub purchase_model: PurchaseModel,
 }
--- a/crates/gladekeel-controller/src/leader/autoscaling/mod.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/mod.rs
@@ -1,10 +1,10 @@
-//! Autoscaling: how many machines of each type there should be, the requests that rent and delete
-//! them, and what they cost.
+//! Autoscaling: decides how many machines of each type there should be, sends the requests that
+//! rent and delete machines, and accounts for their costs.
 //!
 //! The leader calls [`Leader::autoscale`] at each maintenance interval. For each machine type it
 //! compares the [demand] of jobs with the [supply] of machines, makes a [plan], and then scales
-//! [out](scale_out) or [in](scale_in): both only record what is to be done, and [`cloud_requests`]
-//! sends the requests as the cloud's limits allow.
+//! [out](scale_out) or [in](scale_in). Both only record which machines to rent or delete;
+//! [`cloud_requests`] sends the requests as the cloud's limits allow.
 
 mod arrivals;
 pub(in crate::leader) mod cloud_requests;
@@ -25,7 +25,7 @@
 use gladekeel_sched::MachineTypeIdx;
 use plan::Autoscalers;
 
-/// What the autoscaler remembers from one run to the next.
+/// The state that the autoscaler keeps between runs.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct AutoscalerState {
     autoscalers: Autoscalers,
@@ -45,6 +45,7 @@
         self.scale_out_for_zone_demand(now);
     }
 
+    /// Decides which machines of one type to rent and which idle ones to delete.
     fn autoscale_machine_type(
         &mut self,
         now: f64,
@@ -65,7 +66,7 @@
             retain = plan.any.retain,
             pending = demand.any.iter().map(|job| job.pending).sum::<f64>(),
             running = demand.any.iter().map(|job| job.running).sum::<f64>(),
-            "machine type planned"
+            "scaling plan computed for machine type"
         );
         self.scale_out(now, machine_type_idx, &plan);
         self.scale_in(now, settings, machine_type_idx, plan.surplus(&supply));
--- a/crates/gladekeel-controller/src/leader/autoscaling/plan.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/plan.rs
@@ -1,4 +1,4 @@
-//! The plan for the machines of one type: how many to add, and how many are surplus.
+//! The scaling plan for the machines of one type: how many to add, and how many are surplus.
 
 use super::{demand::MachineTypeDemand, supply::MachineTypeSupply};
 use crate::leader::Leader;
@@ -12,9 +12,9 @@
 /// The autoscalers of a machine type.
 #[derive(Debug, Default)]
 struct MachineTypeAutoscalers {
-    /// For all work, on machines of any purchase model.
+    /// Plans for all jobs, on machines of any purchase model.
     any: Autoscaler,
-    /// For work that may not use spot machines, on on-demand ones.
+    /// Plans for jobs that may not use spot machines, on on-demand machines.
     on_demand: Autoscaler,
 }
 
@@ -25,13 +25,13 @@
 /// The plans for the machines of one type.
 #[derive(Debug)]
 pub(super) struct MachineTypePlan {
-    /// For all work, on machines of any purchase model.
+    /// The plan for all jobs, on machines of any purchase model.
     pub any: ScalingPlan,
-    /// For work that may not use spot machines, on on-demand ones.
+    /// The plan for jobs that may not use spot machines, on on-demand machines.
     pub on_demand: ScalingPlan,
 }
 
-/// How many idle machines may be deleted.
+/// How many idle machines may be deleted, by purchase model.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Surplus {
     pub on_demand: usize,
@@ -39,23 +39,23 @@
 }
 
 impl MachineTypePlan {
-    /// On-demand machines are surplus as soon as they are not required; spot machines, which
-    /// are cheap, stay for the usual load.
+    /// Returns how many machines are surplus. On-demand machines are surplus as soon as they are
+    /// not required; spot machines are cheap, so enough are retained for the usual load.
     pub fn surplus(&self, supply: &MachineTypeSupply) -> Surplus {
-        let on_demand = beyond(&supply.on_demand, self.on_demand.required)
-            .min(beyond(&supply.any, self.any.required));
-        let spot = beyond(&supply.any, self.any.retain).saturating_sub(on_demand);
+        let on_demand = excess(&supply.on_demand, self.on_demand.required)
+            .min(excess(&supply.any, self.any.required));
+        let spot = excess(&supply.any, self.any.retain).saturating_sub(on_demand);
         Surplus { on_demand, spot }
     }
 }
 
-/// How many machines there are beyond those that are needed.
-fn beyond(supply: &Supply, needed: f64) -> usize {
+/// Returns how many machines of the supply exceed the number of machines that are needed.
+fn excess(supply: &Supply, needed: f64) -> usize {
     (supply.total() - needed.round()).max(0.0) as usize
 }
 
 impl Leader {
-    /// Plans the machines of a type, for all work and for work that may not use spot machines.
+    /// Plans the machines of a type, for all jobs and for jobs that may not use spot machines.
     pub(super) fn plan_machine_type(
         &mut self,
         now: f64,
--- a/crates/gladekeel-controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale-in: which idle machines are deleted.
+//! Scale-in: chooses the idle machines to delete.
 
 use super::{machine_pool::PurchaseModel, plan::Surplus};
 use crate::leader::{Leader, Machine, machine::DeletionReason};
@@ -9,7 +9,7 @@
 const MIN_AGE_S: f64 = 55.0;
 
 impl Leader {
-    /// Marks surplus machines of a type that are idle for deletion.
+    /// Marks idle machines of a type for deletion, up to the surplus.
     pub(super) fn scale_in(
         &mut self,
         now: f64,
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Up to `max` idle machines, those that have been idle for longest first.
+    /// Returns up to `max` idle machines that may be deleted, the one that has been idle for the
+    /// longest time first.
     fn longest_idle(
         &self,
         now: f64,
--- a/crates/gladekeel-controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out: from which pools the machines of a plan are rented.
+//! Scale-out: chooses the pools from which the machines of a plan are rented.
 
 use super::{
     machine_pool::{MachinePool, PurchaseModel},
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 
 impl Leader {
-    /// Requests the machines that a plan adds: spot machines as far as the work may use them,
-    /// else on-demand ones. If spot pools give less than requested, the next run requests the
-    /// rest on demand.
+    /// Requests the machines that a plan adds: spot machines for the jobs that may use them, and
+    /// on-demand machines for the others. If spot pools provide fewer machines than requested, the
+    /// next run requests the rest on demand.
     pub(super) fn scale_out(
         &mut self,
         now: f64,
@@ -34,7 +34,7 @@
         self.scale_out_evenly(&on_demand_pools, on_demand);
     }
 
-    /// The pools of a machine type that may have capacity, the one with the fewest machines
+    /// Returns the pools of a machine type that may have capacity, the one with the fewest machines
     /// first.
     fn pools_with_capacity(
         &self,
@@ -56,6 +56,7 @@
         pools
     }
 
+    /// Returns the number of machines of a type and purchase model in each zone.
     fn machines_by_zone(
         &self,
         machine_type_idx: MachineTypeIdx,
@@ -73,8 +74,8 @@
         counts
     }
 
-    /// Divides machines evenly between pools; the first ones get what is left over. The
-    /// requests are recorded in the order of zones.
+    /// Divides machines evenly between pools; the first pools get the remainder. The requests are
+    /// recorded in the order of zones.
     fn scale_out_evenly(&mut self, pools: &[MachinePool], count: usize) {
         let mut shares: Vec<(MachinePool, usize)> = Vec::new();
         for (position, pool) in pools.iter().copied().enumerate() {
--- a/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -1,9 +1,10 @@
-//! The warm pool: machines that are kept for gangs whose users want them to start at once.
+//! The warm pool: machines that are reserved for gangs that should start at once.
 //!
-//! Machines for a whole gang would be late if they first had to be freed, and so would its image.
-//! So in each zone some on-demand machines are left to gangs, by the gangs that arrived of late.
-//! [`Leader::maintain_warm_pool`] chooses the machines and sets [`Machine::warm_pool`]; scheduling
-//! leaves them to gangs until an array has waited for too long, and scale-in keeps them.
+//! Such a gang would start late if all of its machines had to be freed first, and its image
+//! fetched. Therefore some on-demand machines in each zone are reserved for gangs; how many depends
+//! on the gangs that arrived recently. [`Leader::maintain_warm_pool`] chooses the machines and sets
+//! [`Machine::warm_pool`]. Scheduling reserves these machines for gangs until an array has waited
+//! for too long, and scale-in does not delete them.
 //!
 //! [`Machine::warm_pool`]: crate::leader::Machine::warm_pool
 
@@ -15,25 +16,30 @@
     collections::{BTreeMap, BTreeSet},
 };
 
-/// Time constant with which gangs that have arrived decay, and after which a class without new
-/// ones is forgotten.
+/// Time constant with which the weight of past gang arrivals decays, in seconds. The arrivals of a
+/// class expire when no gang of the class has arrived for this long.
 const GANG_DECAY_S: f64 = 180.0;
-/// Machines in the pool per machine that gangs keep busy on average: they arrive in clusters.
+/// Machines in the pool per machine that gangs keep busy on average. More than 1 because gangs
+/// arrive in bursts.
 const POOL_PER_BUSY_MACHINE: f64 = 1.5;
-/// So many machines beyond the target stay in the pool: the target goes up and down.
+/// Maximum number of machines beyond the target that stay in a pool, so that a fluctuating target
+/// does not remove and add machines all the time.
 const MAX_EXCESS: usize = 2;
-/// The pool has at most one in so many on-demand machines of a zone.
+/// Minimum number of on-demand machines in a zone per machine in the zone's pool.
 const MIN_MACHINES_PER_POOL_MACHINE: usize = 3;
 
-/// Gangs of a class that arrived in the last minutes.
+/// The gangs of a class that arrived recently.
 #[derive(Debug)]
 struct GangArrivals {
-    /// Machine-seconds of work as of `last_at`, the older the less it counts.
+    /// Work of the gangs in machine-seconds, decayed up to `last_at`.
     machine_seconds: f64,
-    /// Machines that the largest of them takes.
-    largest: f64,
+    /// Number of machines that the largest of the gangs needs.
+    largest_gang_machines: f64,
+    /// When the first of the gangs was submitted.
     first_at: f64,
+    /// When the last of the gangs was submitted.
     last_at: f64,
+    /// The images of the gangs.
     images: BTreeSet<ImageIdx>,
 }
 
@@ -41,56 +47,62 @@
     fn new(first_at: f64) -> GangArrivals {
         GangArrivals {
             machine_seconds: 0.0,
-            largest: 0.0,
+            largest_gang_machines: 0.0,
             first_at,
             last_at: 0.0,
             images: BTreeSet::new(),
         }
     }
 
+    /// Adds a gang that needs this many machines for this many machine-seconds of work.
     fn add(&mut self, submitted_at: f64, machine_seconds: f64, machines: f64, image: ImageIdx) {
         self.machine_seconds =
-            self.machine_seconds * decay(submitted_at - self.last_at) + machine_seconds;
-        self.largest = self.largest.max(machines);
+            self.machine_seconds * decay_weight(submitted_at - self.last_at) + machine_seconds;
+        self.largest_gang_machines = self.largest_gang_machines.max(machines);
         self.last_at = self.last_at.max(submitted_at);
         self.images.insert(image);
     }
 
-    /// Machines that they keep busy on average.
+    /// Returns how many machines the gangs of the class keep busy on average.
     fn busy_machines(&self, now: f64) -> f64 {
-        // Over a short time since the first one only so much can have been added up; one gang
-        // alone does not make a high average.
+        // The average is taken over the time since the first gang, since earlier arrivals are not
+        // in the sum. The lower bound keeps a single gang from causing a high average.
         let observed_s = (now - self.first_at).max(GANG_DECAY_S / 6.0);
-        let weighted_s = GANG_DECAY_S * (1.0 - decay(observed_s));
-        self.machine_seconds * decay(now - self.last_at) / weighted_s
+        let weighted_s = GANG_DECAY_S * (1.0 - decay_weight(observed_s));
+        self.machine_seconds * decay_weight(now - self.last_at) / weighted_s
     }
 }
 
-/// The weight of what is so many seconds old.
-fn decay(age_s: f64) -> f64 {
+/// Returns the weight of an arrival of this age.
+fn decay_weight(age_s: f64) -> f64 {
     (-age_s.max(0.0) / GANG_DECAY_S).exp()
 }
 
-/// What the gangs of a machine type ask of its pool.
+/// The demand that recent gangs make on the pool of a machine type.
 #[derive(Debug, Clone, Copy, Default)]
 struct PoolDemand {
+    /// Number of machines that the gangs keep busy on average.
     busy_machines: f64,
-    largest: f64,
+    /// Number of machines that the largest gang needs.
+    largest_gang_machines: f64,
 }
 
 impl PoolDemand {
+    /// Returns the number of machines that a pool should have.
     fn target(self) -> usize {
-        (POOL_PER_BUSY_MACHINE * self.busy_machines + self.largest).ceil() as usize + 1
+        (POOL_PER_BUSY_MACHINE * self.busy_machines + self.largest_gang_machines).ceil() as usize
+            + 1
     }
 }
 
+/// The warm pool of one machine type in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PoolKey {
     machine_type: MachineTypeIdx,
     zone: ZoneIdx,
 }
 
-/// The gangs that arrived of late, and how many machines are kept for them.
+/// The gangs that arrived recently, and how many machines are reserved for gangs.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct WarmPool {
     arrivals: BTreeMap<ArrivalClass, GangArrivals>,
@@ -98,33 +110,36 @@
 }
 
 impl WarmPool {
-    /// How many on-demand machines of a type are to be kept.
+    /// Returns how many on-demand machines of a type must be kept for gangs.
     pub fn target(&self, machine_type_idx: MachineTypeIdx) -> u32 {
         self.sizes.get(&machine_type_idx).copied().unwrap_or(0)
     }
 
-    fn forget_old_arrivals(&mut self, now: f64) {
+    fn expire_arrivals(&mut self, now: f64) {
         self.arrivals.retain(|_, arrivals| now - arrivals.last_at < GANG_DECAY_S);
     }
 
+    /// Returns the demand of recent gangs by machine type.
     fn demands(&self, now: f64) -> BTreeMap<MachineTypeIdx, PoolDemand> {
         let mut demands: BTreeMap<MachineTypeIdx, PoolDemand> = BTreeMap::new();
         for (class, arrivals) in &self.arrivals {
             let demand = demands.entry(class.machine_type).or_default();
             demand.busy_machines += arrivals.busy_machines(now);
-            demand.largest = demand.largest.max(arrivals.largest);
+            demand.largest_gang_machines =
+                demand.largest_gang_machines.max(arrivals.largest_gang_machines);
         }
         demands
     }
 
+    /// Returns the images of all gangs that arrived recently.
     fn images(&self) -> BTreeSet<ImageIdx> {
         self.arrivals.values().flat_map(|arrivals| arrivals.images.iter().copied()).collect()
     }
 }
 
 impl Leader {
-    /// Counts a job that was just submitted, if it is a gang that should start at once. `work`
-    /// is in machine-seconds.
+    /// Adds a job that was just submitted to the arrivals of its class, if the job is a gang whose
+    /// class has an objective for the time until the start. `work` is in machine-seconds.
     pub(super) fn count_gang_arrival(&mut self, job_idx: JobIdx, fit: MachineFit, work: f64) {
         let Some(job) = self.jobs.get(&job_idx) else { return };
         if !job.is_gang() || !job.has_start_objective(&self.deployment) {
@@ -137,10 +152,10 @@
         of_class.add(job.submitted_at, work, machines, job.image);
     }
 
-    /// Chooses the machines of the warm pool anew. Called at each maintenance interval, before
+    /// Chooses the machines of the warm pool again. Called at each maintenance interval, before
     /// [`Leader::autoscale`].
     pub(in crate::leader) fn maintain_warm_pool(&mut self, now: f64) {
-        self.cluster.warm_pool.forget_old_arrivals(now);
+        self.cluster.warm_pool.expire_arrivals(now);
         let demands = self.cluster.warm_pool.demands(now);
         let images = self.cluster.warm_pool.images();
         self.cluster.warm_pool.sizes.clear();
@@ -157,7 +172,7 @@
         }
     }
 
-    /// The on-demand machines of types with a demand, by type and zone.
+    /// Returns the on-demand machines of the types that are in demand, by type and zone.
     fn warm_pool_candidates(
         &self,
         demands: &BTreeMap<MachineTypeIdx, PoolDemand>,
@@ -175,8 +190,9 @@
         candidates
     }
 
-    /// The machines of a zone that are kept: those of the pool so far, then those that have
-    /// most of the images, then those with the least work.
+    /// Chooses the machines of a zone that are reserved. Prefers machines that are in the pool
+    /// already, then machines that have the most of `images` cached, then machines on which tasks
+    /// request the fewest CPUs.
     fn choose_warm_pool(
         &self,
         mut machines: Vec<MachineIdx>,
@@ -186,8 +202,8 @@
         let machine =
             |machine_idx: &MachineIdx| -> &Machine { &self.cluster.machines[machine_idx] };
         let target = target.min(machines.len() / MIN_MACHINES_PER_POOL_MACHINE);
-        let so_far = machines.iter().filter(|idx| machine(idx).warm_pool).count();
-        let size = target.max(so_far.min(target + MAX_EXCESS));
+        let current = machines.iter().filter(|idx| machine(idx).warm_pool).count();
+        let size = target.max(current.min(target + MAX_EXCESS));
         machines.sort_by_key(|machine_idx| {
             let machine = machine(machine_idx);
             let cached = machine.images.cached().intersection(images).count();
--- a/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
@@ -1,24 +1,25 @@
-//! Zone-constrained demand: machines for jobs that may run in one zone only.
+//! Zone-constrained demand: rents machines for jobs that may run in one zone only.
 //!
-//! The plan for a machine type counts its machines in all zones together. Without this module
-//! machines that are idle in one zone would count as supply for work that is bound to another
-//! zone, and that work would wait for ever.
+//! The plan for a machine type counts its machines in all zones together. Without this module,
+//! idle machines in one zone would count as supply for tasks that must run in another zone, and
+//! those tasks would wait forever.
 
 use super::machine_pool::{MachinePool, PurchaseModel};
 use crate::leader::{Job, Leader};
 use gladekeel_sched::{MachineTypeIdx, ZoneIdx};
 use std::collections::BTreeMap;
 
-/// Zone-constrained work that has waited for longer gets machines of its own.
+/// Machines are rented for a zone-constrained job that has waited for longer than this.
 const MAX_WAIT_S: f64 = 10.0;
 
+/// A machine type in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineTypeInZone {
     machine_type: MachineTypeIdx,
     zone: ZoneIdx,
 }
 
-/// Numbers of machines, in fractions, by type and zone.
+/// Fractional numbers of machines, by type and zone.
 #[derive(Debug, Default)]
 struct MachinesByZone(BTreeMap<MachineTypeInZone, f64>);
 
@@ -36,18 +37,18 @@
     }
 }
 
-/// Waiting work that is bound to a zone, in machines.
+/// The machines that the waiting tasks of zone-constrained jobs need.
 #[derive(Debug, Default)]
 struct ZoneDemand {
-    /// Of jobs that may use spot machines.
+    /// Demand of jobs that may use spot machines.
     any: MachinesByZone,
-    /// Of jobs that may not.
+    /// Demand of jobs that may not use spot machines.
     on_demand_only: MachinesByZone,
 }
 
 impl Leader {
-    /// Requests machines in zones to which waiting work is bound and whose machines cannot
-    /// take it.
+    /// Requests machines in zones in which waiting tasks must run and the free capacity does not
+    /// suffice for these tasks.
     pub(super) fn scale_out_for_zone_demand(&mut self, now: f64) {
         let demand = self.zone_demand(now);
         if demand.any.is_empty() && demand.on_demand_only.is_empty() {
@@ -66,6 +67,7 @@
         }
     }
 
+    /// Returns the demand of the zone-constrained jobs that have waited for too long.
     fn zone_demand(&self, now: f64) -> ZoneDemand {
         let mut demand = ZoneDemand::default();
         for job in self.jobs.values().filter(|job| has_waited_too_long(job, now)) {
@@ -78,7 +80,8 @@
         demand
     }
 
-    /// What is free on machines of a purchase model, and the machines that are being rented.
+    /// Returns the free capacity of the machines of a purchase model, including machines that are
+    /// being rented.
     fn free_by_zone(&self, purchase_model: PurchaseModel) -> MachinesByZone {
         let mut free = MachinesByZone::default();
         for machine in self.cluster.machines.values() {
@@ -99,7 +102,8 @@
         free
     }
 
-    /// Requests the missing machines from the first pool in the zone that may have capacity.
+    /// Requests the missing machines in a zone from the first pool that may have capacity, trying
+    /// the purchase models in the preferred order.
     fn scale_out_in_zone(
         &mut self,
         now: f64,
@@ -120,7 +124,8 @@
     }
 }
 
-/// Whether a job could be scheduled and has waited for longer than the plan may take.
+/// Whether a job could be scheduled now and has waited for longer than [`MAX_WAIT_S`], within which
+/// the regular plan should have provided machines.
 fn has_waited_too_long(job: &Job, now: f64) -> bool {
     !job.is_finished()
         && !job.pending.is_empty()
@@ -128,7 +133,8 @@
         && job.pending.waited_s(now) > MAX_WAIT_S
 }
 
-/// The only zone in which further tasks of a job may be, if there is only one.
+/// Returns the only zone in which further tasks of a job may run, if the job is limited to one
+/// zone.
 fn only_zone(job: &Job) -> Option<ZoneIdx> {
     job.zone.or_else(|| job.zone_placement.first_zone().filter(|_| job.spec.single_zone))
 }
