--- a/crates/gladekeel-controller/src/leader/attempt.rs
+++ b/crates/gladekeel-controller/src/leader/attempt.rs
@@ -1,78 +1,79 @@
-//! An attempt: one assignment of a task to a machine, from the proposal to the commit of its
-//! release.
+//! An attempt: one assignment of a task to a machine, from the proposal of the assignment to the
+//! commit of its release.
 
 pub use crate::assignment_log::AttemptOutcome;
 use gladekeel_sched::{ImageIdx, JobIdx, MachineIdx, Resources, ZoneIdx};
 use gladekeel_wire::worker::TaskState;
 
-/// How far the assignment of an attempt is. It holds its resources in every phase.
+/// The progress of an attempt's assignment. The attempt holds its resources in every phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AssignmentPhase {
-    /// Decided, not committed: no start may be sent.
+    /// The assignment is decided but not committed: no start may be sent.
     Proposed,
-    /// Committed in the assignment log: the task may be on its machine.
+    /// The assignment is committed in the assignment log: the task may be on its machine.
     Committed,
-    /// Proven to be off its machine; the release is not committed yet.
+    /// The task is proven not to be on its machine; the release is not committed yet.
     Releasing(AttemptOutcome),
 }
 
 /// Why an attempt is being stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
-    /// The job is cancelled.
+    /// The job was cancelled.
     Cancelled,
-    /// A waiting job has a better claim to the resources.
+    /// A waiting job takes precedence and needs the resources.
     Preempted,
-    /// It is slow and restarts on another machine.
+    /// The task is a straggler and restarts on another machine.
     Straggler,
-    /// The machine is drained or reclaimed.
+    /// The machine is being drained or reclaimed.
     Drained,
-    /// Another task of its gang is gone: the gang restarts, and progress since its last
-    /// checkpoint is lost.
+    /// The gang lost another task, so the gang restarts. Its progress since the last checkpoint is
+    /// lost.
     GangRestart,
-    /// Its gang was not complete in time. An image fetch is left to complete, so that the next
-    /// attempt finds the image: if it were stopped, the gang might never be complete.
+    /// The gang was not complete in time. An image fetch in progress is not stopped, so that the
+    /// next attempt finds the image cached; otherwise the gang might never be complete.
     GangIncomplete,
 }
 
 /// An assignment of a task to a machine.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobIdx,
     /// The index of the task in its job.
     pub task_index: u32,
-    /// The machine.
+    /// The machine that the task is assigned to.
     pub machine: MachineIdx,
-    /// The zone of the machine, once known.
+    /// The zone of the machine; `None` until it is known.
     pub zone: Option<ZoneIdx>,
     /// The incarnation of the machine's worker for which the attempt was made.
     pub incarnation: u64,
-    /// How far the assignment is.
+    /// The phase of the assignment.
     pub phase: AssignmentPhase,
-    /// The state that the worker reported last to this leader, if it has reported any.
+    /// The state that the worker last reported to this leader; `None` if it has reported none.
     pub reported_state: Option<TaskState>,
-    /// When this leader first saw it running.
+    /// When this leader first saw the task running, in seconds on the node's clock.
     pub running_since: Option<f64>,
-    /// Why it is to stop, if it is.
+    /// Why the attempt must stop; `None` if it need not.
     pub stop_reason: Option<StopReason>,
-    /// How often a stop was sent since the reason was set, or since a stop may have been lost.
+    /// How often a stop was sent since the stop reason was set, or since a stop may have been lost.
     pub stops_sent: u32,
-    /// Whether no direct start is to be sent any more: one was, or an earlier leader made the
-    /// attempt. Starts in responses to heartbeats do not count.
+    /// Whether no further direct start may be sent, because one was sent already or because an
+    /// earlier leader made the attempt. Starts in responses to heartbeats do not count.
     pub start_sent: bool,
-    /// The resources that it requests.
+    /// The resources that the task requests.
     pub resources: Resources,
-    /// The image of its job.
+    /// The image of the job.
     pub image: ImageIdx,
-    /// Whether an earlier leader made it, so that it is not known how long it has run.
+    /// Whether an earlier leader made the attempt, so that its run time is not known.
     pub recovered: bool,
     /// The newest segment of the assignment log that contains the assignment.
     pub segment: u64,
 }
 
 impl Attempt {
-    /// Whether it counts as on its machine, in this incarnation of the worker.
+    /// Whether the attempt counts as being on its machine in this incarnation of the worker: it is
+    /// committed and was made for this incarnation.
     pub fn is_committed_in(&self, incarnation: u64) -> bool {
         self.phase == AssignmentPhase::Committed && self.incarnation == incarnation
     }
--- a/crates/gladekeel-controller/src/leader/attempt_numbers.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_numbers.rs
@@ -1,9 +1,9 @@
-//! Numbers for attempts, unique over all leaders.
+//! Attempt numbers, which are unique across all leaders.
 
 use gladekeel_wire::job::MAX_TASKS;
 
-/// Attempts that one fencing token can number. The number of an attempt is the token times this
-/// plus a counter, so that no two leaders ever use the same.
+/// How many attempts can be numbered under one fencing token. The number of an attempt is the
+/// token times this plus a counter, so that no two leaders ever use the same number.
 const ATTEMPTS_PER_TOKEN: u64 = 1 << 24;
 
 /// The attempt numbers that belong to one fencing token, in ascending order.
@@ -14,20 +14,20 @@
 }
 
 impl AttemptNumbers {
-    /// All numbers of a token.
+    /// Returns all attempt numbers of a token, none of which is in use yet.
     pub fn of_token(token: u64) -> AttemptNumbers {
         AttemptNumbers { next: token * ATTEMPTS_PER_TOKEN, end: (token + 1) * ATTEMPTS_PER_TOKEN }
     }
 
-    /// Takes so many numbers in a row and returns the first.
+    /// Reserves `count` consecutive numbers and returns the first.
     pub fn reserve(&mut self, count: u32) -> u64 {
         let first = self.next;
         self.next += u64::from(count);
         first
     }
 
-    /// Whether numbers may soon run out, so that a new token is needed: enough for two of the
-    /// largest jobs are kept in reserve.
+    /// Whether the numbers may soon run out, so that a new token is needed. Enough numbers for two
+    /// jobs of the maximum size are kept in reserve.
     pub fn are_nearly_used_up(&self) -> bool {
         self.next + 2 * u64::from(MAX_TASKS) > self.end
     }
--- a/crates/gladekeel-controller/src/leader/attempt_table.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_table.rs
@@ -1,9 +1,9 @@
-//! All attempts, with counts by job and by machine.
+//! The table of all attempts, with counts by job and by machine.
 //!
-//! A gang may have a hundred thousand tasks, and whether it has started or is being stopped as a
-//! whole is asked whenever one of them ends. The counts that answer this are kept up to date with
-//! each change of an attempt instead of being worked out from all of them. Attempts therefore
-//! change through [`AttemptTable::update`] only.
+//! A gang may have a hundred thousand tasks, and each time one of its tasks ends, the leader checks
+//! whether the gang has started or is being stopped as a whole. The counts for these checks are
+//! therefore updated with each change of an attempt instead of being computed from all attempts,
+//! and attempts change only through [`AttemptTable::update`].
 
 use super::{
     AttemptId,
@@ -16,23 +16,24 @@
     collections::{BTreeMap, BTreeSet},
 };
 
-/// The attempts of one job, those that are being released included.
+/// The attempts of one job, including attempts that are being released.
 #[derive(Debug, Default)]
 pub(super) struct JobAttempts {
     ids: BTreeSet<AttemptId>,
-    /// Attempts that are proposed and not committed.
+    /// Number of attempts that are proposed but not committed.
     uncommitted: u32,
-    /// Attempts that are being stopped.
+    /// Number of attempts that are being stopped.
     stopping: u32,
-    /// Attempts that were seen running, are being stopped, or were made by an earlier leader.
+    /// Number of attempts that were seen running, are being stopped, or were made by an earlier
+    /// leader.
     started: u32,
-    /// Attempts that are committed and were not seen to have exited.
+    /// Number of attempts that are committed and not reported as exited.
     unfinished: u32,
-    /// Attempts on each machine.
+    /// Number of attempts on each machine; machines without any are absent.
     machines: BTreeMap<MachineIdx, u32>,
 }
 
-/// The attempts of a job without any.
+/// Returned for a job that has no attempts.
 static NO_ATTEMPTS: JobAttempts = JobAttempts {
     ids: BTreeSet::new(),
     uncommitted: 0,
@@ -43,107 +44,110 @@
 };
 
 impl JobAttempts {
-    /// Their ids.
+    /// The ids of the job's attempts.
     pub fn ids(&self) -> &BTreeSet<AttemptId> {
         &self.ids
     }
 
-    /// How many there are.
+    /// How many attempts the job has.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Whether there is none, so that nothing of the job is on any machine.
+    /// Whether the job has no attempts, so that none of its tasks is on a machine.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
 
-    /// How many are not committed yet.
+    /// How many attempts are proposed but not committed.
     pub fn uncommitted(&self) -> u32 {
         self.uncommitted
     }
 
-    /// How many are committed and were not seen to have exited.
+    /// How many attempts are committed and not reported as exited.
     pub fn unfinished(&self) -> u32 {
         self.unfinished
     }
 
-    /// Whether none has run or is being stopped. An attempt of an earlier leader counts as
-    /// started, since it is not known whether it has run.
+    /// Whether no attempt has run or is being stopped. An attempt that an earlier leader made
+    /// counts as started, since this leader does not know whether it has run.
     pub fn none_started(&self) -> bool {
         self.started == 0
     }
 
-    /// Whether each of them is being stopped.
+    /// Whether every attempt of the job is being stopped.
     pub fn all_stopping(&self) -> bool {
         self.stopping as usize == self.ids.len()
     }
 
-    /// The machines that they are on, each once.
+    /// The machines that the job has attempts on, each machine once.
     pub fn machines(&self) -> impl Iterator<Item = MachineIdx> {
         self.machines.keys().copied()
     }
 }
 
-/// Every attempt that the leader counts as on a machine.
+/// All attempts that count as being on a machine.
 #[derive(Debug, Default)]
 pub(super) struct AttemptTable {
     all: BTreeMap<AttemptId, Attempt>,
     by_job: BTreeMap<JobIdx, JobAttempts>,
-    /// Attempts that were not seen running yet, by machine and image.
+    /// Number of attempts that were not seen running or exited yet, by machine and image.
     not_yet_running: BTreeMap<MachineIdx, BTreeMap<ImageIdx, u32>>,
-    /// Attempts looked at since that was last taken.
+    /// Number of attempts looked up since [`AttemptTable::take_lookups`] was last called.
     lookups: Cell<u64>,
 }
 
 impl AttemptTable {
-    /// How many attempts there are.
+    /// The number of attempts of all jobs.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// The attempt with this id.
+    /// Returns the attempt with this id, if there is one.
     pub fn get(&self, id: AttemptId) -> Option<&Attempt> {
         self.lookups.set(self.lookups.get() + 1);
         self.all.get(&id)
     }
 
-    /// All attempts, in the order of their ids.
+    /// Iterates over all attempts in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (AttemptId, &Attempt)> {
         self.lookups.set(self.lookups.get() + self.all.len() as u64);
         self.all.iter().map(|(id, attempt)| (*id, attempt))
     }
 
-    /// The attempts of a job.
+    /// Returns the attempts of a job.
     pub fn of_job(&self, job: JobIdx) -> &JobAttempts {
         self.by_job.get(&job).unwrap_or(&NO_ATTEMPTS)
     }
 
-    /// The ids of a job's attempts, to change them one by one.
+    /// Returns a copy of the ids of a job's attempts, so that the caller can change the attempts
+    /// one by one.
     pub fn ids_of_job(&self, job: JobIdx) -> Vec<AttemptId> {
         self.of_job(job).ids.iter().copied().collect()
     }
 
-    /// Images of attempts on a machine that were not seen running yet.
+    /// The images of the attempts on a machine that were not seen running or exited yet, each image
+    /// once.
     pub fn images_not_yet_running(&self, machine: MachineIdx) -> impl Iterator<Item = ImageIdx> {
         self.not_yet_running.get(&machine).into_iter().flat_map(|images| images.keys().copied())
     }
 
     /// Adds a new attempt.
     pub fn insert(&mut self, id: AttemptId, attempt: Attempt) {
-        self.index(id, &attempt, Change::Add);
+        self.update_index(id, &attempt, Change::Add);
         self.all.insert(id, attempt);
     }
 
-    /// Removes an attempt.
+    /// Removes and returns the attempt with this id, if there is one.
     pub fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
         let attempt = self.all.remove(&id)?;
-        self.index(id, &attempt, Change::Remove);
+        self.update_index(id, &attempt, Change::Remove);
         Some(attempt)
     }
 
-    /// Changes an attempt. The change must leave its job, machine and image as they are: the
-    /// attempt is indexed by them.
+    /// Changes an attempt and returns the result of the change; `None` if there is no such attempt.
+    /// The change must not modify the attempt's job, machine or image, by which the attempt is
+    /// indexed.
     pub fn update<R>(
         &mut self,
         id: AttemptId,
@@ -166,13 +170,13 @@
         Some(result)
     }
 
-    /// Takes how often an attempt was looked at since this was last called.
+    /// Returns the number of lookups of attempts since the last call, and resets it to 0.
     pub fn take_lookups(&self) -> u64 {
         self.lookups.take()
     }
 
-    /// Adds an attempt to the counts, or removes it.
-    fn index(&mut self, id: AttemptId, attempt: &Attempt, change: Change) {
+    /// Adds an attempt to the index of its job and to all counts, or removes it from them.
+    fn update_index(&mut self, id: AttemptId, attempt: &Attempt, change: Change) {
         let of_job = self.by_job.entry(attempt.job).or_default();
         let on_machine = of_job.machines.entry(attempt.machine).or_default();
         change.apply(on_machine);
@@ -193,6 +197,7 @@
         }
     }
 
+    /// Changes the counts of a job for an attempt in these categories.
     fn count_in_job(&mut self, job: JobIdx, categories: Categories, change: Change) {
         let of_job = self.by_job.entry(job).or_default();
         change.apply_if(categories.uncommitted, &mut of_job.uncommitted);
@@ -201,6 +206,7 @@
         change.apply_if(categories.unfinished, &mut of_job.unfinished);
     }
 
+    /// Changes the number of attempts on a machine that were not seen running yet.
     fn count_not_yet_running(&mut self, machine: MachineIdx, image: ImageIdx, change: Change) {
         let images = self.not_yet_running.entry(machine).or_default();
         let attempts = images.entry(image).or_default();
@@ -236,7 +242,7 @@
     }
 }
 
-/// In which counts an attempt is included.
+/// The counts that include an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Categories {
     uncommitted: bool,
--- a/crates/gladekeel-controller/src/leader/counters.rs
+++ b/crates/gladekeel-controller/src/leader/counters.rs
@@ -1,8 +1,8 @@
-//! What a leader counts, for metrics.
+//! The leader's counters, which are published as metrics.
 
 use super::autoscaling::cost::CostBreakdown;
 
-/// Counters since this node began to lead; they go on over new tokens in a row.
+/// Counters since this node began to lead. They keep their values when the node renews its token.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct LeaderCounters {
     /// Tasks whose start was committed.
@@ -13,20 +13,20 @@
     pub preemptions: u64,
     /// Tasks that failed.
     pub failures: u64,
-    /// Machines rented.
+    /// Machines that were rented.
     pub rented: u64,
-    /// Machines deleted.
+    /// Machines that were deleted.
     pub deleted: u64,
-    /// Scheduling cycles that were due, those with nothing to bind included.
+    /// Scheduling cycles that were due, including cycles without pending tasks.
     pub scheduling_cycles: u64,
-    /// Machines that scheduling cycles have examined, once for each time.
+    /// Machines examined by scheduling cycles; a machine counts each time it is examined.
     pub machines_examined: u64,
-    /// Attempts that were looked up, once for each time.
+    /// Attempts looked up; an attempt counts each time it is looked up.
     pub attempt_lookups: u64,
-    /// Transactions committed.
+    /// Transactions committed to the store.
     pub commits: u64,
     /// Writes in committed transactions.
     pub writes: u64,
-    /// Estimate of the money spent, by what machines were doing.
+    /// Estimate of the money spent, broken down by how machines were used.
     pub cost: CostBreakdown,
 }
