--- a/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
@@ -23,13 +23,14 @@
 struct ArrivedWork {
     machine_seconds: f64,
     /// Mean time from a job's submission until its work is due, in seconds, weighted by work.
-    due_s: f64,
+    mean_due_s: f64,
 }
 
-/// The work that has arrived, by class, as of the last decay.
+/// The work that has arrived, by class.
 #[derive(Debug, Default)]
 pub(super) struct ArrivalHistory {
     by_class: BTreeMap<ArrivalClass, ArrivedWork>,
+    /// When the work was last decayed.
     decayed_at: f64,
 }
 
@@ -45,7 +46,7 @@
     fn add(&mut self, class: ArrivalClass, work: f64, due_s: f64) {
         let arrived = self.by_class.entry(class).or_default();
         let total = (arrived.machine_seconds + work).max(MIN_WORK);
-        arrived.due_s += (due_s - arrived.due_s) * work / total;
+        arrived.mean_due_s += (due_s - arrived.mean_due_s) * work / total;
         arrived.machine_seconds = total;
     }
 
@@ -55,7 +56,7 @@
         of_type
             .map(|(_, arrived)| ArrivalRate {
                 machines: arrived.machine_seconds / ARRIVAL_DECAY_S,
-                due_s: arrived.due_s,
+                due_s: arrived.mean_due_s,
             })
             .collect()
     }
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/inventory.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/inventory.rs
@@ -26,7 +26,7 @@
     fn apply_listed_machine(&mut self, now: f64, row: ListedMachine) -> MachineIdx {
         let machine_idx = self.cluster.machine_names.intern(&row.name);
         let machine = self.cluster.machines.entry(machine_idx).or_insert_with(|| {
-            tracing::info!(machine = row.name, "machine adopted from the cloud's list");
+            tracing::info!(machine = row.name, "unknown machine adopted from the cloud's list");
             let mut machine = Machine::new(&row.name, now);
             machine.provisioned_at = ProvisionedAt::Time(now - row.age_s);
             machine
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Adds machines that were rented. Fewer machines than requested mean that the pool has no more
+    /// Adds machines that were rented. If there are fewer than requested, the pool has no more
     /// capacity.
     fn apply_rented(&mut self, now: f64, rent: &RentRequest, names: Vec<String>) {
         let Some(pool) = self.cluster.cloud.finish_rent(rent) else { return };
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
@@ -87,7 +87,7 @@
 #[derive(Debug, Default)]
 pub(in crate::leader) struct CloudRequestQueue {
     deleted: DeletedMachines,
-    /// Until when each pool that had no capacity is left out.
+    /// When each pool that had no capacity may be tried again.
     no_capacity_until: HashMap<MachinePool, f64>,
     pending_rents: Vec<PendingRent>,
     scale_outs: Vec<ScaleOut>,
--- a/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
@@ -20,7 +20,7 @@
     pub idle: f64,
     /// Free resources on machines that had tasks.
     pub gaps: f64,
-    /// Tasks that were assigned but not running yet, for example because their image was fetched.
+    /// Tasks that were assigned but not running yet, for example while their image was fetched.
     pub waiting: f64,
     /// Running tasks.
     pub running: f64,
@@ -72,7 +72,7 @@
         }
         self.cluster.counters.cost = costs;
         if self.cost_accounting.log_due(now) {
-            tracing::info!(?costs, machines = self.cluster.machines.len(), "costs accounted");
+            tracing::info!(?costs, machines = self.cluster.machines.len(), "cost estimate updated");
         }
     }
 
--- a/crates/gladekeel-controller/src/leader/autoscaling/demand.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/demand.rs
@@ -81,7 +81,7 @@
 
     /// How long a machine of the cheapest type that fits the job takes to fetch the job's image, in
     /// seconds.
-    pub(in crate::leader) fn fetch_s(&self, job: &Job) -> f64 {
+    pub(in crate::leader) fn image_fetch_s(&self, job: &Job) -> f64 {
         let machine_type =
             self.cheapest_fit(job).and_then(|fit| self.catalog.machine_type(fit.machine_type));
         let gb_per_s = machine_type.map_or(DEFAULT_FETCH_GB_PER_S, |t| t.fetch_gb_per_s);
--- a/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -65,8 +65,8 @@
 
     /// Returns how many machines the gangs of the class keep busy on average.
     fn busy_machines(&self, now: f64) -> f64 {
-        // The average is taken over the time since the first gang, since earlier arrivals are not
-        // in the sum. The lower bound keeps a single gang from causing a high average.
+        // The sum covers only the time since the first gang, so it is divided by the weight of that
+        // time. The minimum for that time keeps a single gang from causing a high average.
         let observed_s = (now - self.first_at).max(GANG_DECAY_S / 6.0);
         let weighted_s = GANG_DECAY_S * (1.0 - decay_weight(observed_s));
         self.machine_seconds * decay_weight(now - self.last_at) / weighted_s
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -154,7 +154,7 @@
             replaces_gang_members: has_attempts && self.is_gang_unstarted(job_idx),
             // Not needed for a gang: the cycle prefers machines that have its image anyway.
             requires_cached_image: !job.is_gang()
-                && job.requires_cached_image(&self.deployment, self.fetch_s(job), now),
+                && job.requires_cached_image(&self.deployment, self.image_fetch_s(job), now),
             overdue_s: overdue_s(job, has_attempts, now),
         }
     }
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -57,10 +57,9 @@
     /// requires a cached image need not wait.
     fn may_preempt(&self, job_idx: JobIdx, now: f64, options: &RuntimeSettings) -> bool {
         let min_wait_s = options.preempt_after_s.min(options.preempt_checkpointed_after_s);
-        let requires_cached_image = self
-            .jobs
-            .get(&job_idx)
-            .is_some_and(|job| job.requires_cached_image(&self.deployment, self.fetch_s(job), now));
+        let requires_cached_image = self.jobs.get(&job_idx).is_some_and(|job| {
+            job.requires_cached_image(&self.deployment, self.image_fetch_s(job), now)
+        });
         self.schedulable_wait_s(job_idx, now)
             .is_some_and(|waited_s| waited_s >= min_wait_s || requires_cached_image)
     }
