--- a/crates/gladekeel-controller/src/leader/attempt_id.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_id.rs
@@ -2,10 +2,10 @@
 
 /// Identifies an attempt, in this process and in the assignment log.
 ///
-/// Workers know an attempt by its number. For the tasks of a gang this number differs from the id:
-/// the tasks share one number, by which they find one another, and the id of each attempt is the
-/// number plus the index of the task. A task that is replaced while its gang waits to start gets
-/// the same id again; no other id is used twice.
+/// Workers know an attempt by a number, which is the value of the id unless the task belongs to a
+/// gang. The tasks of a gang share one number, by which they find one another, and the id of each
+/// attempt is that number plus the index of the task. A task that is replaced while its gang waits
+/// to start gets the same id again; no other id is used twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(u64);
 
