--- a/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of single attempts with the tasks that a heartbeat reports.
+//! Reconciliation of individual attempts with the tasks reported by a heartbeat.
 
 use super::heartbeat::{HeartbeatToken, TaskObservation};
 use crate::leader::{AssignmentPhase, AttemptId, AttemptOutcome, Job, Leader, StopReason};
@@ -8,17 +8,18 @@
     worker::{Command, TaskState, TaskStatus},
 };
 
-/// Whether a task has exited.
+/// Whether the task of an attempt may still be on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::leader) enum TaskProgress {
-    /// It may still be on its machine.
-    Ongoing,
-    /// It has exited, or its release is under way already.
-    Ended,
+pub(in crate::leader) enum TaskPresence {
+    /// The task may still be on its machine.
+    MayBePresent,
+    /// The task has exited, or its attempt is no longer (or not yet) in the `Committed` phase.
+    Gone,
 }
 
 impl Leader {
-    /// Reconciles an attempt on a machine with what a heartbeat of the machine shows of it.
+    /// Reconciles an attempt with what a heartbeat of its machine shows. Adds the commands that
+    /// are due for the attempt to `commands`, or releases the attempt.
     pub(super) fn reconcile_attempt(
         &mut self,
         now: f64,
@@ -33,8 +34,8 @@
         let task =
             TaskId { job: self.job_names.name(attempt.job).clone(), index: attempt.task_index };
         if let Some(status) = observation.reported {
-            if self.apply_task_status(now, id, status) == TaskProgress::Ongoing {
-                self.repeat_stop(id, task, status.state, commands);
+            if self.apply_task_status(now, id, status) == TaskPresence::MayBePresent {
+                self.resend_stop(id, task, status.state, commands);
             }
         } else if observation.may_start && self.can_start(id) {
             commands.push(Command::Start { task, attempt: self.reported_attempt(id) });
@@ -43,43 +44,45 @@
         }
     }
 
-    /// Whether an attempt that is not on its machine may be started there now.
+    /// Whether an attempt whose task is not on its machine may be started there now.
     fn can_start(&self, id: AttemptId) -> bool {
         let Some(attempt) = self.attempts.get(id) else { return false };
-        // The commit of a gang may take several transactions; it is started after the last.
+        // Committing a gang may take several transactions. No task of the gang may start before
+        // the last of them is committed.
         let is_gang = self.jobs.get(&attempt.job).is_some_and(Job::is_gang);
         let is_uncommitted = is_gang && self.attempts.of_job(attempt.job).uncommitted() > 0;
         !self.token_renewal.is_required()
             && !self.is_job_finished(attempt.job)
             && !is_uncommitted
             && attempt.stop_reason.is_none()
-            && self.is_machine_staying(attempt.machine)
+            && self.is_machine_usable(attempt.machine)
     }
 
-    /// Whether an attempt that is not on its machine is to end, and no command can start it
-    /// there any more.
+    /// Whether an attempt whose task is not on its machine can be released: the attempt must not
+    /// be started any more, and no unsettled command can still start it.
     fn can_release_absent(&self, id: AttemptId) -> bool {
         let Some(attempt) = self.attempts.get(id) else { return false };
-        let is_to_end = attempt.stop_reason.is_some()
+        let must_not_start = attempt.stop_reason.is_some()
             || self.is_job_finished(attempt.job)
-            || !self.is_machine_staying(attempt.machine);
+            || !self.is_machine_usable(attempt.machine);
         let machine = self.cluster.machines.get(&attempt.machine);
-        is_to_end && !machine.is_some_and(|machine| machine.commands.may_still_start(id))
+        must_not_start && !machine.is_some_and(|machine| machine.commands.may_still_start(id))
     }
 
-    /// Whether a job needs nothing more. Tasks of a finished gang may not have reported
-    /// their exit yet.
+    /// Whether no task of a job may be started any more. Tasks of a finished gang may not have
+    /// reported their exit yet.
     fn is_job_finished(&self, job_idx: JobIdx) -> bool {
         self.jobs.get(&job_idx).is_none_or(Job::is_finished)
     }
 
-    fn is_machine_staying(&self, machine_idx: MachineIdx) -> bool {
+    /// Whether a machine exists and is not leaving the cluster.
+    fn is_machine_usable(&self, machine_idx: MachineIdx) -> bool {
         self.cluster.machines.get(&machine_idx).is_some_and(|machine| !machine.is_leaving())
     }
 
-    /// Sends a stop again for an attempt that is to stop, unless it is saving its progress and
-    /// may complete that.
-    fn repeat_stop(
+    /// Sends another stop for an attempt that has a stop reason. Sends none if the task may finish
+    /// saving its progress or fetching its image first.
+    fn resend_stop(
         &mut self,
         id: AttemptId,
         task: TaskId,
@@ -101,14 +104,14 @@
         commands.push(Command::Stop { task, attempt: self.reported_attempt(id), grace_s });
     }
 
-    /// Applies the status of an attempt that its machine reports, in a heartbeat or in the
-    /// response to a direct command.
+    /// Applies the status of a task, as reported by its machine in a heartbeat or in the response
+    /// to a direct command. Returns whether the task may still be on the machine.
     pub(in crate::leader) fn apply_task_status(
         &mut self,
         now: f64,
         id: AttemptId,
         status: &TaskStatus,
-    ) -> TaskProgress {
+    ) -> TaskPresence {
         let committed = self.attempts.update(id, |attempt| {
             let is_committed = attempt.phase == AssignmentPhase::Committed;
             if is_committed {
@@ -116,28 +119,28 @@
             }
             is_committed.then_some((attempt.job, attempt.stop_reason))
         });
-        let Some((job_idx, stop_reason)) = committed.flatten() else { return TaskProgress::Ended };
+        let Some((job_idx, stop_reason)) = committed.flatten() else { return TaskPresence::Gone };
         if status.state == TaskState::Saving && stop_reason.is_none() {
             self.continue_gang_stop(job_idx);
         }
         self.record_running(now, id, status);
         if status.state != TaskState::Exited {
-            return TaskProgress::Ongoing;
+            return TaskPresence::MayBePresent;
         }
         self.apply_task_exit(now, id, status);
-        TaskProgress::Ended
+        TaskPresence::Gone
     }
 
-    /// Stops the rest of a gang of which an earlier leader began to stop tasks: what they save
-    /// counts only if all of them are stopped in time.
+    /// Stops the remaining tasks of a gang that an earlier leader began to stop. The progress that
+    /// the tasks save counts only if all of them are stopped in time.
     fn continue_gang_stop(&mut self, job_idx: JobIdx) {
         if self.jobs.get(&job_idx).is_some_and(Job::is_gang) {
             self.stop_gang(job_idx, StopReason::Drained);
         }
     }
 
-    /// Records what the state of a task shows: since when it has run, and that its machine has
-    /// the image.
+    /// Records when a task was first seen running, and that its machine has fetched the image, if
+    /// the reported state shows this.
     fn record_running(&mut self, now: f64, id: AttemptId, status: &TaskStatus) {
         let has_started = match status.state {
             TaskState::Waiting => false,
@@ -155,8 +158,8 @@
         }
     }
 
-    /// Stops or forgets a task that a machine reports under an attempt which the assignment
-    /// log does not have there, or whose release is committed.
+    /// Adds a stop or a forget for a task whose reported attempt is not assigned to this machine:
+    /// the assignment log never assigned the attempt here, or its release is committed.
     pub(super) fn reconcile_unassigned_task(
         &mut self,
         machine_idx: MachineIdx,
@@ -165,7 +168,7 @@
         token: HeartbeatToken,
         commands: &mut Vec<Command>,
     ) {
-        // A task of a gang may have been placed elsewhere under the same number.
+        // A gang task may have been placed on another machine under the same attempt number.
         let is_assigned_here =
             self.attempts.get(id).is_some_and(|attempt| attempt.machine == machine_idx);
         if is_assigned_here || token != HeartbeatToken::Current {
@@ -176,8 +179,8 @@
         if status.state != TaskState::Exited {
             commands.push(Command::Stop { task, attempt, grace_s: 0.0 });
         } else if machine.is_some_and(|machine| !machine.commands.may_still_start(id)) {
-            // Its exit is committed since the log has it no more, and no start of it can still
-            // arrive after a heartbeat under the current token.
+            // The attempt is no longer in the assignment log, so its exit is committed. After a
+            // heartbeat under the current token, no start of the attempt can still arrive.
             commands.push(Command::Forget { task, attempt });
         }
     }
--- a/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
@@ -1,8 +1,9 @@
-//! Workers' heartbeats: what they say of their machines, and the responses to them.
+//! Handling of worker heartbeats: updates the leader's state and builds the responses.
 //!
-//! The node hands heartbeats to the leader in whatever way and order they arrive. Only a
-//! heartbeat that is newer than all others of its worker counts, and only one that was made
-//! under this leader's token proves by what it lacks that a task is not on the machine.
+//! Heartbeats may reach the leader by any path and in any order. The leader applies a heartbeat
+//! only if it is newer than every message received from that worker so far. A task that is
+//! missing from a heartbeat is proven to be off the machine only if the worker built the heartbeat
+//! under this leader's fencing token.
 
 use crate::leader::{
     AttemptId, AttemptOutcome, Leader, Machine,
@@ -12,44 +13,45 @@
 use gladekeel_wire::worker::{Command, Heartbeat, HeartbeatResponse, TaskStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most commands in one response, which must stay below 64 KiB.
+/// Maximum number of commands in one response. The response must stay below 64 KiB.
 const MAX_COMMANDS: usize = 400;
 
-/// The fencing token under which a heartbeat was made.
+/// The fencing token under which the worker built a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeartbeatToken {
-    /// This leader's. The worker refuses commands of older tokens since it has seen this one.
-    /// It has one heartbeat in flight and applies responses in order, so the heartbeat also
-    /// shows the effect of every earlier response of this leader.
+    /// The token of this leader. The worker has seen the token and refuses commands under older
+    /// ones. A worker has only one heartbeat in flight and applies responses in order, so the
+    /// heartbeat also reflects every earlier response of this leader.
     Current,
-    /// Another one: commands or responses may still be on their way to the worker.
+    /// Another token. Commands or responses may still be in transit to the worker.
     Other,
 }
 
-/// What a heartbeat shows of one attempt.
+/// What a heartbeat shows about one attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TaskObservation<'a> {
-    /// The task, if it is on the machine.
+    /// The reported status of the task; `None` if the task is not on the machine.
     pub reported: Option<&'a TaskStatus>,
-    /// The token under which the heartbeat was made.
+    /// The fencing token under which the worker built the heartbeat.
     pub token: HeartbeatToken,
-    /// Whether new tasks may be started.
+    /// Whether the leader may start tasks now.
     pub may_start: bool,
 }
 
-/// What a heartbeat says of an attempt on its machine.
+/// What a heartbeat reports about an attempt that is assigned to the sender's machine.
 enum AttemptReport<'a> {
-    /// Nothing: the attempt is of an earlier incarnation and released, or the heartbeat was
-    /// delayed since before the incarnation of the attempt.
+    /// The heartbeat gives no evidence about the attempt. Either the attempt belongs to an earlier
+    /// incarnation and is being released, or the heartbeat is delayed and older than the
+    /// attempt's incarnation.
     NotCovered,
     /// The task is not on the machine.
     Absent,
-    /// The task is on the machine, in this state.
+    /// The task is on the machine and has this status.
     Present(&'a TaskStatus),
 }
 
 impl Machine {
-    /// Applies a message that is newer than all others of the worker.
+    /// Applies a message that is newer than every message received from the worker so far.
     fn apply_message(&mut self, now: f64, message: &Heartbeat, machine_type: MachineTypeIdx) {
         let order = MessageOrder::from(message);
         if order.incarnation > self.newest_message.incarnation {
@@ -66,20 +68,21 @@
         self.addr = Some(message.addr.clone());
     }
 
-    /// Records when the cloud will reclaim the machine. Returns whether that is new.
+    /// Records when the cloud will reclaim the machine. Returns whether this is the first
+    /// termination notice for the machine.
     fn record_termination_notice(&mut self, now: f64, notice_s: f64) -> bool {
-        let is_new = self.termination_at.is_none();
-        if is_new {
+        let is_first_notice = self.termination_at.is_none();
+        if is_first_notice {
             tracing::info!(machine = self.name, notice_s, "spot termination notice received");
         }
         self.termination_at = Some(now + notice_s);
-        is_new
+        is_first_notice
     }
 }
 
 impl Leader {
-    /// Applies a heartbeat and builds the response to it. `may_start` is false while nothing
-    /// may be started, since the last contact with the store is too old.
+    /// Applies a heartbeat and returns the response to send to the worker. The caller sets
+    /// `may_start` to false while the last contact with the store is too old to start tasks.
     pub fn on_heartbeat(
         &mut self,
         now: f64,
@@ -111,14 +114,14 @@
             let knows_token = token == HeartbeatToken::Current;
             machine.acknowledgements.expect(ExpectedEffects::of_response(commands, knows_token));
         }
-        // Direct commands that were withheld may go out now, or the machine is probed for
-        // whether messages reach it.
+        // Direct commands that were withheld may be sendable now. If none are due, a machine that
+        // missed acknowledgements is probed to see whether messages reach it.
         self.commands.request_commands(machine_idx);
         response
     }
 
-    /// Records that a heartbeat has reached this controller, whatever the response to it:
-    /// while leases may not be renewed, no more is known of it.
+    /// Records that a heartbeat has reached this controller. While the leader may not renew
+    /// leases, this is all that it records about the heartbeat.
     pub fn record_heartbeat(&mut self, now: f64, heartbeat: &Heartbeat) {
         let machine_idx = self.cluster.machine_names.get(heartbeat.machine.as_str());
         if let Some(machine) = machine_idx.and_then(|idx| self.cluster.machines.get_mut(&idx)) {
@@ -126,8 +129,9 @@
         }
     }
 
-    /// Applies what a heartbeat, or the response to a direct command, says of its machine.
-    /// Returns the machine if the message is newer than all others of the worker.
+    /// Applies what a heartbeat reports about its machine; the response to a direct command
+    /// contains a heartbeat too. Returns the machine if the heartbeat is newer than every message
+    /// received from the worker so far, else `None`.
     pub(in crate::leader) fn apply_heartbeat(
         &mut self,
         now: f64,
@@ -163,8 +167,8 @@
         Some(machine_idx)
     }
 
-    /// Releases the attempts of earlier incarnations: a worker kills and forgets all tasks
-    /// before it begins a new incarnation.
+    /// Releases the attempts of earlier incarnations. They are off the machine, since a worker
+    /// kills and forgets all tasks before it starts a new incarnation.
     fn release_earlier_incarnations(&mut self, machine_idx: MachineIdx, incarnation: u64) {
         for id in self.attempts_on(machine_idx) {
             if self.attempts.get(id).is_some_and(|attempt| attempt.incarnation < incarnation) {
@@ -173,7 +177,8 @@
         }
     }
 
-    /// The attempts on a machine, to change them one by one.
+    /// Returns a copy of the set of attempts on a machine, so that the caller can change the
+    /// attempts while it iterates.
     fn attempts_on(&self, machine_idx: MachineIdx) -> BTreeSet<AttemptId> {
         let machine = self.cluster.machines.get(&machine_idx);
         machine.map(|machine| machine.attempts().clone()).unwrap_or_default()
@@ -183,7 +188,7 @@
         if heartbeat.token == self.token { HeartbeatToken::Current } else { HeartbeatToken::Other }
     }
 
-    /// Compares a heartbeat with the response to the one before it.
+    /// Checks whether a heartbeat shows the effects of the response to the previous heartbeat.
     fn check_acknowledgement(
         &mut self,
         machine_idx: MachineIdx,
@@ -196,7 +201,8 @@
         machine.acknowledgements.check_heartbeat(&reported_attempts, knows_token);
     }
 
-    /// Takes the status of an attempt on the machine out of those that a heartbeat reports.
+    /// Returns what a heartbeat reports about an attempt on its machine, and removes the status of
+    /// the attempt from `reported`.
     fn take_report<'a>(
         &self,
         id: AttemptId,
@@ -208,11 +214,11 @@
             reported.remove(&id);
             return AttemptReport::NotCovered;
         }
-        let is_own = |status: &&TaskStatus| {
+        let is_same_task = |status: &&TaskStatus| {
             status.task.index == attempt.task_index
                 && self.job_names.name(attempt.job) == &status.task.job
         };
-        let Some(status) = reported.get(&id).copied().filter(is_own) else {
+        let Some(status) = reported.get(&id).copied().filter(is_same_task) else {
             return AttemptReport::Absent;
         };
         reported.remove(&id);
@@ -220,8 +226,8 @@
     }
 }
 
-/// Orders the commands of a response, those that end something first, and drops those beyond
-/// the limit. They are sent again with the next response.
+/// Sorts the commands of a response, stops and forgets before starts, and drops those beyond
+/// [`MAX_COMMANDS`]. Dropped commands are retried with the next response.
 fn limit_commands(commands: &mut Vec<Command>) {
     commands.sort_by_key(|command| match command {
         Command::Stop { grace_s, .. } => u8::from(*grace_s > 0.0),
--- a/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -1,9 +1,9 @@
-//! Jobs that are submitted, become final, are cancelled or are removed, as the store view or
-//! other controllers say.
+//! Changes of jobs: submission, cancellation, final state and removal, as seen in the store view
+//! or received from other controllers.
 //!
-//! The node calls these for each change of its store view. A cancellation that another
-//! controller has committed is applied before the store view shows it, so that the job's
-//! tasks are stopped at once ("Cancelled work ends in time" in `docs/safety.md`).
+//! The node calls these functions for each change of its store view. A cancellation that another
+//! controller has committed is applied before the store view contains it, so that the job's tasks
+//! are stopped at once ("Cancelled work ends in time" in `docs/safety.md`).
 
 use crate::leader::{Job, Leader, StopReason};
 use crate::store_view::{StoreView, StoredJob};
@@ -11,7 +11,7 @@
 use gladekeel_wire::JobId;
 
 impl Leader {
-    /// Adds a job that is new in the store.
+    /// Adds a job that has appeared in the store view.
     pub fn add_job(&mut self, store: &StoreView, id: &JobId, now: f64) {
         let Some(stored) = store.jobs.get(id) else { return };
         let job_idx = self.job_names.intern(id);
@@ -27,10 +27,10 @@
         if is_final {
             self.log_writer.pending().add_removable_job(job_idx);
         }
-        // A job that was there before this term has been counted by the leader of that time.
-        // Gangs are counted again: the warm pool for them is rebuilt at once.
-        let is_new = now > self.since;
-        let counts_as_arrival = !is_final && (is_new || job.is_gang());
+        // An earlier leader has counted the arrival of a job that existed before this term. Gangs
+        // are counted again, so that their warm pool is rebuilt at once.
+        let is_new_in_term = now > self.since;
+        let counts_as_arrival = !is_final && (is_new_in_term || job.is_gang());
         self.jobs.insert(job_idx, job);
         if counts_as_arrival {
             self.count_arrival(job_idx);
@@ -59,7 +59,7 @@
         job
     }
 
-    /// Applies a final state that is new in the store.
+    /// Applies a final state that has appeared in the store view.
     pub fn apply_final_state(&mut self, store: &StoreView, id: &JobId) {
         let Some(job_idx) = self.job_names.get(id) else { return };
         let Some(job) = self.jobs.get_mut(&job_idx) else { return };
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Applies a cancellation that another controller has committed after the given time.
+    /// Applies a cancellation that another controller has committed. `not_before` is a time, on
+    /// the leader's clock, at which the job was not yet cancelled.
     pub fn apply_pending_cancellation(&mut self, id: &JobId, not_before: f64) {
         let Some(job_idx) = self.job_names.get(id) else { return };
         let job = self.jobs.get_mut(&job_idx).filter(|job| !job.is_finished());
@@ -89,7 +90,7 @@
         self.stop_cancelled_job(job_idx);
     }
 
-    /// Removes a job that the store no longer has, unless something of it may be on a machine.
+    /// Removes a job that is no longer in the store, unless the job still has attempts.
     pub fn forget_job(&mut self, id: &JobId) {
         let Some(job_idx) = self.job_names.get(id) else { return };
         if self.attempts.of_job(job_idx).is_empty() {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Stops all tasks of a cancelled job.
+    /// Marks all attempts of a cancelled job to be stopped, and requests the commands.
     fn stop_cancelled_job(&mut self, job_idx: JobIdx) {
         self.cancelled_on_machines.insert(job_idx);
         self.commands.request_commands_on(self.attempts.of_job(job_idx).machines());
--- a/crates/gladekeel-controller/src/leader/reconciliation/mod.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/mod.rs
@@ -1,9 +1,10 @@
-//! Reconciliation of the observed with the desired state.
+//! Reconciliation of the observed state with the desired state.
 //!
-//! The desired state is the jobs in the store and the assignments that are committed in the
-//! assignment log; workers' heartbeats say what runs. Their differences give the commands to
-//! workers and the releases of attempts. An attempt is released only when there is proof
-//! that it is off its machine ("A task is on one machine at most" in `docs/safety.md`).
+//! The desired state consists of the jobs in the store and the assignments committed in the
+//! assignment log. The observed state comes from the workers' heartbeats. Where the two differ,
+//! the leader sends commands to workers or releases attempts. An attempt is released only once
+//! there is proof that its task is off the machine ("A task is on one machine at most" in
+//! `docs/safety.md`).
 
 pub(in crate::leader) mod attempts;
 pub(in crate::leader) mod heartbeat;
--- a/crates/gladekeel-controller/src/leader/reconciliation/release.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/release.rs
@@ -1,14 +1,17 @@
-//! The release of an attempt: proven to be off its machine, then committed, then removed.
+//! The release of an attempt, in three steps: the attempt is proven to be off its machine, the
+//! release is committed, and the attempt is removed.
 //!
-//! An attempt goes on to hold its resources until its release is committed in the assignment
-//! log, so that a leader that follows cannot count them as free before this one does.
+//! An attempt holds its resources until its release is committed in the assignment log. Otherwise
+//! this leader could reuse resources that its successor, which reads the log, still counts as
+//! used.
 
 use crate::leader::{AssignmentPhase, Attempt, AttemptId, AttemptOutcome, Leader, StopReason};
 use gladekeel_sched::{DenseIndex, JobIdx};
 
 impl Leader {
-    /// Records the proof that an attempt is off its machine. Its release goes into the next
-    /// commit. Does nothing unless the attempt is committed and not being released.
+    /// Starts the release of an attempt that the caller has proven to be off its machine. The
+    /// release is added to the pending writes of the assignment log. Does nothing unless the
+    /// attempt is in the `Committed` phase.
     pub(in crate::leader) fn release(&mut self, id: AttemptId, outcome: AttemptOutcome) {
         let released = self.attempts.update(id, |attempt| {
             let is_committed = attempt.phase == AssignmentPhase::Committed;
@@ -30,8 +33,9 @@
         }
     }
 
-    /// Applies to a gang that one of its tasks has ended. Its tasks complete together, so one
-    /// that is done shows that all are. Else a gang that has begun to run restarts.
+    /// Applies the outcome of one task to its gang. The tasks of a gang complete together, so one
+    /// completed task shows that all tasks are complete. After any other outcome, the gang is
+    /// restarted if it has started.
     fn apply_outcome_to_gang(&mut self, job_idx: JobIdx, outcome: AttemptOutcome) {
         let Some(job) = self.jobs.get_mut(&job_idx).filter(|job| job.is_gang()) else { return };
         if outcome == AttemptOutcome::Done {
@@ -45,7 +49,7 @@
         }
     }
 
-    /// Has the final state of a job committed if all of its tasks are done.
+    /// Queues the final state of a job for commit if all of its tasks are done.
     fn finish_job_if_done(&mut self, job_idx: JobIdx) {
         let Some(job) = self.jobs.get(&job_idx) else { return };
         if job.done.count() == job.spec.tasks && job.final_state.is_none() {
@@ -53,8 +57,8 @@
         }
     }
 
-    /// Removes an attempt and frees its resources: its release is committed, or its assignment
-    /// never was.
+    /// Removes an attempt and frees its resources. The caller must know that the release of the
+    /// attempt is committed, or that its assignment never was.
     pub(in crate::leader) fn remove_attempt(
         &mut self,
         id: AttemptId,
@@ -69,8 +73,8 @@
         self.timers.request_cycle();
     }
 
-    /// Requeues the task unless it is done, and has a final job cleared from the log once
-    /// nothing of it is left on any machine.
+    /// Requeues the task of a removed attempt unless the task is done. If the job has a final
+    /// state and this was its last attempt, queues the job's key for removal from the store.
     fn apply_removal_to_job(&mut self, attempt: &Attempt, outcome: AttemptOutcome, now: f64) {
         let Some(job) = self.jobs.get_mut(&attempt.job) else { return };
         self.teams[job.team.position()].used -= attempt.resources;
--- a/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
@@ -1,21 +1,22 @@
-//! The exit of a task: what it means for the job, the machine and the gang.
+//! Handling of task exits: the effects on the job, the machine and the gang.
 //!
-//! Reconciliation calls this when a worker reports that a task has exited, which is the proof
-//! that its attempt is off the machine.
+//! Reconciliation calls this module when a worker reports that a task has exited. That report is
+//! the proof that the attempt is off the machine.
 
 use crate::leader::{AttemptId, AttemptOutcome, Leader, StopReason, machine::DeletionReason};
 use gladekeel_sched::{JobIdx, MachineIdx};
 use gladekeel_wire::job::JobKind;
 use gladekeel_wire::worker::{ExitCause, TaskStatus};
 
-/// Pause before a service that has exited by itself is started again, in seconds.
+/// Delay in seconds before a service that exited by itself is restarted.
 const SERVICE_RESTART_PAUSE_S: f64 = 1.0;
-/// Weight of a new run in the moving average that corrects the estimates of a class.
+/// Weight of a new run in the moving average that corrects the run time estimates of a job class.
 const RUN_TIME_RATIO_WEIGHT: f64 = 0.1;
-/// Bounds of the ratio of a run time to its estimate.
+/// Lower bound of the ratio of a run time to its estimate.
 const MIN_RUN_TIME_RATIO: f64 = 0.1;
+/// Upper bound of the ratio of a run time to its estimate.
 const MAX_RUN_TIME_RATIO: f64 = 10.0;
-/// Shorter estimates count as this long, in seconds.
+/// Lower bound in seconds of the estimate that a run time is divided by.
 const MIN_ESTIMATE_S: f64 = 0.1;
 
 /// The attempt of a task that has exited.
@@ -23,14 +24,16 @@
 struct ExitedAttempt {
     job: JobIdx,
     machine: MachineIdx,
+    /// Why the leader was stopping the attempt; `None` if the leader was not stopping it.
     stop_reason: Option<StopReason>,
-    /// How long it ran, in seconds. Unknown for an attempt of an earlier leader, since its
-    /// start was not seen: its run would look short, and others of its job slow.
+    /// How long the task ran, in seconds; `None` if it was never seen running, or if an earlier
+    /// leader assigned the attempt. This leader did not see such an attempt start, so the run
+    /// would look too short, and other tasks of the job would look slow by comparison.
     run_s: Option<f64>,
 }
 
 impl Leader {
-    /// Applies the exit of a task that its machine reports, and releases its attempt.
+    /// Applies the exit of a task as reported by its machine, and releases the attempt.
     pub(super) fn apply_task_exit(&mut self, now: f64, id: AttemptId, status: &TaskStatus) {
         let Some(attempt) = self.attempts.get(id) else { return };
         let run_started_at = attempt.running_since.filter(|_| !attempt.recovered);
@@ -40,9 +43,9 @@
             stop_reason: attempt.stop_reason,
             run_s: run_started_at.map(|started_at| now - started_at),
         };
-        let is_known = self.jobs.contains_key(&exited.job)
+        let job_and_machine_exist = self.jobs.contains_key(&exited.job)
             && self.cluster.machines.contains_key(&exited.machine);
-        if !is_known {
+        if !job_and_machine_exist {
             return;
         }
         let outcome = self.handle_exit(now, exited, status);
@@ -58,7 +61,7 @@
         self.release(id, outcome);
     }
 
-    /// Handles the cause of an exit. Returns what becomes of the task.
+    /// Handles an exit according to its cause. Returns the outcome of the attempt.
     fn handle_exit(
         &mut self,
         now: f64,
@@ -91,7 +94,7 @@
     fn handle_completion(&mut self, now: f64, exited: ExitedAttempt) -> AttemptOutcome {
         let Some(job) = self.jobs.get_mut(&exited.job) else { return AttemptOutcome::Requeued };
         if job.spec.kind == JobKind::Service {
-            // A service is done only when it is cancelled.
+            // A service runs until it is cancelled, so it is restarted after each exit.
             job.backoff.hold_until(now + SERVICE_RESTART_PAUSE_S);
             return AttemptOutcome::Requeued;
         }
@@ -105,8 +108,8 @@
         AttemptOutcome::Done
     }
 
-    /// Records the run time of a completed task, for its job and for the estimates of its
-    /// class.
+    /// Records the run time of a completed task in the history of its job and in the moving
+    /// average for the job's class.
     fn record_run_time(&mut self, job_idx: JobIdx, run_s: f64) {
         let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         job.record_run_time(run_s);
@@ -117,8 +120,8 @@
         *average += (ratio - *average) * RUN_TIME_RATIO_WEIGHT;
     }
 
-    /// Handles a task that has failed: the job is to blame if its tasks fail on every machine,
-    /// else the machine is.
+    /// Handles the failure of a task. The job is considered faulty if its tasks fail on every
+    /// machine; otherwise the failure counts against the machine.
     fn handle_failure(&mut self, now: f64, exited: ExitedAttempt) {
         self.cluster.counters.failures += 1;
         let other_attempts = self.attempts.of_job(exited.job).unfinished();
@@ -136,7 +139,8 @@
         }
     }
 
-    /// Pauses a job that fails on every machine, and clears the machines of its failures.
+    /// Backs off a job that fails on every machine, and clears the failures of the machines on
+    /// which it failed.
     fn back_off_faulty_job(&mut self, now: f64, job_idx: JobIdx) {
         let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         job.backoff.back_off(now);
@@ -148,7 +152,8 @@
         tracing::info!(job = %job.id, failures = job.backoff.failures(), "job backs off");
     }
 
-    /// Counts a failure against a machine, which is replaced when it fails too often.
+    /// Counts a task failure against a machine, and marks the machine for deletion if tasks fail
+    /// on it too often.
     fn record_machine_failure(&mut self, now: f64, machine_idx: MachineIdx) {
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
         if machine.quarantine.record_failure(now) {
