--- a/crates/gladekeel-controller/src/leader/commands/mod.rs
+++ b/crates/gladekeel-controller/src/leader/commands/mod.rs
@@ -1,13 +1,15 @@
-//! Commands that go to a worker at once, instead of with the response to its next heartbeat.
+//! Direct commands: commands that are sent to a worker at once, instead of with the response to
+//! its next heartbeat.
 //!
-//! Concerns ask the [queue](queue::CommandQueue) for commands to a machine, or for a probe of it,
-//! when something about it has changed. The node then takes [requests](request::WorkerRequest)
-//! while it has sockets for them, and hands back their [outcomes](outcome::WorkerOutcome). Which
-//! commands a request contains is only decided when it is built, so that asking twice, or for a
-//! machine that is due nothing, does no harm.
+//! When something about a machine has changed, other modules of the leader add the machine to the
+//! [queue](queue::CommandQueue), for commands or for a probe. The node takes
+//! [requests](request::WorkerRequest) while it has sockets for them, and returns their
+//! [outcomes](outcome::WorkerOutcome). The commands of a request are chosen only when the request
+//! is built. Adding a machine twice, or a machine for which no command is due, therefore has no
+//! effect.
 //!
 //! Upholds "Direct commands" of `docs/safety.md`: a start that got no response may be executed at
-//! any later time while fencing token and incarnation match. Until that is
+//! any later time while fencing token and incarnation match. Until such a start is
 //! [settled](unsettled_starts), its attempt is neither released for being absent nor forgotten.
 
 mod outcome;
--- a/crates/gladekeel-controller/src/leader/commands/outcome.rs
+++ b/crates/gladekeel-controller/src/leader/commands/outcome.rs
@@ -1,4 +1,4 @@
-//! What the outcome of a request tells of a worker.
+//! Handling of the outcomes of requests to workers.
 
 use super::WorkerRequest;
 use crate::leader::{
@@ -8,24 +8,27 @@
 use gladekeel_sched::MachineIdx;
 use gladekeel_wire::worker::{Heartbeat, TaskStatus};
 
-/// For so long after this node has lagged, missing responses do not count against machines.
+/// How long after this node has lagged a missing response does not count against a machine, in
+/// seconds.
 const LAG_GRACE_S: f64 = 3.0;
 
-/// What came of a request to a worker.
+/// The outcome of a request to a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WorkerOutcome {
-    /// Executed; the heartbeat was made afterwards.
+    /// The worker executed the request, and built this heartbeat afterwards.
     Done(Heartbeat),
-    /// Refused by the worker: another incarnation, or a higher fencing token.
+    /// The worker refused the request because its incarnation differs, or because it has seen a
+    /// higher fencing token.
     NotExecuted,
-    /// The worker was not reached: it has not received the request and never will.
+    /// The worker was not reached: it has not received the request, and never will.
     NotSent,
-    /// No response: it may have been executed, or still be.
+    /// There was no response. The worker may have executed the request, or may still execute it.
     Unknown,
 }
 
 impl Leader {
-    /// Applies the outcome of a request that [`Leader::next_worker_request`] has returned.
+    /// Applies the outcome of a request that [`Leader::next_worker_request`] returned. Ignores the
+    /// outcome if the request was built under another fencing token.
     pub fn worker_answered(&mut self, now: f64, request: &WorkerRequest, outcome: &WorkerOutcome) {
         if request.token != self.token {
             return;
@@ -38,23 +41,24 @@
         self.settle_starts(now, request, outcome);
         match outcome {
             WorkerOutcome::Done(heartbeat) => self.on_response(now, request.machine, heartbeat),
-            WorkerOutcome::NotExecuted => self.on_refusal_to_execute(request.machine),
+            WorkerOutcome::NotExecuted => self.on_refusal(request.machine),
             WorkerOutcome::NotSent | WorkerOutcome::Unknown => {
-                self.resend_stops(request.machine);
+                self.mark_stops_unsent(request.machine);
                 self.on_no_response(now, request.machine);
             }
         }
     }
 
-    /// A refusal is a response: the worker receives what is sent to it.
-    fn on_refusal_to_execute(&mut self, machine_idx: MachineIdx) {
+    /// Records that a worker refused a request. The refusal is a response, which shows that the
+    /// worker receives messages.
+    fn on_refusal(&mut self, machine_idx: MachineIdx) {
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
         machine.liveness.record_refusal();
     }
 
-    /// Marks the stops of a machine as not sent. Those in the request may be lost, and the
-    /// heartbeat that would have them repeated may never come.
-    fn resend_stops(&mut self, machine_idx: MachineIdx) {
+    /// Marks the stops for a machine as not sent, so that they are retried. The stops in the
+    /// request may be lost, and the heartbeat whose response would retry them may never arrive.
+    fn mark_stops_unsent(&mut self, machine_idx: MachineIdx) {
         let Some(machine) = self.cluster.machines.get(&machine_idx) else { return };
         for id in machine.attempts() {
             if self.attempts.get(*id).is_some_and(|attempt| attempt.stop_reason.is_some()) {
@@ -64,7 +68,8 @@
         }
     }
 
-    /// Counts a request that had no response against its machine, unless this node was late itself.
+    /// Counts a request without a response against its machine, unless this node has lagged and may
+    /// itself have caused the timeout.
     fn on_no_response(&mut self, now: f64, machine_idx: MachineIdx) {
         if self.timers.lagged_within(LAG_GRACE_S, now) {
             return;
@@ -80,9 +85,9 @@
         }
     }
 
-    /// Applies the heartbeat with which a worker has responded.
+    /// Applies the heartbeat with which a worker responded to a request.
     fn on_response(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
-        // An address may by now be another machine's.
+        // The address may belong to another machine by now.
         let sender = self.cluster.machine_names.get(heartbeat.machine.as_str());
         if sender != Some(machine_idx) {
             return;
@@ -95,15 +100,16 @@
         }
     }
 
-    /// Records that a machine was reached and receives what is sent to it.
+    /// Records that a machine was reached and receives messages.
     fn record_response(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
         machine.liveness.record_probe_answer(now, heartbeat.incarnation);
         machine.acknowledgements.confirm();
     }
 
-    /// Applies the states of the tasks that a response lists. Those that it lacks prove nothing,
-    /// since responses to heartbeats may still be under way and start them.
+    /// Applies the statuses of the tasks that a response lists. A task that is missing from the
+    /// response is not proven to be absent, since a response to a heartbeat may still be in transit
+    /// and start the task.
     fn apply_listed_tasks(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
         for status in &heartbeat.tasks {
             let id = self.attempt_id(status);
@@ -113,7 +119,8 @@
         }
     }
 
-    /// Whether a listed task is the one that the leader has assigned under this id.
+    /// Whether a reported task is the one that the leader assigned to this machine and incarnation
+    /// under this attempt id.
     fn is_assigned_to(
         &self,
         id: AttemptId,
--- a/crates/gladekeel-controller/src/leader/commands/request.rs
+++ b/crates/gladekeel-controller/src/leader/commands/request.rs
@@ -1,4 +1,4 @@
-//! Which commands a machine is due, and the requests that carry them.
+//! Selection of the commands that are due for a machine, and the requests that carry them.
 
 use crate::leader::{Attempt, AttemptId, Leader, Machine, StopReason};
 use gladekeel_sched::MachineIdx;
@@ -8,38 +8,39 @@
 };
 use std::collections::BTreeSet;
 
-/// A request to a worker, to which it responds with a heartbeat.
+/// A request to a worker. The worker responds with a heartbeat.
 #[derive(Debug, Clone)]
 pub struct WorkerRequest {
     /// The worker's address.
     pub addr: String,
-    /// The commands; `None` for a probe, which only asks for the heartbeat.
+    /// The commands; `None` for a probe, which only requests the heartbeat.
     pub body: Option<DirectCommands>,
-    /// The fencing token under which it was built. Outcomes under an older one say nothing.
+    /// The fencing token under which the request was built. The outcome is ignored if the leader
+    /// has a newer token when the outcome arrives.
     pub(super) token: u64,
     pub(super) machine: MachineIdx,
-    /// The attempts that it starts.
+    /// The attempts that the request starts.
     pub(super) starts: Vec<AttemptId>,
 }
 
 impl WorkerRequest {
-    /// Whether it carries no commands.
+    /// Whether the request is a probe, which carries no commands.
     pub(super) fn is_probe(&self) -> bool {
         self.body.is_none()
     }
 }
 
-/// Commands that a machine is due.
+/// Commands that are due for a machine.
 #[derive(Default)]
 struct DueCommands {
     commands: Vec<Command>,
-    /// The attempts that they start.
+    /// The attempts that the commands start.
     starts: Vec<AttemptId>,
 }
 
 impl Leader {
-    /// The next request to a worker, if one is due: commands first, then probes. With `may_start`
-    /// false, as long as nothing new may be started, it contains no starts.
+    /// Returns the next request to a worker, if one is due: commands first, then probes. The caller
+    /// sets `may_start` to false while no task may be started; the request then contains no starts.
     pub fn next_worker_request(&mut self, now: f64, may_start: bool) -> Option<WorkerRequest> {
         for gang in self.commands.take_gangs() {
             self.commands.request_commands_on(self.attempts.of_job(gang).machines());
@@ -74,8 +75,9 @@
         })
     }
 
-    /// The commands that a machine is due now, if it is due any and takes requests. A silent one
-    /// is left to the failure detector: the request would hang.
+    /// Builds the request with the commands that are due for a machine. Returns `None` if no
+    /// command is due or the machine cannot be sent a request now. A silent machine is left to the
+    /// failure detector, since a request to it would hang.
     fn command_request(
         &mut self,
         now: f64,
@@ -100,7 +102,7 @@
         let machine = self.cluster.machines.get_mut(&machine_idx)?;
         if commands.is_empty() {
             if machine.acknowledgements.missed() > 0 && !machine.deletion.is_planned() {
-                // The probe shows whether it receives anything at all.
+                // The probe shows whether the machine receives any messages at all.
                 self.commands.request_probe(machine_idx);
             }
             return None;
@@ -112,7 +114,8 @@
         Some(WorkerRequest { addr, body, token, machine: machine_idx, starts })
     }
 
-    /// The commands due for the attempts on a machine: stops and, with `may_start`, starts.
+    /// Returns the commands that are due for the attempts on a machine: stops and, if `may_start`
+    /// is true, starts.
     fn due_commands(
         &mut self,
         attempts: BTreeSet<AttemptId>,
@@ -131,12 +134,13 @@
         due
     }
 
-    /// The stop of an attempt that is to stop and has not been sent one; counts it as sent.
+    /// Returns the stop for an attempt that has a stop reason and has not been sent a stop. Counts
+    /// the stop as sent.
     fn due_stop(&mut self, id: AttemptId, incarnation: u64) -> Option<Command> {
         let attempt =
             self.attempts.get(id).filter(|attempt| attempt.is_committed_in(incarnation))?;
         let reason = attempt.stop_reason?;
-        if attempt.stops_sent > 0 || !takes_stop(attempt.reported_state?, reason) {
+        if attempt.stops_sent > 0 || !needs_stop(attempt.reported_state?, reason) {
             return None;
         }
         let task = self.task_id(attempt);
@@ -145,8 +149,8 @@
         Some(Command::Stop { task, attempt: self.reported_attempt(id), grace_s })
     }
 
-    /// The start of an attempt that is committed, a gang's with all of its others, and has not
-    /// been sent one; counts it as sent.
+    /// Returns the start for a committed attempt that has not been sent a start. A gang task is
+    /// started only once all assignments of its gang are committed. Counts the start as sent.
     fn due_start(&mut self, id: AttemptId, incarnation: u64) -> Option<Command> {
         let attempt =
             self.attempts.get(id).filter(|attempt| attempt.is_committed_in(incarnation))?;
@@ -154,8 +158,8 @@
             return None;
         }
         let job = &self.jobs[&attempt.job];
-        let is_incomplete = job.is_gang() && self.attempts.of_job(attempt.job).uncommitted() > 0;
-        if job.is_finished() || is_incomplete {
+        let is_uncommitted = job.is_gang() && self.attempts.of_job(attempt.job).uncommitted() > 0;
+        if job.is_finished() || is_uncommitted {
             return None;
         }
         let task = self.task_id(attempt);
@@ -169,19 +173,21 @@
 }
 
 impl Machine {
-    /// Whether starts may be sent to it: it stays, and acknowledges what it receives.
+    /// Whether starts may be sent to the machine: it is not leaving the cluster, and it
+    /// acknowledges the messages that it receives.
     fn may_receive_starts(&self) -> bool {
         !self.is_leaving() && self.acknowledgements.missed() == 0
     }
 }
 
-/// Whether a task in this state is to be sent a stop for this reason.
-fn takes_stop(state: TaskState, reason: StopReason) -> bool {
+/// Whether a task in this state must be sent a stop for this reason.
+fn needs_stop(state: TaskState, reason: StopReason) -> bool {
     match state {
-        // A fetch goes on to its end, so that the gang's next attempt finds the image.
+        // The image fetch is left to complete, so that the next attempt of the gang finds the
+        // image on the machine.
         TaskState::Fetching => reason != StopReason::GangIncomplete,
         TaskState::Waiting | TaskState::Running => true,
-        // It is stopping already; only a cancellation leaves it no time to save.
+        // The task is stopping already. Only a cancellation leaves it no time to save its progress.
         TaskState::Saving => reason == StopReason::Cancelled,
         TaskState::Exited | TaskState::Other => false,
     }
--- a/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
+++ b/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
@@ -1,32 +1,39 @@
-//! Starts that had no response, until it is certain that they can no longer be executed.
+//! Tracking of starts that had no response, until it is certain that they can no longer be
+//! executed.
 //!
-//! A worker may execute an unanswered start at any later time while its fencing token and
-//! incarnation match. A newer incarnation, the machine's deletion and a new token settle it; the
-//! last one once the machine sends a heartbeat under it.
+//! A worker may execute such a start at any later time while its fencing token and incarnation
+//! match. The start is settled by a newer incarnation of the worker, by the deletion of the
+//! machine, or by a new token once the machine has sent a heartbeat under that token.
 
 use super::{WorkerOutcome, WorkerRequest};
 use crate::leader::{Leader, Machine};
 
-/// After this time an unanswered start is settled by a new token.
+/// How long a start may be without a response before a new token is required to settle it, in
+/// seconds.
 const UNSETTLED_START_S: f64 = 15.0;
-/// The same if its job is cancelled: it must never start.
+/// How long a start of a cancelled job may be without a response before a new token is required,
+/// in seconds. The limit is shorter because the task must never start.
 const UNSETTLED_CANCELLED_START_S: f64 = 1.0;
-/// A machine whose deletion was requested is given this long to settle its starts by going.
-const DELETION_SETTLES_S: f64 = 2.0 * UNSETTLED_START_S;
+/// How long after a start was found to have no response a requested deletion of its machine may
+/// still settle the start, in seconds. No new token is required meanwhile.
+const DELETION_TIMEOUT_S: f64 = 2.0 * UNSETTLED_START_S;
 
 impl Machine {
-    /// Whether a start that has been unanswered `since` needs a new token to be settled.
+    /// Whether a new token is required to settle a start that has been without a response since
+    /// `since`. `is_wanted` is false if the task must never start.
     fn needs_new_token(&self, now: f64, since: f64, is_wanted: bool) -> bool {
-        // A heartbeat under the new token is what settles it: without heartbeats there is none.
+        // Only a heartbeat under the new token settles the start. A machine that sends no
+        // heartbeats gains nothing from a new token.
         let sends_heartbeats = self.liveness.silent_since() > since;
-        let settled_by_deletion = self.deletion.is_requested() && now - since < DELETION_SETTLES_S;
+        let deletion_may_settle = self.deletion.is_requested() && now - since < DELETION_TIMEOUT_S;
         let limit_s = if is_wanted { UNSETTLED_START_S } else { UNSETTLED_CANCELLED_START_S };
-        sends_heartbeats && !settled_by_deletion && now - since > limit_s
+        sends_heartbeats && !deletion_may_settle && now - since > limit_s
     }
 }
 
 impl Leader {
-    /// Settles the starts of a request that has an outcome, or notes that they had no response.
+    /// Settles the starts of a request whose outcome is known, or records that the starts had no
+    /// response.
     pub(super) fn settle_starts(
         &mut self,
         now: f64,
@@ -44,8 +51,8 @@
         }
     }
 
-    /// Whether an unanswered start needs a new token: its job is cancelled, so that it must
-    /// never be executed, or it has been unanswered for long.
+    /// Whether any start without a response requires a new token: it has had none for a long time,
+    /// or for a short time if its job is cancelled and the start must never be executed.
     pub(in crate::leader) fn unsettled_start_needs_new_token(&mut self, now: f64) -> bool {
         let mut needs_new_token = false;
         self.commands.retain_unsettled_starts(|machine_idx| {
--- a/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
@@ -226,8 +226,8 @@
     }
 }
 
-/// Sorts the commands of a response, stops and forgets before starts, and drops those beyond
-/// [`MAX_COMMANDS`]. Dropped commands are retried with the next response.
+/// Sorts the commands of a response into immediate stops, graceful stops, forgets and starts, and
+/// drops those beyond [`MAX_COMMANDS`]. Dropped commands are retried with the next response.
 fn limit_commands(commands: &mut Vec<Command>) {
     commands.sort_by_key(|command| match command {
         Command::Stop { grace_s, .. } => u8::from(*grace_s > 0.0),
--- a/crates/gladekeel-controller/src/leader/reconciliation/release.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/release.rs
@@ -35,7 +35,7 @@
 
     /// Applies the outcome of one task to its gang. The tasks of a gang complete together, so one
     /// completed task shows that all tasks are complete. After any other outcome, the gang is
-    /// restarted if it has started.
+    /// restarted if it has started and is not finished.
     fn apply_outcome_to_gang(&mut self, job_idx: JobIdx, outcome: AttemptOutcome) {
         let Some(job) = self.jobs.get_mut(&job_idx).filter(|job| job.is_gang()) else { return };
         if outcome == AttemptOutcome::Done {
