--- a/crates/gladekeel-controller/src/leader/assignment_log/commit.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/commit.rs
@@ -1,8 +1,9 @@
-//! Sending the leader's transactions, and what their outcomes change.
+//! Building of the leader's transactions, and handling of their outcomes.
 //!
-//! The leader's picture follows what is committed, never what was only sent. A transaction
-//! without an outcome may be executed at any later time: the leader then asks for a new token,
-//! which makes it fail if it has not been executed by then, and replays the log.
+//! The leader's state reflects only committed transactions, never a transaction that was merely
+//! sent. A transaction without an outcome may be executed at any later time. In that case the
+//! leader requires a new token, which makes the transaction fail if it has not been executed by
+//! then, and replays the log.
 
 use super::writer::{CommitMarker, InFlightSegment, InFlightTransaction, LeaderRecords};
 use crate::{
@@ -18,7 +19,8 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// The next transaction, if one is due. None is as long as a new token is awaited.
+    /// Returns the next transaction, if one is due. No transaction is due while a new token is
+    /// required.
     pub fn next_commit(&mut self, now: f64, budget: &mut TokenBucket) -> Option<Transaction> {
         if self.token_renewal.is_required() {
             return None;
@@ -32,7 +34,8 @@
         self.log_writer.next_transaction(now, self.token, records, budget)
     }
 
-    /// Makes the slots of the oldest segments reusable, as far as they hold no newest record.
+    /// Makes the slots of the oldest segments reusable, up to the first segment that still holds
+    /// the newest record of an attempt or of a job's progress.
     pub(in crate::leader) fn reclaim_log_slots(&mut self) {
         let records = LeaderRecords {
             jobs: &self.jobs,
@@ -43,13 +46,14 @@
         self.log_writer.reclaim_slots(records);
     }
 
-    /// What to look for in the store to learn whether the transaction in flight was committed.
+    /// Returns the key and text that are in the store if and only if the transaction in flight was
+    /// committed. `None` if no transaction is in flight, or if it contains no segment.
     pub fn commit_marker(&self) -> Option<&CommitMarker> {
         self.log_writer.commit_marker()
     }
 
-    /// Applies the outcome of the transaction in flight. Returns whether the store should be read
-    /// at once.
+    /// Applies the outcome of the transaction in flight. Returns whether the caller should read the
+    /// store at once.
     pub fn commit_answered(&mut self, now: f64, outcome: &StoreOutcome) -> bool {
         let Some(transaction) = self.log_writer.take_in_flight() else { return false };
         match outcome {
@@ -61,8 +65,8 @@
                 self.log_writer.roll_back(now, transaction);
                 false
             }
-            // A commit puts nothing on a lease, so what was refused is its size: the limits are
-            // lower than the settings say.
+            // A commit attaches no key to a lease, so this outcome means that the store refused the
+            // transaction as too large: the store's limits are lower than the settings say.
             StoreOutcome::LeaseNotFound => {
                 self.log_writer.roll_back_oversized(now, transaction);
                 false
@@ -85,25 +89,25 @@
         self.cluster.counters.commits += 1;
         self.cluster.counters.writes += transaction.writes as u64;
         for job in &transaction.completed_jobs {
-            self.final_state_committed(now, *job);
+            self.apply_final_state_commit(now, *job);
         }
         for job in &transaction.removed_jobs {
             self.jobs.remove(job);
         }
         for segment in &transaction.segments {
-            self.segment_committed(segment);
+            self.record_segment_commit(segment);
         }
         for id in &transaction.proposed {
-            self.assignment_committed(*id);
+            self.apply_assignment_commit(*id);
         }
         for id in &transaction.released {
-            self.release_committed(now, *id);
+            self.apply_release_commit(now, *id);
         }
-        self.log_writer.committed(transaction, revision);
+        self.log_writer.apply_commit(transaction, revision);
         self.reclaim_log_slots();
     }
 
-    fn final_state_committed(&mut self, now: f64, job_idx: JobIdx) {
+    fn apply_final_state_commit(&mut self, now: f64, job_idx: JobIdx) {
         let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         job.final_state = Some(JobState::Done);
         if self.attempts.of_job(job_idx).is_empty() {
@@ -118,8 +122,9 @@
         );
     }
 
-    /// Remembers that a segment now has the newest record of what it contains.
-    fn segment_committed(&mut self, committed: &InFlightSegment) {
+    /// Records that a committed segment holds the newest record of its assignments and of the
+    /// progress pages that it contains in whole.
+    fn record_segment_commit(&mut self, committed: &InFlightSegment) {
         let sequence = committed.segment.sequence;
         for id in &committed.segment.attempts {
             self.attempts.update(*id, |attempt| attempt.segment = sequence);
@@ -131,8 +136,9 @@
         }
     }
 
-    /// An assignment is in the log: its task may be sent out, a gang's once all of it is.
-    fn assignment_committed(&mut self, id: AttemptId) {
+    /// Applies the commit of an assignment. The task may now be started; a gang task only once the
+    /// whole gang is committed.
+    fn apply_assignment_commit(&mut self, id: AttemptId) {
         let committed = self.attempts.update(id, |attempt| {
             attempt.phase = AssignmentPhase::Committed;
             (attempt.job, attempt.machine)
@@ -146,32 +152,34 @@
         }
     }
 
-    fn release_committed(&mut self, now: f64, id: AttemptId) {
+    fn apply_release_commit(&mut self, now: f64, id: AttemptId) {
         let phase = self.attempts.get(id).map(|attempt| attempt.phase);
         if let Some(AssignmentPhase::Releasing(outcome)) = phase {
             self.remove_attempt(id, outcome, now);
         }
     }
 
-    /// Drops proposals that are not in flight. A gang is placed whole or not at all: the rest of
-    /// it is withdrawn too, and what is committed of it is stopped.
+    /// Withdraws the proposals among these attempts that are not in flight. A gang is placed as a
+    /// whole or not at all: if one of its attempts is to be withdrawn, its other proposals are
+    /// withdrawn too, and its committed attempts are stopped.
     pub(in crate::leader) fn withdraw(&mut self, ids: &[AttemptId], now: f64) {
         let mut gangs = BTreeSet::new();
         for id in ids {
             let Some(job_idx) = self.attempts.get(*id).map(|attempt| attempt.job) else { continue };
             if !self.jobs.get(&job_idx).is_some_and(Job::is_gang) {
-                self.withdraw_one(*id, now);
+                self.withdraw_proposal(*id, now);
             } else if gangs.insert(job_idx) {
                 self.stop_gang(job_idx, StopReason::GangRestart);
-                self.withdraw_one(*id, now);
+                self.withdraw_proposal(*id, now);
                 for other in self.attempts.ids_of_job(job_idx) {
-                    self.withdraw_one(other, now);
+                    self.withdraw_proposal(other, now);
                 }
             }
         }
     }
 
-    fn withdraw_one(&mut self, id: AttemptId, now: f64) {
+    /// Removes an attempt if it is only proposed and its proposal is not in flight.
+    fn withdraw_proposal(&mut self, id: AttemptId, now: f64) {
         let phase = self.attempts.get(id).map(|attempt| attempt.phase);
         if phase == Some(AssignmentPhase::Proposed) && !self.log_writer.is_in_flight(id) {
             self.log_writer.pending().drop_proposal(id);
@@ -180,9 +188,9 @@
     }
 }
 
-/// Whether a conflict comes from keys that other nodes write for users and operators, such as a
-/// job that was cancelled meanwhile. Any other conflict means that the leader's picture of the
-/// store is wrong.
+/// Whether a conflict involves only keys that other nodes write for users and operators, for
+/// example because a job was cancelled concurrently. Any other conflict means that the leader's
+/// view of the store is wrong.
 fn is_concurrent_user_write(failed_keys: &[String]) -> bool {
     const WRITTEN_BY_OTHERS: [&str; 3] =
         [keys::FINAL_STATE_PREFIX, keys::JOB_PREFIX, keys::DRAIN_PREFIX];
--- a/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
@@ -1,9 +1,9 @@
-//! Replaying the log when a node begins to lead, or goes on under a new token.
+//! Replay of the log when a node becomes the leader, or continues to lead under a new token.
 //!
-//! The log must have been read under the leader's own token: from then on nobody else can change
-//! it, so pages that were read one after the other are one consistent picture. Segments are
-//! replayed by sequence number. An attempt that is assigned and not released counts as on its
-//! machine ("Reading" in `docs/safety.md`); every other task is on no machine.
+//! The log must have been read under the leader's own token. From then on no other node can change
+//! the log, so pages that were read one after the other form one consistent snapshot. Segments are
+//! replayed in the order of their sequence numbers. An attempt that is assigned and not released
+//! counts as on its machine ("Reading" in `docs/safety.md`); every other task is on no machine.
 
 use super::writer::{LiveSegment, ProgressPageRef, Slot};
 use crate::{
@@ -17,29 +17,30 @@
 use gladekeel_wire::JobId;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A slot of the log as it was read from the store.
+/// A slot of the log, as read from the store.
 #[derive(Debug, Clone)]
 pub struct LogRow {
     /// The number of the slot.
     pub slot: u32,
-    /// The version of its key.
+    /// The version of the slot's key.
     pub version: u64,
-    /// The text of its segment.
+    /// The encoded text of the segment in the slot.
     pub text: String,
 }
 
-/// A decoded segment and its slot.
+/// A decoded segment and the slot that stores it.
 #[derive(Debug)]
 pub(in crate::leader) struct StoredSegment {
     slot: Slot,
     segment: Segment,
 }
 
-/// Decodes the log and puts its segments in the order of their sequence numbers.
+/// Decodes the log and returns its segments in the order of their sequence numbers.
 ///
 /// # Errors
 ///
-/// If any segment is unreadable: without it a running task could be started again.
+/// Fails if any segment is unreadable: a running task could be started again if the segment were
+/// skipped.
 pub(in crate::leader) fn decode_log(
     rows: Vec<LogRow>,
 ) -> Result<Vec<StoredSegment>, UnreadableSegment> {
@@ -56,25 +57,26 @@
     Ok(StoredSegment { slot, segment })
 }
 
-/// Attempts that the log assigns and does not release.
+/// Attempts that the log assigns and does not release, by their ids.
 type UnreleasedAttempts = BTreeMap<AttemptId, LoggedAssignment>;
 
-/// An assignment, and the sequence number of the newest segment that records it.
+/// An assignment, and the sequence number of the newest segment that records the assignment.
 struct LoggedAssignment {
     assignment: Assignment,
     segment: u64,
 }
 
 impl Leader {
-    /// Rebuilds what is on which machine, and what is done, from the log. Only for a leader that
-    /// has all jobs of the store and no attempts yet. `segments` come from [`decode_log`].
+    /// Rebuilds the attempts on machines and the progress of jobs from the log. The caller must
+    /// have added all jobs of the store, and the leader must have no attempts yet. `segments` is
+    /// the result of [`decode_log`].
     pub(in crate::leader) fn replay(&mut self, segments: Vec<StoredSegment>, now: f64) {
         let mut unreleased = UnreleasedAttempts::new();
         for stored in segments {
             self.replay_segment(stored, &mut unreleased);
         }
         let assigned = self.restore_attempts(now, unreleased);
-        self.settle_jobs(&assigned);
+        self.resume_jobs(&assigned);
         self.reclaim_log_slots();
     }
 
@@ -97,8 +99,8 @@
         self.log_writer.restore_segment(live);
     }
 
-    /// Returns the page if its job is in the store. A job that is not is over, with all of its
-    /// tasks.
+    /// Applies a page of a job's progress. Returns a reference to the page, or `None` if the job is
+    /// not in the store; such a job is over, with all of its tasks.
     fn replay_progress_page(
         &mut self,
         progress: ProgressPage,
@@ -112,7 +114,8 @@
         Some(ProgressPageRef { job: job_idx, page })
     }
 
-    /// Returns the page whose progress the release records, if it records any.
+    /// Applies the progress that a release records. Returns a reference to the page that contains
+    /// the progress, or `None` if the release records none.
     fn replay_release(&mut self, release: &Release) -> Option<ProgressPageRef> {
         let (job_idx, job) = self.job_by_id(&release.job)?;
         let tasks = match release.outcome {
@@ -132,7 +135,8 @@
         Some((job_idx, self.jobs.get_mut(&job_idx)?))
     }
 
-    /// Puts the attempts back on their machines. Returns the tasks that have one, by job.
+    /// Restores the unreleased attempts on their machines. Returns the indices of the tasks that
+    /// have an attempt, by job.
     fn restore_attempts(
         &mut self,
         now: f64,
@@ -142,7 +146,8 @@
         for (id, logged) in unreleased {
             let LoggedAssignment { assignment, segment } = logged;
             let Some((job_idx, _)) = self.job_by_id(&assignment.job) else {
-                // Keys of jobs are removed only after their last attempt was released.
+                // This should not occur: the key of a job is removed only after the release of its
+                // last attempt.
                 tracing::error!(
                     job = %assignment.job,
                     machine = assignment.machine,
@@ -197,13 +202,14 @@
         );
     }
 
-    /// Works out for each job what is left to do, and stops what must not go on.
-    fn settle_jobs(&mut self, assigned: &HashMap<JobIdx, HashSet<u32>>) {
+    /// Restores the pending tasks and pending writes of each job, and stops the attempts that must
+    /// not continue.
+    fn resume_jobs(&mut self, assigned: &HashMap<JobIdx, HashSet<u32>>) {
         let mut done_attempts = Vec::new();
         let mut incomplete_gangs = Vec::new();
         for (job_idx, job) in &mut self.jobs {
             let has_attempts = !self.attempts.of_job(*job_idx).is_empty();
-            settle_tasks(job, assigned.get(job_idx));
+            restore_pending_tasks(job, assigned.get(job_idx));
             if job.done.count() == job.spec.tasks && job.final_state.is_none() {
                 self.log_writer.pending().add_completed_job(*job_idx);
             }
@@ -211,15 +217,15 @@
                 self.log_writer.pending().drop_removable_job(*job_idx);
             }
             if job.is_gang() && !job.is_finished() && has_attempts && !job.pending.is_empty() {
-                // Only a part of it was committed when its leader ended, or one of its tasks is
-                // gone already. The whole gang begins anew.
+                // Either only a part of the gang was committed when the earlier leader stopped, or
+                // a task of the gang has already been released. The whole gang is restarted.
                 incomplete_gangs.push(*job_idx);
             }
             for id in self.attempts.ids_of_job(*job_idx) {
                 self.attempts.update(id, |attempt| {
                     if job.done.contains(attempt.task_index) && !job.is_gang() {
-                        // Its completion was stored upon a report of its exit, which proves that
-                        // it is off its machine.
+                        // The completion was stored after the worker had reported the exit of the
+                        // task, which proves that the attempt is off its machine.
                         done_attempts.push(id);
                     } else if job.is_cancelled() {
                         attempt.stop_reason = Some(StopReason::Cancelled);
@@ -237,10 +243,10 @@
     }
 }
 
-/// Removes the tasks that are done or have an attempt from those that are pending.
-fn settle_tasks(job: &mut Job, assigned: Option<&HashSet<u32>>) {
+/// Removes the tasks that are done or have an attempt from the pending tasks of a job.
+fn restore_pending_tasks(job: &mut Job, assigned: Option<&HashSet<u32>>) {
     if job.is_gang() && job.done.count() > 0 {
-        // The tasks of a gang complete together, so one completion stands for all.
+        // The tasks of a gang complete together, so one completed task shows that all are complete.
         job.mark_all_done();
     }
     let Job { pending, done, .. } = job;
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
@@ -1,4 +1,4 @@
-//! Filling a transaction with pending changes, the most time-critical first.
+//! Filling of a transaction with pending changes, the most time-critical first.
 
 use super::{
     AssignmentLogWriter, LeaderRecords, NAMED_ASSIGNMENT_BYTES, RELEASE_ROW_BYTES,
@@ -15,11 +15,12 @@
 use gladekeel_sched::JobIdx;
 use gladekeel_wire::job::JobState;
 
-/// Live segments from which on the log is compacted.
+/// Number of live segments above which the log is compacted.
 const COMPACTION_THRESHOLD: usize = 256;
-/// A log whose records need many segments may be this many times as long as they need.
+/// If the live assignments need many segments, the log is compacted only above this multiple of
+/// the number of segments that they need.
 const COMPACTION_FACTOR: usize = 4;
-/// Segments that one transaction compacts at most.
+/// Maximum number of segments that one transaction compacts.
 const MAX_COMPACTED_SEGMENTS: usize = 3;
 
 /// Adds pending writes and copies of old records to a batch.
@@ -30,7 +31,7 @@
 }
 
 impl BatchBuilder<'_> {
-    /// Adds releases until they take about `max_bytes`. Returns whether all of them fit.
+    /// Adds pending releases until they take about `max_bytes`. Returns whether all of them fit.
     pub fn add_releases(&mut self, max_bytes: usize) -> bool {
         for id in &self.writer.pending.released {
             if self.batch.contents.released.len() * RELEASE_ROW_BYTES >= max_bytes {
@@ -43,11 +44,12 @@
         true
     }
 
+    /// Adds the release of an attempt. Returns whether it fits.
     fn add_release(&mut self, id: AttemptId) -> bool {
         let Some(attempt) = self.records.attempts.get(id) else { return true };
         let AssignmentPhase::Releasing(outcome) = attempt.phase else { return true };
         let job = self.records.job_names.name(attempt.job);
-        let Some(segment) = self.batch.segment_with_room(max_row_bytes(job, "")) else {
+        let Some(segment) = self.batch.segment_with_capacity(max_row_bytes(job, "")) else {
             return false;
         };
         segment.writer.push_release(job, attempt.task_index, id.logged(), outcome);
@@ -62,7 +64,7 @@
         true
     }
 
-    /// Adds proposed assignments. Returns whether all of them fit.
+    /// Adds the assignments of proposed attempts. Returns whether all of them fit.
     pub fn add_proposals(&mut self) -> bool {
         for id in &self.writer.pending.proposed {
             if !self.add_assignment(*id) {
@@ -73,11 +75,12 @@
         true
     }
 
+    /// Adds the assignment of an attempt. Returns whether it fits.
     fn add_assignment(&mut self, id: AttemptId) -> bool {
         let Some(attempt) = self.records.attempts.get(id) else { return true };
         let job = self.records.job_names.name(attempt.job);
         let machine = self.records.machine_names.name(attempt.machine);
-        let Some(segment) = self.batch.segment_with_room(max_row_bytes(job, machine)) else {
+        let Some(segment) = self.batch.segment_with_capacity(max_row_bytes(job, machine)) else {
             return false;
         };
         segment.writer.push_assignment(AssignmentRef {
@@ -91,12 +94,12 @@
         true
     }
 
-    /// Adds final states of completed jobs. Returns whether all of them fit.
+    /// Adds the final states of completed jobs. Returns whether all of them could be added.
     ///
-    /// A job's final state is committed with the last of its releases or later, so that no job
-    /// is called done before its last completion is stored.
+    /// The final state of a job is committed together with its last release or later, so that no
+    /// job is reported as done before its last completion is stored.
     pub fn add_final_states(&mut self) -> bool {
-        let mut all_fit = true;
+        let mut all_added = true;
         for job_idx in &self.writer.pending.completed_jobs {
             let Some(job) = self.records.jobs.get(job_idx) else { continue };
             if job.final_state.is_some() {
@@ -106,14 +109,14 @@
                 return false;
             }
             if !self.has_all_releases(*job_idx) {
-                all_fit = false;
+                all_added = false;
                 continue;
             }
             self.batch.require(keys::job(&job.id), job.version);
             self.batch.put(keys::final_state(&job.id), 0, &JobState::Done);
             self.batch.contents.completed_jobs.push(*job_idx);
         }
-        all_fit
+        all_added
     }
 
     /// Whether every pending release of a job is in the batch.
@@ -123,8 +126,8 @@
         ids.iter().filter(is_pending).all(|id| self.batch.contents.released.contains(id))
     }
 
-    /// Log compaction: if the log is long, copies what is still the newest record from its oldest
-    /// segments, so that their slots become reusable.
+    /// Compacts the log if it is too long: copies the records of the oldest segments that are still
+    /// the newest ones into new segments, so that the slots of the old segments become reusable.
     pub fn compact(&mut self) {
         let writer = self.writer;
         for segment in writer.slots.live().iter().take(self.segments_to_compact()) {
@@ -134,6 +137,7 @@
         }
     }
 
+    /// Returns how many of the oldest segments this transaction should compact.
     fn segments_to_compact(&self) -> usize {
         let live_bytes = self.records.attempts.len() * NAMED_ASSIGNMENT_BYTES;
         let live_segments = live_bytes / self.writer.limits.segment_capacity.max(1);
@@ -142,7 +146,8 @@
         excess.min(MAX_COMPACTED_SEGMENTS)
     }
 
-    /// Returns whether all of them fit.
+    /// Copies the assignments of an old segment that are still the newest records and are not about
+    /// to be released. Returns whether all of them fit.
     fn copy_assignments(&mut self, segment: &LiveSegment) -> bool {
         for id in &segment.attempts {
             let is_live = self.records.is_newest_assignment(segment.sequence, *id)
@@ -154,7 +159,8 @@
         true
     }
 
-    /// Returns whether all of it fits.
+    /// Copies the progress pages of an old segment that are still the newest records. Returns
+    /// whether all of them fit.
     fn copy_progress(&mut self, segment: &LiveSegment) -> bool {
         for page in &segment.progress_pages {
             let is_copied = self.batch.has_whole_page(*page);
@@ -168,9 +174,10 @@
         true
     }
 
+    /// Adds a whole page of a job's progress. Returns whether it fits.
     fn add_progress_page(&mut self, page: ProgressPageRef) -> bool {
         let Some(job) = self.records.jobs.get(&page.job) else { return true };
-        let Some(segment) = self.batch.segment_with_room(MAX_PROGRESS_PAGE_BYTES) else {
+        let Some(segment) = self.batch.segment_with_capacity(MAX_PROGRESS_PAGE_BYTES) else {
             return false;
         };
         let (done, restarted) = (job.done.page(page.page), job.restarted.page(page.page));
@@ -180,16 +187,16 @@
         true
     }
 
-    /// Adds what is not time-critical: machine types, and the removal of keys that nobody needs any
-    /// more.
+    /// Adds the writes that are not time-critical: machine types, and the removal of keys that are
+    /// no longer needed.
     pub fn add_housekeeping(&mut self) {
         self.add_machine_types();
         self.remove_drains();
         self.remove_jobs();
     }
 
-    /// Adds the machine types, all parts at once: a node that reads only some of them must not
-    /// reject a job as fitting no machine type.
+    /// Adds the machine types, with all of their parts in one transaction. A node that read only
+    /// some of the parts might otherwise reject a job because it fits none of the machine types.
     fn add_machine_types(&mut self) {
         let Some(types) = &self.writer.pending.machine_types else { return };
         let versions = &self.writer.versions.machine_types;
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/in_flight.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/in_flight.rs
@@ -1,48 +1,51 @@
-//! The transaction in flight.
+//! The contents of the transaction in flight.
 
 use super::slots::{LiveSegment, ProgressPageRef};
 use crate::leader::AttemptId;
 use gladekeel_sched::JobIdx;
 use std::collections::BTreeSet;
 
-/// What a transaction in flight contains.
+/// The contents of a transaction in flight.
 #[derive(Debug, Default)]
 pub(in crate::leader::assignment_log) struct InFlightTransaction {
-    /// Segments, in the order of their sequence numbers.
+    /// Segments that the transaction writes, in the order of their sequence numbers.
     pub segments: Vec<InFlightSegment>,
-    /// Proposals that it commits.
+    /// Proposed attempts whose assignments the transaction contains.
     pub proposed: BTreeSet<AttemptId>,
-    /// Releases that it commits.
+    /// Attempts whose releases the transaction contains.
     pub released: BTreeSet<AttemptId>,
-    /// Jobs that it gives their final state.
+    /// Completed jobs whose final state the transaction writes.
     pub completed_jobs: Vec<JobIdx>,
-    /// Jobs whose keys it removes.
+    /// Jobs whose keys the transaction removes.
     pub removed_jobs: Vec<JobIdx>,
-    /// Machines whose drain orders it removes.
+    /// Names of machines whose drain orders the transaction removes.
     pub removed_drains: Vec<String>,
-    /// In how many parts it stores the machine types, if it does.
+    /// Number of parts in which the transaction stores the machine types; `None` if it does not
+    /// store them.
     pub machine_type_parts: Option<u32>,
-    /// How many keys it writes or deletes.
+    /// Number of keys that the transaction writes or deletes.
     pub writes: usize,
-    /// What shows that it was committed.
+    /// The evidence in the store that the transaction was committed; `None` if the transaction
+    /// contains no segment.
     pub commit_marker: Option<CommitMarker>,
 }
 
 /// A segment in flight.
 #[derive(Debug, Default)]
 pub(in crate::leader::assignment_log) struct InFlightSegment {
-    /// The segment. Its slot has the version before the transaction.
+    /// The segment. The version in its slot is the one before the transaction.
     pub segment: LiveSegment,
-    /// The pages of progress that it records whole, so that no older segment is needed for them.
+    /// The progress pages that the segment records in whole, so that no older segment is needed for
+    /// these pages.
     pub whole_pages: Vec<ProgressPageRef>,
 }
 
-/// The first segment of a transaction. It stands in its slot if and only if the transaction was
-/// committed: nobody else writes there under the leader's token.
+/// The key and text of the first segment of a transaction. The key has this text if and only if the
+/// transaction was committed, since nobody else writes the key under the leader's token.
 #[derive(Debug)]
 pub struct CommitMarker {
-    /// The key of the slot.
+    /// The key of the segment's slot.
     pub key: String,
-    /// The text of the segment.
+    /// The encoded text of the segment.
     pub text: String,
 }
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/limits.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/limits.rs
@@ -1,27 +1,30 @@
-//! How large transactions may be, and when the next one may be sent.
+//! Limits on the size of transactions, and the time at which the next one may be sent.
 
 use crate::assignment_log::segment_capacity;
 use gladekeel_store::TokenBucket;
 use gladekeel_wire::settings::Deployment;
 
-/// Time between transactions: what is decided meanwhile is committed as a group.
+/// Minimum time between two transactions, in seconds. Changes that accumulate during this time are
+/// committed as a group.
 const GROUP_COMMIT_INTERVAL_S: f64 = 0.15;
-/// How much longer a transaction waits for rate-limit tokens if there is more to write than they
-/// allow: one wide transaction fills its segments, several narrow ones do not.
-const WIDEN_S: f64 = 0.3;
-/// Time until a transaction that failed is tried again.
+/// How much longer a transaction may wait for rate-limit tokens, in seconds, if the available
+/// tokens do not cover the pending writes. One large transaction fills its segments; several small
+/// ones do not.
+const MAX_TOKEN_WAIT_S: f64 = 0.3;
+/// Delay before the writes of a failed transaction are retried, in seconds.
 const RETRY_DELAY_S: f64 = 0.25;
-/// Lower bound of segments and values in bytes, however little the store accepts: a few rows.
+/// Lower bound of the size limits of segments and values, in bytes, however low the store's limits
+/// are. A segment of this size holds a few rows.
 const MIN_VALUE_BYTES: usize = 256;
 
-/// Limits of the store, as its settings say or as refusals have shown.
+/// Limits of the store, taken from the settings and reduced after refusals.
 #[derive(Debug, Default)]
 pub(super) struct TransactionLimits {
-    /// Writes in a transaction.
+    /// Maximum number of writes in a transaction.
     pub max_ops: usize,
-    /// Bytes of a segment.
+    /// Maximum size of a segment before its text encoding, in bytes.
     pub segment_capacity: usize,
-    /// Bytes of a value.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
 }
 
@@ -35,7 +38,7 @@
         }
     }
 
-    /// Halves the limits after the store has refused a transaction of this many writes as too
+    /// Halves the limits after the store has refused a transaction with this many `writes` as too
     /// large.
     pub fn halve(&mut self, writes: usize) {
         self.max_ops = (writes / 2).max(1);
@@ -50,20 +53,22 @@
     }
 }
 
-/// When the next transaction may be sent.
+/// Decides when the next transaction may be sent.
 #[derive(Debug, Default)]
 pub(super) struct GroupCommitTimer {
+    /// The time before which no transaction may be sent.
     not_before: f64,
 }
 
 impl GroupCommitTimer {
-    /// Whether a transaction may be sent.
+    /// Whether a transaction may be sent now.
     pub fn is_due(&self, now: f64) -> bool {
         now >= self.not_before
     }
 
-    /// How many writes the next transaction may have: as many as the rate limit allows now. None
-    /// if it is better to wait until it allows more of the `wanted_ops`.
+    /// Returns how many writes the next transaction may contain: as many as the rate limit allows
+    /// now. Returns `None` if the rate limit allows no write, or if it is better to wait until it
+    /// allows more of the `wanted_ops`.
     pub fn allowed_ops(
         &self,
         now: f64,
@@ -77,17 +82,18 @@
         }
         let allowed = limits.max_ops.min(available as usize);
         let max_ops = limits.max_ops.min(budget.burst() as usize);
-        let waits_to_widen = allowed < wanted_ops.min(max_ops) && now < self.not_before + WIDEN_S;
-        (!waits_to_widen).then_some(allowed)
+        let should_wait =
+            allowed < wanted_ops.min(max_ops) && now < self.not_before + MAX_TOKEN_WAIT_S;
+        (!should_wait).then_some(allowed)
     }
 
-    /// A transaction was sent.
-    pub fn sent(&mut self, now: f64) {
+    /// Records that a transaction was sent.
+    pub fn record_sent(&mut self, now: f64) {
         self.not_before = now + GROUP_COMMIT_INTERVAL_S;
     }
 
-    /// A transaction was not executed.
-    pub fn failed(&mut self, now: f64) {
+    /// Records that a transaction was not executed.
+    pub fn record_failure(&mut self, now: f64) {
         self.not_before = now + RETRY_DELAY_S;
     }
 }
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
@@ -1,12 +1,13 @@
-//! The log writer: it turns pending writes into transactions, one in flight at a time.
+//! The log writer, which turns pending writes into transactions. One transaction is in flight at a
+//! time.
 //!
-//! A transaction carries releases before assignments. A task's new assignment is decided only
-//! after the release of the one before is committed, and a job is called done only with its
-//! last release or later.
+//! A transaction contains releases before assignments. A new assignment of a task is decided only
+//! after the release of its previous attempt is committed. The final state of a job is committed
+//! together with the job's last release or later.
 //!
-//! Slots are overwritten oldest segment first, once none of their records is the newest of its
-//! attempt or progress page. Compaction copies old records that still are into new segments, so
-//! that the log stays short ("The log" in `docs/safety.md`).
+//! A slot is overwritten, the one with the oldest segment first, once its segment holds no record
+//! that is the newest of an attempt or progress page. Compaction copies old records that are still
+//! the newest into new segments, so that the log stays short ("The log" in `docs/safety.md`).
 
 mod batch;
 mod batch_builder;
@@ -33,25 +34,28 @@
 pub(super) use slots::{LiveSegment, ProgressPageRef, Slot};
 use std::collections::BTreeMap;
 
-/// One of this many operations of a transaction is reserved for final states.
-const FINAL_STATE_SHARE: usize = 4;
-/// About what an assignment takes of a segment if its job and machine are in it already.
+/// One in this many operations of a transaction is reserved for final states.
+const FINAL_STATE_DIVISOR: usize = 4;
+/// Approximate size of an assignment in a segment that already contains the names of its job and
+/// machine, in bytes.
 const ASSIGNMENT_ROW_BYTES: usize = 36;
-/// About what an assignment takes of a segment with its part of the names.
+/// Approximate size of an assignment in a segment, including its share of the names, in bytes.
 const NAMED_ASSIGNMENT_BYTES: usize = 48;
-/// About what a release takes of a segment.
+/// Approximate size of a release in a segment, in bytes.
 const RELEASE_ROW_BYTES: usize = 18;
-/// Operations that must be left in a transaction for housekeeping.
+/// Operations that a transaction must have left for housekeeping to be added.
 const MIN_HOUSEKEEPING_OPS: usize = 2;
-/// Rate-limit tokens that must be left after a transaction for housekeeping to be in it.
+/// Rate-limit tokens that must be left over after a transaction for housekeeping to be added to
+/// that transaction.
 const HOUSEKEEPING_SPARE_TOKENS: f64 = 4.0;
-/// Part of the store's write rate that assignments are expected to get.
+/// Expected share of the store's write rate that is available for assignments.
 const ASSIGNMENT_WRITE_SHARE: f64 = 0.6;
-/// Bounds of the assignments that a scheduling cycle decides.
+/// Lower bound of the number of assignments that may be proposed at the end of a scheduling cycle.
 const MIN_CYCLE_ASSIGNMENTS: usize = 200;
+/// Upper bound of the number of assignments that may be proposed at the end of a scheduling cycle.
 const MAX_CYCLE_ASSIGNMENTS: usize = 4000;
 
-/// What the log writer reads of the leader's state.
+/// The parts of the leader's state that the log writer reads.
 #[derive(Clone, Copy)]
 pub(in crate::leader) struct LeaderRecords<'a> {
     pub jobs: &'a BTreeMap<JobIdx, Job>,
@@ -61,13 +65,13 @@
 }
 
 impl LeaderRecords<'_> {
-    /// Whether the segment with this sequence number is the newest that assigns an attempt.
+    /// Whether the segment with this sequence number is the newest one that assigns an attempt.
     fn is_newest_assignment(&self, sequence: u64, id: AttemptId) -> bool {
         self.attempts.get(id).is_some_and(|attempt| attempt.segment == sequence)
     }
 
-    /// Whether the segment with this sequence number may hold the newest record of a page: the
-    /// job is not final, and no newer segment records the page whole.
+    /// Whether the segment with this sequence number may hold the newest record of a progress page:
+    /// the job is not final, and no newer segment records the page in whole.
     fn is_newest_record(&self, sequence: u64, page: ProgressPageRef) -> bool {
         self.jobs.get(&page.job).is_some_and(|job| {
             let recorded_by = job.progress_segments.get(&page.page);
@@ -76,16 +80,16 @@
     }
 }
 
-/// Versions of keys that only the leader overwrites or removes.
+/// Versions of the keys that only the leader overwrites or removes.
 #[derive(Debug, Default)]
 struct KeyVersions {
-    /// By part.
+    /// Versions of the machine type keys, by part.
     machine_types: BTreeMap<u32, u64>,
-    /// By machine.
+    /// Versions of the drain order keys, by machine name.
     drains: BTreeMap<String, u64>,
 }
 
-/// Owns what waits to be written, the slots of the log, and the transaction in flight.
+/// Owns the pending writes, the slots of the log, and the transaction in flight.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct AssignmentLogWriter {
     pending: PendingWrites,
@@ -97,7 +101,7 @@
 }
 
 impl AssignmentLogWriter {
-    /// A writer with nothing to write, before the log is replayed.
+    /// Creates a writer without pending writes, before the log is replayed.
     pub fn new(deployment: &Deployment, store: &StoreView) -> AssignmentLogWriter {
         AssignmentLogWriter {
             versions: KeyVersions {
@@ -109,17 +113,17 @@
         }
     }
 
-    /// What waits to be written, to add to it.
+    /// Returns the pending writes, to which the caller may add.
     pub fn pending(&mut self) -> &mut PendingWrites {
         &mut self.pending
     }
 
-    /// How many segments are live.
+    /// Returns the number of live segments.
     pub fn segment_count(&self) -> usize {
         self.slots.live().len()
     }
 
-    /// Records the version of a drain order's key; none if the key is gone.
+    /// Records the version of a drain order's key; `None` if the key was removed.
     pub fn set_drain_version(&mut self, machine: &str, version: Option<u64>) {
         match version {
             Some(version) => self.versions.drains.insert(machine.to_owned(), version),
@@ -127,8 +131,8 @@
         };
     }
 
-    /// How many more assignments a scheduling cycle should decide: about what can be written in
-    /// a second.
+    /// Returns how many more assignments a scheduling cycle should decide: about as many as can be
+    /// written in one second, minus those already proposed.
     pub fn max_new_assignments(&self, deployment: &Deployment) -> usize {
         let capacity = self.limits.segment_capacity as f64;
         let bytes_per_s = capacity * deployment.store.write_rps * ASSIGNMENT_WRITE_SHARE;
@@ -137,18 +141,20 @@
             .saturating_sub(self.pending.proposed.len())
     }
 
-    /// Adds a segment that was read from the store. Segments must be added oldest first.
+    /// Adds a segment that was read from the store. The caller must add segments oldest first.
     pub(super) fn restore_segment(&mut self, segment: LiveSegment) {
         self.slots.restore(segment);
     }
 
-    /// Makes slots reusable whose segments hold no newest record any more.
+    /// Makes the slots of the oldest segments reusable, up to the first segment that still holds
+    /// the newest record of an attempt or progress page.
     pub(super) fn reclaim_slots(&mut self, records: LeaderRecords<'_>) {
         self.slots.reclaim(records);
     }
 
-    /// The next transaction, if one is due: none is in flight, something waits, and the rate
-    /// limit allows a transaction that is wide enough. It is guarded by the leader's `token`.
+    /// Returns the next transaction, if one is due: no transaction is in flight, writes are
+    /// pending, and the rate limit allows a transaction with enough operations. The leader's
+    /// `token` is a precondition of the transaction.
     pub(super) fn next_transaction(
         &mut self,
         now: f64,
@@ -168,14 +174,14 @@
         }
         let (transaction, in_flight) = batch.seal(&mut self.slots);
         budget.try_take(now, in_flight.writes as f64);
-        self.timer.sent(now);
+        self.timer.record_sent(now);
         self.in_flight = Some(in_flight);
         Some(transaction)
     }
 
-    /// Adds what waits. Under load releases, assignments and final states each have a part:
-    /// without releases no resources come free, without assignments machines stand idle, and
-    /// users wait for final states.
+    /// Adds pending writes to a batch. Under load, releases, assignments and final states each get
+    /// a share of the batch: without releases no resources become free, without assignments
+    /// machines stay idle, and users wait for final states.
     fn fill(
         &self,
         mut batch: WriteBatch,
@@ -183,12 +189,12 @@
         records: LeaderRecords<'_>,
         budget: &mut TokenBucket,
     ) -> WriteBatch {
-        batch.reserve_ops(self.ops_for_final_states(batch.ops_left()));
+        batch.set_reserved_ops(self.ops_for_final_states(batch.ops_left()));
         let release_bytes = self.release_bytes(&batch);
         let mut builder = BatchBuilder { batch, writer: self, records };
         let releases_fit = builder.add_releases(release_bytes);
         let proposals_fit = builder.add_proposals();
-        builder.batch.reserve_ops(0);
+        builder.batch.set_reserved_ops(0);
         let final_states_fit = builder.add_final_states();
         if releases_fit && proposals_fit && final_states_fit {
             builder.compact();
@@ -199,7 +205,8 @@
         builder.batch
     }
 
-    /// Operations that everything urgent would take.
+    /// Returns the number of operations needed to write all pending releases, assignments and final
+    /// states.
     fn wanted_ops(&self) -> usize {
         let releases = self.pending.released.len() * RELEASE_ROW_BYTES;
         let assignments = self.pending.proposed.len() * ASSIGNMENT_ROW_BYTES;
@@ -207,39 +214,42 @@
         segments + self.pending.completed_jobs.len()
     }
 
-    /// Operations that are reserved for final states. A transaction of one operation reserves
-    /// none, or releases would never be written.
+    /// Returns the number of operations reserved for final states. A transaction limited to one
+    /// operation reserves none, since releases would otherwise never be written.
     fn ops_for_final_states(&self, max_ops: usize) -> usize {
         if max_ops <= 1 {
             return 0;
         }
-        self.pending.completed_jobs.len().min((max_ops / FINAL_STATE_SHARE).max(1))
+        self.pending.completed_jobs.len().min((max_ops / FINAL_STATE_DIVISOR).max(1))
     }
 
-    /// Bytes of a transaction that releases may take: half of them, or what assignments leave.
+    /// Returns the number of bytes that releases may take in a batch: half of its segment bytes, or
+    /// all that the pending assignments leave, whichever is more.
     fn release_bytes(&self, batch: &WriteBatch) -> usize {
-        let all = batch.ops_left() * self.limits.segment_capacity;
+        let total = batch.ops_left() * self.limits.segment_capacity;
         let assignments = self.pending.proposed.len() * ASSIGNMENT_ROW_BYTES;
-        (all / 2).max(all.saturating_sub(assignments))
+        (total / 2).max(total.saturating_sub(assignments))
     }
 
-    /// What shows that the transaction in flight was committed.
+    /// Returns the commit marker of the transaction in flight. `None` if no transaction is in
+    /// flight, or if it contains no segment.
     pub(super) fn commit_marker(&self) -> Option<&CommitMarker> {
         self.in_flight.as_ref()?.commit_marker.as_ref()
     }
 
-    /// Whether the transaction in flight commits a proposal.
+    /// Whether the transaction in flight contains a proposal.
     pub(super) fn is_in_flight(&self, id: AttemptId) -> bool {
         self.in_flight.as_ref().is_some_and(|in_flight| in_flight.proposed.contains(&id))
     }
 
-    /// Takes out the transaction in flight once its outcome is known.
+    /// Takes the transaction in flight. The caller does this once the transaction has an outcome.
     pub(super) fn take_in_flight(&mut self) -> Option<InFlightTransaction> {
         self.in_flight.take()
     }
 
-    /// The transaction was committed at a revision, which is the version of all that it wrote.
-    pub(super) fn committed(&mut self, transaction: InFlightTransaction, revision: u64) {
+    /// Applies the commit of a transaction. `revision` is the new version of every key that the
+    /// transaction wrote.
+    pub(super) fn apply_commit(&mut self, transaction: InFlightTransaction, revision: u64) {
         self.remove_committed(&transaction);
         for machine in &transaction.removed_drains {
             self.versions.drains.remove(machine);
@@ -253,7 +263,7 @@
         }
     }
 
-    /// Removes from what waits what was committed.
+    /// Removes the contents of a committed transaction from the pending writes.
     fn remove_committed(&mut self, transaction: &InFlightTransaction) {
         let pending = &mut self.pending;
         for job in &transaction.completed_jobs {
@@ -276,22 +286,23 @@
         }
     }
 
-    /// The transaction was not executed, and never will be: its slots are given back, and what it
-    /// contained goes into the next one.
+    /// Rolls back a transaction that was not executed and never will be. Its slots are released,
+    /// and its writes are still pending, so that they are retried in the next transaction.
     pub(super) fn roll_back(&mut self, now: f64, transaction: InFlightTransaction) {
         let segments = transaction.segments.into_iter();
         self.slots.roll_back(segments.map(|segment| segment.segment.slot));
-        self.timer.failed(now);
+        self.timer.record_failure(now);
     }
 
-    /// The transaction was refused as too large.
+    /// Rolls back a transaction that the store refused as too large, and halves the limits.
     pub(super) fn roll_back_oversized(&mut self, now: f64, transaction: InFlightTransaction) {
         self.limits.halve(transaction.writes);
         self.roll_back(now, transaction);
     }
 }
 
-/// Housekeeping waits until the rate limit is plainly not needed for anything else.
+/// Whether housekeeping may be added to a batch. Housekeeping is deferred until the rate limit
+/// clearly leaves enough tokens for all other writes.
 fn allows_housekeeping(batch: &WriteBatch, now: f64, budget: &mut TokenBucket) -> bool {
     batch.allows_ops(MIN_HOUSEKEEPING_OPS)
         && budget.can_take(now, HOUSEKEEPING_SPARE_TOKENS + batch.ops() as f64)
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/slots.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/slots.rs
@@ -1,44 +1,46 @@
-//! The slots of the log: which segments are live, and which slots may be overwritten.
+//! The slots of the log: the live segments, and the slots that may be overwritten.
 
 use super::LeaderRecords;
 use crate::leader::AttemptId;
 use gladekeel_sched::JobIdx;
 use std::collections::VecDeque;
 
-/// A key of the log.
+/// A slot of the log, which is one key of the store.
 #[derive(Debug, Clone, Copy, Default)]
 pub(in crate::leader::assignment_log) struct Slot {
-    /// Its number, which its key is made of.
+    /// The number of the slot, from which its key is derived.
     pub number: u32,
-    /// The key's version: the precondition of overwriting it. 0 if the key does not exist.
+    /// The version of the key, which is the precondition of overwriting it; 0 if the key does not
+    /// exist.
     pub version: u64,
 }
 
 /// A page of a job's progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::leader::assignment_log) struct ProgressPageRef {
-    /// The job.
+    /// The job whose progress the page records.
     pub job: JobIdx,
-    /// The page's number.
+    /// The number of the page within the job.
     pub page: u32,
 }
 
-/// A segment that may still hold the newest record of something.
+/// A segment that may still hold the newest record of an attempt or progress page.
 #[derive(Debug, Default)]
 pub(in crate::leader::assignment_log) struct LiveSegment {
-    /// Where it is stored.
+    /// The slot that stores the segment.
     pub slot: Slot,
-    /// Its position in the log.
+    /// The position of the segment in the log.
     pub sequence: u64,
-    /// Attempts that it assigns.
+    /// Attempts that the segment assigns.
     pub attempts: Vec<AttemptId>,
-    /// Pages of progress that it records, whole or in part.
+    /// Progress pages that the segment records, in whole or in part.
     pub progress_pages: Vec<ProgressPageRef>,
 }
 
 impl LiveSegment {
-    /// Drops trailing records that newer segments or releases have made obsolete.
-    fn trim(&mut self, records: LeaderRecords<'_>) {
+    /// Drops trailing attempts and pages that newer segments or releases have made obsolete. Stops
+    /// at the first, counted from the end, that is still the newest record.
+    fn drop_obsolete_tail(&mut self, records: LeaderRecords<'_>) {
         let sequence = self.sequence;
         let is_obsolete = |id: &mut AttemptId| !records.is_newest_assignment(sequence, *id);
         while self.attempts.pop_if(is_obsolete).is_some() {}
@@ -51,40 +53,42 @@
     }
 }
 
-/// Slots of the log, in the order in which they were written.
+/// The slots of the log, in the order in which they were written.
 ///
-/// Invariant: segments become reusable, and are overwritten, oldest first. The release of an
-/// attempt is in a later segment than its assignment, so it is never overwritten before it.
+/// Invariant: slots become reusable and are overwritten in the order of their segments, oldest
+/// first. The release of an attempt is in a later segment than the assignment, so the release is
+/// never overwritten before the assignment.
 #[derive(Debug, Default)]
 pub(in crate::leader::assignment_log) struct SegmentSlots {
     /// Live segments, oldest first.
     live: VecDeque<LiveSegment>,
-    /// Slots without a live segment, the oldest segment first.
+    /// Slots without a live segment, ordered by the age of their segments, oldest first.
     reusable: VecDeque<Slot>,
-    /// How many slots there are.
+    /// Number of slots in the log.
     count: u32,
+    /// The sequence number of the next segment.
     next_sequence: u64,
 }
 
 impl SegmentSlots {
-    /// Adds a segment that was read from the store. Segments must be restored oldest first.
+    /// Adds a segment that was read from the store. The caller must restore segments oldest first.
     pub fn restore(&mut self, segment: LiveSegment) {
         self.count = self.count.max(segment.slot.number + 1);
         self.next_sequence = self.next_sequence.max(segment.sequence + 1);
         self.live.push_back(segment);
     }
 
-    /// Adds a segment that was committed.
+    /// Adds a segment that has been committed.
     pub fn push(&mut self, segment: LiveSegment) {
         self.live.push_back(segment);
     }
 
-    /// The live segments, oldest first.
+    /// Returns the live segments, oldest first.
     pub fn live(&self) -> &VecDeque<LiveSegment> {
         &self.live
     }
 
-    /// Takes the next slot to write: the oldest reusable one, or else a new one.
+    /// Takes the next slot to write: the oldest reusable slot, or a new slot if none is reusable.
     pub fn allocate(&mut self) -> Slot {
         self.reusable.pop_front().unwrap_or_else(|| {
             let slot = Slot { number: self.count, version: 0 };
@@ -93,14 +97,14 @@
         })
     }
 
-    /// The sequence number of the next segment.
+    /// Takes the sequence number for the next segment.
     pub fn next_sequence(&mut self) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         sequence
     }
 
-    /// Gives back allocated slots that were not written, in the order of their allocation.
+    /// Releases allocated slots that were not written. `slots` must be in the order of allocation.
     pub fn roll_back(&mut self, slots: impl DoubleEndedIterator<Item = Slot>) {
         for slot in slots.rev() {
             self.reusable.push_front(slot);
@@ -108,10 +112,10 @@
     }
 
     /// Makes the slots of the oldest segments reusable, up to the first segment that still holds
-    /// the newest record of something.
+    /// the newest record of an attempt or progress page.
     pub fn reclaim(&mut self, records: LeaderRecords<'_>) {
         while let Some(mut oldest) = self.live.pop_front() {
-            oldest.trim(records);
+            oldest.drop_obsolete_tail(records);
             if oldest.is_obsolete() {
                 self.reusable.push_back(oldest.slot);
             } else {
