--- a/crates/gladekeel-controller/src/leader/commands/queue.rs
+++ b/crates/gladekeel-controller/src/leader/commands/queue.rs
@@ -1,5 +1,5 @@
-//! The queue of machines that are to receive commands or a probe, and the machines for which
-//! earlier requests are unresolved.
+//! The queue of machines that are to receive commands or a probe, and the machines that have
+//! unsettled starts or undelivered stops from earlier requests.
 
 use gladekeel_sched::{JobIdx, MachineIdx};
 use std::collections::BTreeSet;
--- a/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
@@ -109,7 +109,7 @@
         for (id, status) in reported {
             self.reconcile_unassigned_task(machine_idx, id, status, token, commands);
         }
-        limit_commands(commands);
+        sort_and_limit_commands(commands);
         if let Some(machine) = self.cluster.machines.get_mut(&machine_idx) {
             let knows_token = token == HeartbeatToken::Current;
             machine.acknowledgements.expect(ExpectedEffects::of_response(commands, knows_token));
@@ -228,7 +228,7 @@
 
 /// Sorts the commands of a response into immediate stops, graceful stops, forgets and starts, and
 /// drops those beyond [`MAX_COMMANDS`]. Dropped commands are retried with the next response.
-fn limit_commands(commands: &mut Vec<Command>) {
+fn sort_and_limit_commands(commands: &mut Vec<Command>) {
     commands.sort_by_key(|command| match command {
         Command::Stop { grace_s, .. } => u8::from(*grace_s > 0.0),
         Command::Forget { .. } => 2,
