--- a/crates/gladekeel-sched/src/candidate_index.rs
+++ b/crates/gladekeel-sched/src/candidate_index.rs
@@ -1,15 +1,16 @@
-//! A lookup structure that finds the machine for a task without examining all of them.
+//! An index that finds the machine for a task without examining every machine.
 //!
-//! [`CandidateIndex`] keeps the schedulable machines sorted by free CPUs, by pool (type, zone,
-//! spot or on demand) and by the state of each image that a job needs. It is built once a cycle;
-//! [`cycle`](crate::cycle) reports each binding to it, so that it stays equal to the machines of
-//! the cycle.
+//! [`CandidateIndex`] groups the schedulable machines by pool (type, zone, spot or on demand) and
+//! by the state of each image that a job needs, and sorts each group by free CPUs. The index is
+//! built once per cycle; [`cycle`](crate::cycle) reports each binding to the index, which
+//! therefore always matches the machines of the cycle.
 
 use crate::snapshot::{ImageState, SchedulableJob, SchedulableMachine};
 use crate::{ImageIdx, MachineTypeIdx, Resources, ZoneIdx};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Machines of one type and zone, spot or not: a job's constraints allow all of them or none.
+/// A pool of machines that have the same type, zone and purchase model, so that a job's constraints
+/// allow either all machines of the pool or none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct MachinePool {
     machine_type: MachineTypeIdx,
@@ -17,10 +18,12 @@
     spot: bool,
 }
 
-/// A machine's place in a [`FreeCpuOrder`]: fullest first, ties by position.
+/// The sort key of a machine in a [`MachinesByFreeCpus`]: fullest first, ties by position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateKey {
+    /// Free CPUs, in thousandths.
     free_cpus: i64,
+    /// Position of the machine in the cycle.
     machine: u32,
 }
 
@@ -30,23 +33,23 @@
     }
 }
 
-/// Machines of one pool by free CPUs, fullest first.
-type FreeCpuOrder = BTreeSet<CandidateKey>;
+/// Machines of one pool, sorted by free CPUs, fullest first.
+type MachinesByFreeCpus = BTreeSet<CandidateKey>;
 
-/// The machines of each pool, by the pool's position.
-type PoolOrders = Vec<FreeCpuOrder>;
+/// The sorted machines of each pool, by the pool's position in [`CandidateIndex::pools`].
+type MachinesByPool = Vec<MachinesByFreeCpus>;
 
 /// Which machines a lookup accepts, by the state of the job's image.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ImageFilter {
     /// Any machine.
     Any,
-    /// Machines that have the image or fetch it already.
+    /// Machines that have the image or are already fetching it.
     CachedOrFetching,
 }
 
-/// An entry that was taken out of the index since the machine does not fit a job's task;
-/// [`CandidateIndex::restore`] puts it back.
+/// An entry that was removed from the index because a job's task does not fit on the machine;
+/// [`CandidateIndex::restore`] puts the entry back.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SkippedCandidate {
     image_state: ImageState,
@@ -55,28 +58,30 @@
     key: CandidateKey,
 }
 
-/// Schedulable machines by pool, image state and free CPUs.
+/// Schedulable machines, indexed by image state, pool and free CPUs.
 #[derive(Debug, Default)]
 pub(crate) struct CandidateIndex {
+    /// The pools that have at least one candidate.
     pools: Vec<MachinePool>,
-    /// The pool of each machine, by the machine's position; `None` if it is no candidate.
+    /// Position of each machine's pool in `pools`, by the machine's position; `None` if the
+    /// machine is not a candidate.
     pool_of: Vec<Option<usize>>,
-    /// Machines that take nothing more in this cycle.
+    /// Machines that take no further tasks in this cycle.
     reserved: BTreeSet<usize>,
-    /// Machines that fetch nothing.
-    network_idle: PoolOrders,
-    /// Machines that fetch an image.
-    network_busy: PoolOrders,
-    /// Machines that have an image.
-    cached: HashMap<ImageIdx, PoolOrders>,
-    /// Machines that have an image or fetch it.
-    cached_or_fetching: HashMap<ImageIdx, PoolOrders>,
-    /// How many machines and pools were examined.
+    /// Machines that are not fetching any image.
+    network_idle: MachinesByPool,
+    /// Machines that are fetching an image.
+    network_busy: MachinesByPool,
+    /// For each image, the machines that have it in their cache.
+    cached: HashMap<ImageIdx, MachinesByPool>,
+    /// For each image, the machines that have or are fetching it.
+    cached_or_fetching: HashMap<ImageIdx, MachinesByPool>,
+    /// How many times a machine or pool was examined.
     examined: u64,
 }
 
 impl CandidateIndex {
-    /// An index for placing these jobs.
+    /// Builds an index of the machines for placing tasks of these jobs.
     pub fn new<'a>(
         machines: &[SchedulableMachine],
         jobs: impl Iterator<Item = &'a SchedulableJob>,
@@ -90,15 +95,15 @@
         let Some(min_request) = min_request else { return CandidateIndex::default() };
         let mut index = CandidateIndex::default();
         index.assign_pools(machines, min_request);
-        index.create_orders(&images);
+        index.create_sets(&images);
         for (position, machine) in machines.iter().enumerate() {
             index.insert(position, machine);
         }
         index
     }
 
-    /// Finds the pool of each machine that could take the smallest task. Gangs, which alone
-    /// may use the warm pool, don't use this index.
+    /// Assigns a pool to each machine that could take the smallest task. Machines of the warm pool
+    /// get none: only gangs may use the warm pool, and gangs are placed without this index.
     fn assign_pools(&mut self, machines: &[SchedulableMachine], min_request: Resources) {
         self.pool_of = vec![None; machines.len()];
         let mut pool_positions: BTreeMap<MachinePool, usize> = BTreeMap::new();
@@ -119,8 +124,9 @@
         }
     }
 
-    fn create_orders(&mut self, images: &BTreeSet<ImageIdx>) {
-        let empty = vec![FreeCpuOrder::new(); self.pools.len()];
+    /// Creates an empty set per pool for each image and each network state.
+    fn create_sets(&mut self, images: &BTreeSet<ImageIdx>) {
+        let empty = vec![MachinesByFreeCpus::new(); self.pools.len()];
         for image in images {
             self.cached.insert(*image, empty.clone());
             self.cached_or_fetching.insert(*image, empty.clone());
@@ -129,24 +135,26 @@
         self.network_busy = empty;
     }
 
+    /// Adds a machine to all sets that match its state.
     fn insert(&mut self, position: usize, machine: &SchedulableMachine) {
         let Some(pool) = self.pool_of[position] else { return };
         let key = CandidateKey::new(machine.free, position);
-        let orders = if machine.fetching { &mut self.network_busy } else { &mut self.network_idle };
-        orders[pool].insert(key);
+        let by_pool =
+            if machine.fetching { &mut self.network_busy } else { &mut self.network_idle };
+        by_pool[pool].insert(key);
         for image in &machine.cached_images {
-            if let Some(orders) = self.cached.get_mut(image) {
-                orders[pool].insert(key);
+            if let Some(by_pool) = self.cached.get_mut(image) {
+                by_pool[pool].insert(key);
             }
         }
         for image in &machine.cached_or_fetching {
-            if let Some(orders) = self.cached_or_fetching.get_mut(image) {
-                orders[pool].insert(key);
+            if let Some(by_pool) = self.cached_or_fetching.get_mut(image) {
+                by_pool[pool].insert(key);
             }
         }
     }
 
-    /// How many machines and pools were examined so far.
+    /// Returns how many times a machine or pool was examined so far.
     pub fn examined(&self) -> u64 {
         self.examined
     }
@@ -156,7 +164,14 @@
         self.examined += 1;
     }
 
-    fn orders(&mut self, state: ImageState, image: ImageIdx) -> Option<&mut PoolOrders> {
+    /// Returns the machines on which the image is in this state, by pool; `None` if the image is
+    /// not indexed. The machines for [`ImageState::Fetching`] include those that have the image,
+    /// and those for the absent states are chosen by network state alone.
+    fn machines_by_pool(
+        &mut self,
+        state: ImageState,
+        image: ImageIdx,
+    ) -> Option<&mut MachinesByPool> {
         match state {
             ImageState::Cached => self.cached.get_mut(&image),
             ImageState::Fetching => self.cached_or_fetching.get_mut(&image),
@@ -165,13 +180,13 @@
         }
     }
 
-    /// The position of the machine for a job's next task: the one where the image is ready
-    /// soonest; among these a spot machine, which is cheaper; then the fullest, so that whole
-    /// machines stay free for large tasks or can be scaled in.
+    /// Returns the position of the best machine for a job's next task: a machine where the image
+    /// is ready soonest; among those a spot machine, which is cheaper; among those the fullest, so
+    /// that whole machines stay free for large tasks or can be scaled in.
     ///
-    /// Machines on the way that do not fit the task are taken out and added to `skipped`, so
-    /// that the job's further tasks don't examine them again. The caller gives them to
-    /// [`CandidateIndex::restore`] before it looks for another job.
+    /// Examined machines on which the task does not fit are removed from the index and added to
+    /// `skipped`, so that they are not examined again for further tasks of the same job. The caller
+    /// must pass `skipped` to [`CandidateIndex::restore`] before it looks up another job.
     pub fn find_best(
         &mut self,
         job: &SchedulableJob,
@@ -190,7 +205,8 @@
         None
     }
 
-    /// The fullest machine that fits the job's task, over all pools that the job may use.
+    /// Returns the fullest machine on which the job's task fits, over all spot or all on-demand
+    /// pools that the job may use.
     fn fullest_fitting(
         &mut self,
         job: &SchedulableJob,
@@ -207,10 +223,10 @@
                 continue;
             }
             self.examined += 1;
-            let Some(orders) = self.orders(image_state, job.image) else { continue };
-            let order = &mut orders[pool];
+            let Some(by_pool) = self.machines_by_pool(image_state, job.image) else { continue };
+            let candidates = &mut by_pool[pool];
             let min_key = CandidateKey { free_cpus: job.task_request.cpus, machine: 0 };
-            while let Some(key) = order.range(min_key..).next().copied() {
+            while let Some(key) = candidates.range(min_key..).next().copied() {
                 if best.is_some_and(|best| best <= key) {
                     break;
                 }
@@ -218,7 +234,7 @@
                     best = Some(key);
                     break;
                 }
-                order.remove(&key);
+                candidates.remove(&key);
                 skipped.push(SkippedCandidate { image_state, image: job.image, pool, key });
             }
         }
@@ -226,11 +242,11 @@
         best.map(|key| key.machine as usize)
     }
 
-    /// Puts machines back that were skipped for one job.
+    /// Puts back the entries that [`CandidateIndex::find_best`] skipped for one job.
     pub fn restore(&mut self, skipped: Vec<SkippedCandidate>) {
         for SkippedCandidate { image_state, image, pool, key } in skipped {
-            if let Some(orders) = self.orders(image_state, image) {
-                orders[pool].insert(key);
+            if let Some(by_pool) = self.machines_by_pool(image_state, image) {
+                by_pool[pool].insert(key);
             }
         }
     }
@@ -240,33 +256,33 @@
         self.reserved.contains(&machine)
     }
 
-    /// Keeps a machine from all further tasks of this cycle.
+    /// Reserves a machine: no further task is bound to it in this cycle.
     pub fn reserve(&mut self, position: usize, machine: &SchedulableMachine) {
         self.reserved.insert(position);
         let Some(pool) = self.pool_of.get_mut(position).and_then(Option::take) else { return };
         let key = CandidateKey::new(machine.free, position);
-        let image_orders = self.cached.values_mut().chain(self.cached_or_fetching.values_mut());
-        let network_orders = [&mut self.network_idle, &mut self.network_busy];
-        for orders in image_orders.chain(network_orders) {
-            orders[pool].remove(&key);
+        let by_image = self.cached.values_mut().chain(self.cached_or_fetching.values_mut());
+        let by_network_state = [&mut self.network_idle, &mut self.network_busy];
+        for by_pool in by_image.chain(by_network_state) {
+            by_pool[pool].remove(&key);
         }
     }
 
-    /// Notes that a machine begins to fetch an image; `free` is what is free before the task
-    /// that needs the image is counted.
-    pub fn fetch_started(&mut self, position: usize, free: Resources, image: ImageIdx) {
+    /// Records that a machine starts to fetch an image. `free` is what was free on the machine
+    /// before the task that needs the image was bound to it.
+    pub fn record_fetch_started(&mut self, position: usize, free: Resources, image: ImageIdx) {
         let Some(pool) = self.pool_of.get(position).copied().flatten() else { return };
         let key = CandidateKey::new(free, position);
-        if let Some(orders) = self.cached_or_fetching.get_mut(&image) {
-            orders[pool].insert(key);
+        if let Some(by_pool) = self.cached_or_fetching.get_mut(&image) {
+            by_pool[pool].insert(key);
         }
         if self.network_idle[pool].remove(&key) {
             self.network_busy[pool].insert(key);
         }
     }
 
-    /// Notes that a machine's free resources have changed.
-    pub fn free_changed(
+    /// Records that a machine's free resources have changed from `free_before`.
+    pub fn record_free_change(
         &mut self,
         position: usize,
         machine: &SchedulableMachine,
@@ -275,9 +291,9 @@
         let Some(pool) = self.pool_of.get(position).copied().flatten() else { return };
         let old_key = CandidateKey::new(free_before, position);
         let new_key = CandidateKey::new(machine.free, position);
-        let update = |orders: &mut PoolOrders| {
-            if orders[pool].remove(&old_key) {
-                orders[pool].insert(new_key);
+        let update = |by_pool: &mut MachinesByPool| {
+            if by_pool[pool].remove(&old_key) {
+                by_pool[pool].insert(new_key);
             }
         };
         update(&mut self.network_idle);
@@ -291,7 +307,7 @@
     }
 }
 
-/// The image states that a job accepts, the best first.
+/// Returns the image states that a job and a filter accept, the preferred ones first.
 fn accepted_image_states(job: &SchedulableJob, filter: ImageFilter) -> &'static [ImageState] {
     use ImageState::{AbsentNetworkBusy, AbsentNetworkIdle, Cached, Fetching};
     match filter {
--- a/crates/gladekeel-sched/src/cycle.rs
+++ b/crates/gladekeel-sched/src/cycle.rs
@@ -2,12 +2,13 @@
 //!
 //! The leader fills a [`SchedulingCycle`] with a snapshot and calls [`SchedulingCycle::run`],
 //! which returns [`Binding`]s; the leader then commits each binding to the store before it
-//! starts the task. [`preemption`](crate::preemption) uses the cycle as `run` has left it to
-//! decide what to stop for the tasks that are still pending.
+//! starts the task. Afterwards, [`preemption`](crate::preemption) uses the cycle in the state in
+//! which `run` left it to decide which tasks to stop for those that are still pending.
 //!
-//! Rules: no team beyond its limit; constraints of jobs hold; a gang is placed whole or not at
-//! all. What goes first: speculative restarts, overdue jobs, what teams are guaranteed, fair
-//! shares, then what is left over.
+//! Rules: no team exceeds its limit, the constraints of every job hold, and a gang is placed
+//! whole or not at all. Tasks are placed in this order: speculative restarts, overdue jobs, tasks
+//! within their team's guarantee, tasks within their job's fair share, and finally tasks that
+//! borrow leftover resources.
 
 mod binder;
 mod gang;
@@ -18,20 +19,20 @@
 use crate::{candidate_index::CandidateIndex, fair_share::FairShare};
 use binder::Binder;
 
-/// The decision that a job's next task goes to a machine. Both are positions in the cycle's
-/// lists.
+/// A decision to run a job's next task on a machine. Job and machine are identified by their
+/// positions in the lists of the [`SchedulingCycle`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Binding {
-    /// Position of the job.
+    /// Position of the job in [`SchedulingCycle::jobs`].
     pub job: usize,
-    /// Position of the machine.
+    /// Position of the machine in [`SchedulingCycle::machines`].
     pub machine: usize,
 }
 
 impl SchedulingCycle {
-    /// Binds pending tasks to machines, up to [`SchedulingCycle::max_bindings`]; a gang may
-    /// exceed that, since it is bound whole. The cycle's machines, teams and jobs are updated
-    /// to what holds with the bindings.
+    /// Binds pending tasks to machines, up to [`SchedulingCycle::max_bindings`], and returns the
+    /// bindings. A single gang may exceed that maximum, since it is bound whole. The cycle's
+    /// machines, teams and jobs are updated to reflect the bindings.
     pub fn run(&mut self, fair_share: &FairShare) -> Vec<Binding> {
         let order = self.job_order();
         let allocations = self.task_allocations(fair_share);
--- a/crates/gladekeel-sched/src/cycle/binder.rs
+++ b/crates/gladekeel-sched/src/cycle/binder.rs
@@ -1,4 +1,5 @@
-//! Binds tasks to machines, one job after the other, in the order of the scheduling rules.
+//! Binds tasks to machines, one job after another, in the order that the scheduling rules of
+//! [`cycle`](super) define.
 
 use super::{Binding, SchedulingCycle, gang};
 use crate::DenseIndex;
@@ -6,20 +7,20 @@
 use crate::fair_share::FairShare;
 use crate::snapshot::{SchedulableJob, SchedulableMachine};
 
-/// Why a task may be placed.
+/// The rule that entitles a task to be placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Entitlement {
-    /// As a speculative restart, ahead of other jobs' new tasks.
+    /// The task is a speculative restart, which goes ahead of other jobs' new tasks.
     SpeculativeRestart,
-    /// Within its team's guarantee, which bounds how many tasks there may be.
+    /// The task is within its team's guarantee, which bounds the number of such tasks.
     Guarantee,
-    /// Within its job's fair share.
+    /// The task is within its job's fair share.
     FairShare,
-    /// Beyond the fair share, on resources that the shares of others left over.
+    /// The task exceeds its job's fair share and uses resources that other jobs' shares left over.
     Borrowed,
 }
 
-/// The bindings of a cycle under way.
+/// Binds tasks in a scheduling cycle and collects the bindings.
 pub(super) struct Binder<'a> {
     cycle: &'a mut SchedulingCycle,
     candidates: CandidateIndex,
@@ -31,20 +32,21 @@
         Binder { cycle, candidates, bindings: Vec::new() }
     }
 
-    /// The bindings, and how many machines were examined for them.
+    /// Returns the bindings and how many machines were examined to find them.
     pub fn finish(self) -> (Vec<Binding>, u64) {
         (self.bindings, self.candidates.examined())
     }
 
-    /// Binds speculative restarts, overdue jobs and then all others; `order` has the positions
-    /// of the jobs, `allocations` the tasks that each one's fair share covers.
+    /// Binds speculative restarts, then overdue jobs, then all others. `order` lists the positions
+    /// of the jobs in scheduling order; `allocations` holds, by position, the number of tasks that
+    /// each job's fair share covers.
     pub fn run(&mut self, fair_share: &FairShare, order: &[usize], allocations: &[u32]) {
         self.bind_speculative_restarts(fair_share, order);
         let eligible = self.bind_overdue(order, allocations);
         self.bind_by_priority(eligible, allocations);
     }
 
-    /// A speculative restart comes before new tasks, up to its job's virtual size.
+    /// Binds speculative restarts, which precede new tasks, up to their job's virtual size.
     fn bind_speculative_restarts(&mut self, fair_share: &FairShare, order: &[usize]) {
         for position in order.iter().copied() {
             let job = &self.cycle.jobs[position];
@@ -56,9 +58,11 @@
         }
     }
 
-    /// Binds tasks of overdue jobs, and returns the jobs that are still eligible for placing:
-    /// if a gang finds no place now but could have one, those behind it wait, since the
-    /// resources for it are free together only if they leave them alone.
+    /// Binds tasks of overdue jobs and returns the jobs that may still be placed afterwards.
+    ///
+    /// If an overdue gang does not fit now but would fit on empty machines, the jobs behind it are
+    /// left out and wait: the resources that the gang needs become free together only if these jobs
+    /// do not take them.
     fn bind_overdue<'o>(&mut self, order: &'o [usize], allocations: &[u32]) -> &'o [usize] {
         for (rank, position) in order.iter().copied().enumerate() {
             let job = &self.cycle.jobs[position];
@@ -76,8 +80,8 @@
         order
     }
 
-    /// An overdue job begins with its fair share, or with one task where that rounds down to
-    /// none, however large its tasks are.
+    /// Binds the fair share of an overdue job, or one task if its tasks are so large that the share
+    /// rounds down to none. Reserves a machine if the job still has no task on any machine.
     fn bind_overdue_array(&mut self, position: usize, allocation: u32) {
         let tasks = allocation.max(1);
         self.bind_tasks(position, tasks, Entitlement::FairShare, ImageFilter::Any);
@@ -86,34 +90,37 @@
         }
     }
 
-    /// Keeps the machine with the most free CPUs that could hold a job's task from other jobs,
-    /// so that resources that become free in small pieces add up there.
+    /// Reserves one machine for a job: of those that could hold its task but lack free resources
+    /// now, the one with the most free CPUs. Other jobs may not use it, so that resources that
+    /// become free there a few at a time add up until the task fits.
     fn reserve_machine_for(&mut self, position: usize) {
         let job = &self.cycle.jobs[position];
         if job.pending == 0 || !self.cycle.team_of(job).within_limit(job.task_request) {
             return;
         }
-        let could_hold = |machine: &SchedulableMachine| {
+        let could_hold_task = |machine: &SchedulableMachine| {
             machine.schedulable
                 && job.task_request.fits_in(machine.capacity)
                 && !job.task_request.fits_in(machine.free)
                 && job.is_feasible_on(machine)
         };
         let machines = self.cycle.machines.iter().enumerate();
-        let usable = machines.filter(|(_, machine)| could_hold(machine));
-        if let Some((machine, state)) = usable.max_by_key(|(_, machine)| machine.free.cpus) {
-            self.candidates.reserve(machine, state);
+        let usable = machines.filter(|(_, machine)| could_hold_task(machine));
+        let most_free = usable.max_by_key(|(_, machine)| machine.free.cpus);
+        if let Some((machine_position, machine)) = most_free {
+            self.candidates.reserve(machine_position, machine);
         }
     }
 
-    /// Guarantees, fair shares and borrowing, in this order; within each, jobs by priority.
+    /// Binds tasks by guarantee, then by fair share, then by borrowing; within each of these, jobs
+    /// of higher priority go first.
     fn bind_by_priority(&mut self, order: &[usize], allocations: &[u32]) {
         let jobs = &self.cycle.jobs;
         let groups: Vec<Vec<usize>> = order
             .chunk_by(|a, b| jobs[*a].priority == jobs[*b].priority)
             .map(<[usize]>::to_vec)
             .collect();
-        // Guarantees come before shares: within them no team waits for another one.
+        // Guarantees precede shares, so that no team waits for another one within its guarantee.
         let entitlements = [Entitlement::Guarantee, Entitlement::FairShare, Entitlement::Borrowed];
         for entitlement in entitlements {
             for group in &groups {
@@ -122,11 +129,11 @@
         }
     }
 
-    /// Binds tasks of jobs of one priority.
+    /// Binds tasks of a group of jobs that have the same priority.
     fn bind_group(&mut self, group: &[usize], allocations: &[u32], entitlement: Entitlement) {
-        // Each job first takes, within its share, the machines that have its image:
-        // otherwise smaller jobs would have them fetch other images while this job's image
-        // is fetched elsewhere.
+        // Within its share, each job first takes the machines that have or fetch its image.
+        // Otherwise smaller jobs would make those machines fetch other images, while this job's
+        // image would be fetched elsewhere.
         for position in group.iter().copied() {
             let job = &self.cycle.jobs[position];
             if !job.gang {
@@ -134,20 +141,20 @@
                 self.bind_tasks(position, tasks, entitlement, ImageFilter::CachedOrFetching);
             }
         }
-        let all = entitlement != Entitlement::FairShare;
+        let ignores_share = entitlement != Entitlement::FairShare;
         for position in group.iter().copied() {
             let job = &self.cycle.jobs[position];
             if !job.gang {
                 let in_share = allocations[position].saturating_sub(job.assigned());
-                let tasks = if all { u32::MAX } else { in_share };
+                let tasks = if ignores_share { u32::MAX } else { in_share };
                 self.bind_tasks(position, tasks, entitlement, ImageFilter::Any);
-            } else if all || allocations[position] >= job.remaining {
+            } else if ignores_share || allocations[position] >= job.remaining {
                 self.bind_gang(position, entitlement);
             }
         }
     }
 
-    /// Binds up to `max_tasks` of a job's tasks.
+    /// Binds up to `max_tasks` of a job's pending tasks to machines that `filter` accepts.
     fn bind_tasks(
         &mut self,
         position: usize,
@@ -174,15 +181,16 @@
         self.candidates.restore(skipped);
     }
 
-    /// Binds all of a gang's tasks, or none; returns whether it did.
+    /// Binds all pending tasks of a gang or none of them; returns whether they were bound.
     fn bind_gang(&mut self, position: usize, entitlement: Entitlement) -> bool {
         let job = &self.cycle.jobs[position];
-        // A cycle that is full takes no more, but one gang may be more than a cycle.
-        let is_full = !self.bindings.is_empty()
+        // A gang must fit into what is left of the cycle's bindings. Only the first bindings of a
+        // cycle may exceed the maximum, since a gang can be larger than a whole cycle.
+        let exceeds_cycle = !self.bindings.is_empty()
             && self.bindings.len() + job.pending as usize > self.cycle.max_bindings;
         if job.pending == 0
             || (job.pending < job.remaining && !job.replaces_gang_members)
-            || is_full
+            || exceeds_cycle
             || !self.is_entitled(job, job.pending, entitlement)
         {
             return false;
@@ -197,8 +205,8 @@
         true
     }
 
-    /// Whether so many tasks keep the job's team within its limit and, if that is why they may
-    /// be placed, its guarantee.
+    /// Whether the job's team stays within its limit with this many further tasks and, if the
+    /// entitlement is the guarantee, also within its guarantee.
     fn is_entitled(&self, job: &SchedulableJob, tasks: u32, entitlement: Entitlement) -> bool {
         let team = self.cycle.team_of(job);
         let request = job.task_request * i64::from(tasks);
@@ -206,7 +214,7 @@
             && (entitlement != Entitlement::Guarantee || team.within_guarantee(request))
     }
 
-    /// Binds a job's next task to a machine, and counts what follows from that.
+    /// Binds a job's next task to a machine, and updates the cycle and the candidate index.
     fn bind(&mut self, job_position: usize, machine_position: usize) {
         let job = &mut self.cycle.jobs[job_position];
         let machine = &mut self.cycle.machines[machine_position];
@@ -215,9 +223,9 @@
         if !machine.cached_or_fetching.contains(&job.image) {
             machine.cached_or_fetching.push(job.image);
             machine.fetching = true;
-            self.candidates.fetch_started(machine_position, free_before, job.image);
+            self.candidates.record_fetch_started(machine_position, free_before, job.image);
         }
-        self.candidates.free_changed(machine_position, machine, free_before);
+        self.candidates.record_free_change(machine_position, machine, free_before);
         self.cycle.teams[job.team.position()].used += job.task_request;
         let zone = machine.zone.position();
         if job.tasks_by_zone.len() <= zone {
--- a/crates/gladekeel-sched/src/cycle/gang.rs
+++ b/crates/gladekeel-sched/src/cycle/gang.rs
@@ -1,4 +1,4 @@
-//! Finds machines for a whole gang, or none.
+//! Finds machines for all pending tasks of a gang, or for none of them.
 
 use super::SchedulingCycle;
 use crate::candidate_index::CandidateIndex;
@@ -6,20 +6,24 @@
 use crate::{DenseIndex, ImageIdx, ZoneIdx};
 use std::{cmp::Reverse, collections::BTreeSet};
 
-/// A machine that can take tasks of a gang. The order of the fields is the order of
-/// preference.
+/// A machine that can take tasks of a gang. The derived order compares the fields from first to
+/// last, and the candidate that sorts first is preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
+    /// State of the gang's image on the machine.
     image_state: ImageState,
-    /// Machines of the warm pool come first.
+    /// False for machines of the warm pool, which are preferred.
     outside_warm_pool: bool,
-    /// Spot machines come first.
+    /// False for spot machines, which are preferred.
     on_demand: bool,
-    /// How many tasks fit. Few machines are better: each may be lost, or be a straggler.
+    /// How many tasks fit. Machines that hold more tasks are preferred, since a gang on fewer
+    /// machines is less likely to lose one or to have a slow one.
     tasks: Reverse<u32>,
+    /// Free CPUs, in thousandths: the fullest machine is preferred.
     free_cpus: i64,
-    /// Its position in the cycle.
+    /// Position of the machine in the cycle.
     machine: usize,
+    /// Zone of the machine.
     zone: ZoneIdx,
 }
 
@@ -37,17 +41,17 @@
     }
 }
 
-/// Machines that hold a whole gang.
+/// Machines that hold all pending tasks of a gang.
 pub(super) struct GangPlacement {
-    /// Positions of the machines, with how many of the gang's tasks each takes.
+    /// The position of each machine, and how many of the gang's tasks it takes.
     pub tasks_by_machine: Vec<(usize, u32)>,
-    /// The state of the image on the machine that has it last: the gang starts no sooner.
+    /// State of the image on the machine where it is ready last: the gang cannot start sooner.
     slowest_image: ImageState,
 }
 
-/// The machines for all pending tasks of a gang; `None` if they do not fit as things are. A gang
-/// of one zone gets the zone where its image is ready soonest, then the one with the fewest
-/// machines for it.
+/// Returns machines for all pending tasks of a gang; `None` if they do not fit on the free
+/// resources. A single-zone gang gets the zone where its image is ready soonest and, among such
+/// zones, the one where it needs the fewest machines.
 pub(super) fn place(
     cycle: &SchedulingCycle,
     gang: usize,
@@ -55,15 +59,15 @@
 ) -> Option<GangPlacement> {
     let candidates = find_candidates(cycle, gang, index);
     if !cycle.jobs[gang].single_zone {
-        return spread(cycle, gang, &candidates);
+        return assign_tasks(cycle, gang, &candidates);
     }
     let zones: BTreeSet<ZoneIdx> = candidates.iter().map(|candidate| candidate.zone).collect();
     let in_zone = |zone: ZoneIdx| candidates.iter().filter(move |c| c.zone == zone);
-    let placements = zones.into_iter().filter_map(|zone| spread(cycle, gang, in_zone(zone)));
+    let placements = zones.into_iter().filter_map(|zone| assign_tasks(cycle, gang, in_zone(zone)));
     placements.min_by_key(|placement| (placement.slowest_image, placement.tasks_by_machine.len()))
 }
 
-/// Machines that can take tasks of a gang, the best first.
+/// Returns the machines that can take at least one task of a gang, the preferred ones first.
 fn find_candidates(
     cycle: &SchedulingCycle,
     gang: usize,
@@ -85,9 +89,9 @@
     candidates
 }
 
-/// Spreads a gang's pending tasks over the first of these machines; `None` if they do not hold
-/// all of them.
-fn spread<'a>(
+/// Assigns a gang's pending tasks to these machines, in the given order; `None` if the machines do
+/// not hold all of the tasks.
+fn assign_tasks<'a>(
     cycle: &SchedulingCycle,
     gang: usize,
     candidates: impl IntoIterator<Item = &'a Candidate>,
--- a/crates/gladekeel-sched/src/cycle/state.rs
+++ b/crates/gladekeel-sched/src/cycle/state.rs
@@ -1,38 +1,41 @@
-//! The state of a scheduling cycle, and the questions that placing and preemption ask of it.
+//! The state of a scheduling cycle, and the queries that binding and preemption make on it.
 
 use crate::fair_share::{Demand, FairShare};
 use crate::snapshot::{SchedulableJob, SchedulableMachine, TeamQuota};
 use crate::{DenseIndex, Resources};
 
-/// The largest share of the cluster that one task counts for: keeps the share finite for a task
-/// that requests a resource of which the cluster has nothing.
+/// Upper bound for the share of the cluster that one task counts for. It keeps the share finite if
+/// a task requests a resource of which the cluster has none.
 const MAX_TASK_SHARE: f64 = 1e6;
-/// The smallest share by which an allocation is divided: a task that requests nothing has none.
+/// Lower bound for the task share by which an allocation is divided: the share of a task that
+/// requests nothing is 0.
 const MIN_TASK_SHARE: f64 = 1e-12;
-/// Keeps rounding errors from taking a whole task off an allocation.
+/// Added before rounding down, so that a floating-point error does not cost a whole task.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// The maximum of tasks in an allocation, before it is bounded by the job's remaining tasks.
+/// Maximum number of tasks in an allocation, before the job's remaining tasks bound it.
 const MAX_TASKS: f64 = 1e9;
 
-/// The snapshot that a scheduling cycle works on. Binding and preemption update it.
+/// The snapshot that a scheduling cycle works on. Binding and preemption update this snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct SchedulingCycle {
-    /// The machines; ones without free resources may be left out.
+    /// The machines; those without free resources may be left out.
     pub machines: Vec<SchedulableMachine>,
-    /// The capacity of all machines, those left out included.
+    /// Total capacity of all machines, including those left out of `machines`.
     pub total_capacity: Resources,
     /// The teams, by [`TeamIdx`](crate::TeamIdx).
     pub teams: Vec<TeamQuota>,
     /// The jobs, oldest first.
     pub jobs: Vec<SchedulableJob>,
-    /// The maximum of bindings; further tasks wait for the next cycle.
+    /// Maximum number of bindings; further tasks wait for the next cycle.
     pub max_bindings: usize,
-    /// How often a machine was examined: the cost of a cycle, for metrics and load tests.
+    /// How many times a machine or pool was examined: the cost of a cycle, for metrics and load
+    /// tests.
     pub machines_examined: u64,
 }
 
 impl SchedulingCycle {
-    /// Positions of the jobs: overdue ones first, then by priority, virtual size and age.
+    /// Returns the positions of the jobs in scheduling order: overdue jobs first, the longest wait
+    /// ahead; then by descending priority, ascending virtual size and descending age.
     pub fn job_order(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.jobs.len()).collect();
         order.sort_by_key(|position| {
@@ -42,8 +45,8 @@
         order
     }
 
-    /// How many tasks of each job its fair share covers, by the job's position. Higher
-    /// priorities get their shares first; [`FairShare`] divides within a priority.
+    /// Returns how many tasks of each job its fair share covers, by the job's position. Jobs of
+    /// higher priority get their shares first; [`FairShare`] divides the rest within a priority.
     pub fn task_allocations(&self, fair_share: &FairShare) -> Vec<u32> {
         let mut allocations = vec![0; self.jobs.len()];
         let mut unallocated = 1.0;
@@ -75,12 +78,12 @@
         Demand { remaining: job.remaining, task_share: task_share.min(MAX_TASK_SHARE) }
     }
 
-    /// The quota of a job's team.
+    /// Returns the quota of a job's team.
     pub(crate) fn team_of(&self, job: &SchedulableJob) -> &TeamQuota {
         &self.teams[job.team.position()]
     }
 
-    /// Whether the machines could hold all of a gang if nothing else were on them.
+    /// Whether the schedulable machines could hold the whole gang if no other task were on them.
     pub(super) fn could_hold_gang(&self, position: usize) -> bool {
         let job = &self.jobs[position];
         let usable = self.machines.iter().filter(|m| m.schedulable && job.is_feasible_on(m));
@@ -88,9 +91,9 @@
         tasks.sum::<u32>() >= job.remaining
     }
 
-    /// Counts as many of a job's pending tasks on free resources as fit: preemption for a gang
-    /// looks for the rest of it only.
-    pub(crate) fn reserve_free(&mut self, position: usize) {
+    /// Reserves free resources for as many of a gang's pending tasks as fit and counts those tasks
+    /// as placed, so that preemption has to free resources only for the remaining ones.
+    pub(crate) fn reserve_free_resources(&mut self, position: usize) {
         let job = &mut self.jobs[position];
         let team = &mut self.teams[job.team.position()];
         for machine in &mut self.machines {
@@ -109,7 +112,7 @@
     }
 }
 
-/// The whole tasks that a share covers.
+/// Returns the number of whole tasks that a share covers, at most the job's remaining ones.
 fn whole_tasks(share: f64, demand: Demand) -> u32 {
     let tasks = (share / demand.task_share.max(MIN_TASK_SHARE) + ROUNDING_TOLERANCE).floor();
     (tasks.min(MAX_TASKS) as u32).min(demand.remaining)
--- a/crates/gladekeel-sched/src/lib.rs
+++ b/crates/gladekeel-sched/src/lib.rs
@@ -1,15 +1,15 @@
-//! Scheduling decisions, without I/O, clocks or names.
+//! Scheduling decisions as pure computations, without I/O, clocks or names.
 //!
-//! - [`Interner`] maps names to dense indices, so that decisions are made on small numbers;
-//! - [`snapshot`] describes machines, jobs and teams as a decision sees them;
+//! - [`Interner`] maps names to dense indices, so that decisions work on small integers;
+//! - [`snapshot`] describes the machines, jobs and teams that a decision is based on;
 //! - [`fair_share`] divides the cluster between jobs;
 //! - [`cycle`] binds pending tasks to machines;
-//! - [`preemption`] chooses running tasks to stop for those with a better claim;
-//! - [`straggler`] finds the tasks that are slow enough to restart;
+//! - [`preemption`] chooses running tasks to stop in favour of jobs with a better claim;
+//! - [`straggler`] finds running tasks that are slow enough to restart;
 //! - [`autoscaling`] plans how many machines there should be.
 //!
-//! The leader of `gladekeel-controller` calls all of these. Time is passed in and nothing is
-//! random: the same input gives the same output.
+//! The leader in `gladekeel-controller` calls all of these modules. Time is an argument and nothing
+//! is random: the same input always gives the same output.
 
 pub mod autoscaling;
 pub mod cycle;
--- a/crates/gladekeel-sched/src/preemption.rs
+++ b/crates/gladekeel-sched/src/preemption.rs
@@ -152,7 +152,7 @@
                     continue;
                 }
                 (job.zone, job.requires_cached_image) = (*zone, requires_cached_image);
-                trial_cycle.reserve_free(position);
+                trial_cycle.reserve_free_resources(position);
                 let preempted = trial_candidates.preempt_for(
                     &mut trial_cycle,
                     position,
