--- a/crates/gladekeel-sched/src/autoscaling.rs
+++ b/crates/gladekeel-sched/src/autoscaling.rs
@@ -1,86 +1,87 @@
-//! How many machines of one type there should be.
+//! Plans how many machines of one type there should be.
 //!
-//! The leader's autoscaler keeps one [`Autoscaler`] per machine type and purchase model, and asks
-//! it for a [`ScalingPlan`] at regular intervals. All amounts of work are in machines of that
+//! The leader keeps one [`Autoscaler`] per machine type and purchase model, and requests a
+//! [`ScalingPlan`] from each at regular intervals. All amounts of work are in machines of that
 //! type: a task counts as the fraction of a machine that it requests.
 //!
-//! Work that is due by a time must fit into what the machines can do until then. For what does
-//! not fit, new machines do their part from the end of their boot on; work that is due sooner is
-//! late in any case, and counts as due when a new machine could have done it. Besides:
+//! For every due time, the work that is due by then must fit into what the machines can do until
+//! then. Machines are added for the work that does not fit; a new machine does work only after it
+//! has booted. Work that is due before a new machine could complete it is late in any case, and
+//! counts as due at the time when a new machine could have completed it. In addition:
 //!
-//! - work that is yet to arrive counts as far as it will be due earlier;
-//! - as long as there is work for them, as many machines as were busy of late are requested, so
-//!   that lost ones are replaced before work is late;
-//! - a pending gang needs its machines at once, beside all that runs.
+//! - work that has yet to arrive counts to the extent that it will be due by the same time;
+//! - while there is enough work, as many machines are requested as were busy recently, so that
+//!   lost machines are replaced before work is late;
+//! - a pending gang needs its machines at once, in addition to those that run other tasks.
 
-/// What a job demands of a machine type.
+/// The demand of a job for machines of one type.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct JobDemand {
-    /// Tasks on no machine, in machines.
+    /// Pending tasks, in machines.
     pub pending: f64,
-    /// Tasks on machines, in machines.
+    /// Tasks assigned to machines, in machines.
     pub running: f64,
     /// Expected run time of a task, in seconds.
     pub run_s: f64,
-    /// Time until the job should be complete, in seconds; negative if it is late.
+    /// Time until the job should be complete, in seconds; negative if the job is late.
     pub time_left_s: f64,
     /// Whether the pending tasks can only run all at once.
     pub gang: bool,
 }
 
 impl JobDemand {
-    /// Machine-seconds of work left; running tasks count as half done.
+    /// Returns the remaining work in machine-seconds; running tasks count as half done.
     fn remaining_work(&self) -> f64 {
         (self.pending + 0.5 * self.running) * self.run_s
     }
 }
 
-/// Work of a class of jobs that keeps arriving, as measured in the last minutes.
+/// The rate at which work of a class of jobs arrives, as measured in the last minutes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ArrivalRate {
-    /// Machines that it keeps busy.
+    /// Number of machines that the arriving work keeps busy.
     pub machines: f64,
     /// Time from a job's submission until it should be complete, in seconds.
     pub due_s: f64,
 }
 
 impl ArrivalRate {
-    /// Machine-seconds that will arrive and be due within so many seconds.
+    /// Returns the machine-seconds of work that will both arrive and be due within `seconds`.
     fn work_due_within(&self, seconds: f64) -> f64 {
         self.machines * (seconds - self.due_s).max(0.0)
     }
 }
 
-/// The machines that there are, and those that are booting or requested.
+/// The machines that are up, and those that are booting or requested.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Supply {
-    /// Machines that are up.
+    /// Number of machines that are up.
     pub up: f64,
-    /// For each machine that is not up yet, the expected seconds until it is.
+    /// For each machine that is booting or requested, the expected time in seconds until it is up.
     pub booting: Vec<f64>,
 }
 
 impl Supply {
-    /// All machines, up or not.
+    /// Returns the number of all machines, whether up or not.
     pub fn total(&self) -> f64 {
         self.up + self.booting.len() as f64
     }
 
-    /// Machine-seconds that the machines can do within so many seconds.
+    /// Returns the machine-seconds of work that the machines can do within `seconds`.
     fn capacity_within(&self, seconds: f64) -> f64 {
         let booting = self.booting.iter().map(|boot_s| (seconds - boot_s).max(0.0));
         self.up * seconds + booting.sum::<f64>()
     }
 }
 
-/// How many machines to have.
+/// The result of planning: how many machines to add, and how many to keep.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ScalingPlan {
-    /// Machines to add.
+    /// Number of machines to add.
     pub scale_out: f64,
-    /// Machines that the known work requires; idle ones beyond may be removed.
+    /// Number of machines that the known work requires; idle machines beyond it may be removed.
     pub required: f64,
-    /// Idle spot machines stay up to this many, for the usual load.
+    /// Number of machines up to which idle spot machines are kept, for the usual load.
     pub retain: f64,
 }
 
@@ -89,9 +90,10 @@
 pub struct AutoscalerConfig {
     /// Time constant of the smoothed demand, in seconds.
     pub smoothing_s: f64,
-    /// The part of the smoothed demand that idle spot machines are kept for.
+    /// Fraction of the smoothed demand for which idle spot machines are kept.
     pub spot_retention: f64,
-    /// The part of a machine's time that is counted on: tasks don't fill machines without gaps.
+    /// Fraction of a machine's time that plans count on, since tasks do not fill machines without
+    /// gaps.
     pub target_utilization: f64,
 }
 
@@ -101,25 +103,25 @@
     }
 }
 
-/// What a plan is made from.
+/// The input of [`Autoscaler::plan`].
 #[derive(Debug, Clone, Copy)]
 pub struct ScalingInput<'a> {
     /// The demands of all unfinished jobs.
     pub demands: &'a [JobDemand],
-    /// The machines.
+    /// The machines of the type.
     pub supply: &'a Supply,
-    /// Work that keeps arriving.
+    /// The rates at which work of each class of jobs arrives.
     pub arrivals: &'a [ArrivalRate],
     /// How long a machine takes to boot, in seconds.
     pub boot_s: f64,
 }
 
-/// An amount of work that must be done by a time.
+/// The amount of work that must be done by a due time.
 #[derive(Debug, Clone, Copy)]
 struct DueWork {
-    /// Seconds from now.
+    /// Due time, in seconds from now.
     due_s: f64,
-    /// Machine-seconds, all work that is due earlier included.
+    /// Machine-seconds of work, including all work that is due earlier.
     work: f64,
 }
 
@@ -137,8 +139,8 @@
         gangs.map(|demand| demand.pending).sum()
     }
 
-    /// The work that is due by the due time of each job, in machine-seconds at the target
-    /// utilization. No job counts as due sooner than its earliest possible completion.
+    /// Returns the work that is due by the due time of each job, in machine-seconds at the target
+    /// utilization. No job counts as due before its earliest possible completion.
     fn work_by_due_time(
         &self,
         earliest_completion_s: impl Fn(&JobDemand) -> f64,
@@ -160,7 +162,7 @@
         due
     }
 
-    /// Machines that do all work in time, if they are up already.
+    /// Returns how many machines would do all work in time if all of them were already up.
     fn machines_for_due_work(&self, config: &AutoscalerConfig) -> f64 {
         self.work_by_due_time(|demand| demand.run_s, config)
             .into_iter()
@@ -168,34 +170,38 @@
             .fold(self.running(), f64::max)
     }
 
-    /// Machines to add for work that the supply cannot do in time.
-    fn missing_for_due_work(&self, config: &AutoscalerConfig) -> f64 {
+    /// Returns how many machines to add for work that the supply cannot do in time.
+    fn scale_out_for_due_work(&self, config: &AutoscalerConfig) -> f64 {
         self.work_by_due_time(|demand| self.boot_s + demand.run_s, config)
             .into_iter()
             .map(|due| {
-                let missing_work = due.work - self.supply.capacity_within(due.due_s);
-                missing_work / (due.due_s - self.boot_s).max(1.0)
+                let excess_work = due.work - self.supply.capacity_within(due.due_s);
+                excess_work / (due.due_s - self.boot_s).max(1.0)
             })
             .fold(0.0, f64::max)
     }
 
-    /// Machines to add so that pending gangs fit beside all that runs, however soon that ends.
-    fn missing_for_gangs(&self) -> f64 {
+    /// Returns how many machines to add so that pending gangs fit beside all running tasks, even if
+    /// those tasks are about to end.
+    fn scale_out_for_gangs(&self) -> f64 {
         let gangs = self.pending_gangs();
         if gangs > 0.0 { self.running() + gangs - self.supply.total() } else { 0.0 }
     }
 }
 
-/// Plans the machines of one type. Keeps smoothed values from one plan to the next.
+/// Plans the number of machines of one type. Keeps smoothed values between plans.
 #[derive(Debug, Clone, Default)]
 pub struct Autoscaler {
+    /// Smoothed [`ScalingPlan::required`].
     smoothed_required: f64,
+    /// Smoothed number of busy machines.
     smoothed_busy: f64,
+    /// Time of the last plan, in seconds; 0 before the first one.
     planned_at: f64,
 }
 
 impl Autoscaler {
-    /// Plans for the demands as of now, a time in seconds that does not go back.
+    /// Makes a plan for the demands at `now`, in seconds; `now` must not decrease between calls.
     pub fn plan(
         &mut self,
         now: f64,
@@ -207,9 +213,9 @@
         let running = input.running();
         self.smoothed_busy = self.smoothed_busy * old_weight + running * (1.0 - old_weight);
         let scale_out = input
-            .missing_for_due_work(config)
+            .scale_out_for_due_work(config)
             .max(self.lost_machines(input).floor())
-            .max(input.missing_for_gangs().ceil());
+            .max(input.scale_out_for_gangs().ceil());
         let required = input.machines_for_due_work(config).max(running + input.pending_gangs());
         self.smoothed_required =
             self.smoothed_required * old_weight + required * (1.0 - old_weight);
@@ -220,7 +226,8 @@
         }
     }
 
-    /// Machines that were busy of late, are there no more, and for which there is work.
+    /// Returns how many machines were busy recently and are missing now, as far as there is work
+    /// for them; negative if none is missing.
     fn lost_machines(&self, input: &ScalingInput<'_>) -> f64 {
         let with_work = self.smoothed_busy.min(input.running() + input.pending());
         with_work - input.supply.up - input.supply.booting.len() as f64
--- a/crates/gladekeel-sched/src/preemption.rs
+++ b/crates/gladekeel-sched/src/preemption.rs
@@ -1,11 +1,13 @@
-//! Preemption: which running tasks are stopped for pending ones with a better claim.
+//! Preemption: decides which running tasks are stopped in favour of pending ones with a better
+//! claim.
 //!
-//! The leader calls this after a [`SchedulingCycle`] has run, for jobs that are still pending
-//! and have waited long enough, with the tasks that may be stopped at all.
+//! The leader calls this module after a [`SchedulingCycle`] has run, for jobs that still have
+//! pending tasks and have waited long enough. The caller passes only tasks that may be stopped.
 //!
-//! A task may be preempted if it has a lower priority, or if its team has borrowed beyond its
-//! guarantee while the preempting job's team stays within its own. Machines where the least
-//! work is lost come first. For a gang, room is made for all of it or not at all.
+//! A task may be preempted if it has a lower priority than the preempting job, or if its team has
+//! borrowed beyond its guarantee while the preempting job's team stays within its own guarantee.
+//! Machines where the least work is lost come first. For a gang, capacity is freed for all of its
+//! pending tasks or not at all.
 
 use crate::{
     DenseIndex, Resources, TeamIdx, ZoneIdx,
@@ -20,23 +22,23 @@
 /// A running task, or a gang's tasks on one machine, that may be preempted.
 #[derive(Debug, Clone, Copy)]
 pub struct PreemptionCandidate {
-    /// Identifies it to the caller.
+    /// Identifies the candidate to the caller.
     pub id: u64,
-    /// Position of its machine in the cycle.
+    /// Position of the candidate's machine in the cycle.
     pub machine: usize,
-    /// Its team.
+    /// Team of the candidate's job.
     pub team: TeamIdx,
-    /// Its priority.
+    /// Priority of the candidate's job; a greater value is a higher priority.
     pub priority: u8,
-    /// What it has requested.
+    /// Resources that the candidate has requested and that stopping it frees.
     pub resources: Resources,
-    /// Work that is lost if it is stopped, in CPU-seconds; never negative.
+    /// Work that is lost if the candidate is stopped, in CPU-seconds; never negative.
     pub lost_work: f64,
-    /// Whether it saves its progress in checkpoints.
+    /// Whether the candidate saves its progress in checkpoints.
     pub checkpoints: bool,
 }
 
-/// Which tasks a job may preempt.
+/// The kind of tasks that a job may preempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PreemptionScope {
     /// Only tasks that save their progress.
@@ -51,36 +53,43 @@
     }
 }
 
-/// Tasks that may be preempted, by machine, those that lose the least work first.
+/// Tasks that may be preempted, grouped by machine; on each machine, those that lose the least
+/// work come first.
 #[derive(Debug, Clone)]
 pub struct PreemptionCandidates {
+    /// The candidates of each machine, by the machine's position in the cycle.
     by_machine: Vec<Vec<PreemptionCandidate>>,
 }
 
-/// The candidates of one machine to stop so that a task fits there.
+/// The candidates to stop on one machine so that a task fits there.
 struct Eviction {
+    /// Work that is lost in all, in CPU-seconds.
     lost_work: f64,
+    /// The candidates' [`PreemptionCandidate::id`]s.
     ids: Vec<u64>,
 }
 
-/// Machines by the work that is lost if a task is placed there, the least first.
+/// Priority queue of machines, ordered by the work that is lost if a task is placed there; the
+/// machine with the least lost work comes first.
 #[derive(Default)]
 struct EvictionQueue(BinaryHeap<Reverse<(u64, usize)>>);
 
 impl EvictionQueue {
     fn push(&mut self, eviction: &Eviction, machine: usize) {
-        // Lost work is never negative: the bits of such numbers are in their order.
+        // Lost work is never negative, and the bit patterns of non-negative floating-point numbers
+        // sort as the numbers do.
         self.0.push(Reverse((eviction.lost_work.to_bits(), machine)));
     }
 
-    /// The machine with the least lost work, with the bits of that.
+    /// Removes the machine with the least lost work; returns the bit pattern of the lost work, as
+    /// queued, and the machine's position.
     fn pop(&mut self) -> Option<(u64, usize)> {
         self.0.pop().map(|Reverse(entry)| entry)
     }
 }
 
 impl PreemptionCandidates {
-    /// Groups candidates by machine, for a cycle with so many machines.
+    /// Groups candidates by machine, for a cycle with `machine_count` machines.
     pub fn new(
         machine_count: usize,
         candidates: impl IntoIterator<Item = PreemptionCandidate>,
@@ -97,10 +106,11 @@
         PreemptionCandidates { by_machine }
     }
 
-    /// Chooses tasks to stop for the pending tasks of the job at this position, and returns
-    /// their identifiers. Chooses no further ones once there are `max_preemptions`.
+    /// Chooses candidates to stop for the pending tasks of the job at `position`, and returns their
+    /// identifiers. The choice ends once at least `max_preemptions` candidates have been chosen.
     ///
-    /// The cycle counts the pending tasks that fit thereby as placed.
+    /// Updates `cycle` as if the chosen candidates were stopped and the pending tasks that then fit
+    /// were placed.
     pub fn preempt_for(
         &mut self,
         cycle: &mut SchedulingCycle,
@@ -115,7 +125,8 @@
             && preempted.len() < max_preemptions
             && let Some((queued_loss, machine)) = queue.pop()
         {
-            // What the teams use has changed since, and with it what may be preempted.
+            // Earlier evictions have changed what the teams use, and therefore which candidates may
+            // be preempted: the queued value may be outdated.
             let Some(eviction) = self.eviction_on(cycle, &job, machine, scope) else { continue };
             if eviction.lost_work.to_bits() > queued_loss {
                 queue.push(&eviction, machine);
@@ -133,9 +144,12 @@
         preempted
     }
 
-    /// As [`PreemptionCandidates::preempt_for`], for all pending tasks of a gang together with
-    /// what is free, or for none: half of a gang cannot start. Machines that have its image
-    /// come before others.
+    /// Like [`PreemptionCandidates::preempt_for`], but for all pending tasks of a gang or for none:
+    /// a part of a gang cannot start.
+    ///
+    /// The gang also uses free resources. If its pending tasks still do not all fit, the function
+    /// returns no identifiers and leaves `cycle` as it was. A placement on machines that have the
+    /// gang's image is preferred.
     pub fn preempt_for_gang(
         &mut self,
         cycle: &mut SchedulingCycle,
@@ -172,6 +186,7 @@
         Vec::new()
     }
 
+    /// Builds the queue of all machines where an eviction makes a task of the job fit.
     fn eviction_queue(
         &self,
         cycle: &SchedulingCycle,
@@ -187,8 +202,8 @@
         queue
     }
 
-    /// What must be stopped on a machine so that a task of the job fits; `None` if that cannot
-    /// be had, or if nothing need be stopped.
+    /// Returns the candidates that must be stopped on a machine so that a task of the job fits;
+    /// `None` if the task cannot be made to fit there or fits without an eviction.
     fn eviction_on(
         &self,
         cycle: &SchedulingCycle,
@@ -212,10 +227,10 @@
             if job.task_request.fits_in(free) {
                 break;
             }
-            let borrowed = reclaims_guarantee
+            let has_borrowed = reclaims_guarantee
                 && candidate.team != job.team
                 && cycle.teams[candidate.team.position()].exceeds_guarantee();
-            if scope.includes(candidate) && (candidate.priority < job.priority || borrowed) {
+            if scope.includes(candidate) && (candidate.priority < job.priority || has_borrowed) {
                 free += candidate.resources;
                 eviction.lost_work += candidate.lost_work;
                 eviction.ids.push(candidate.id);
@@ -224,7 +239,7 @@
         (job.task_request.fits_in(free) && !eviction.ids.is_empty()).then_some(eviction)
     }
 
-    /// Counts candidates of a machine as stopped.
+    /// Removes an eviction's candidates and updates the cycle as if these candidates were stopped.
     fn evict(&mut self, cycle: &mut SchedulingCycle, machine: usize, eviction: &Eviction) {
         let group = &mut self.by_machine[machine];
         for candidate in group.iter().filter(|candidate| eviction.ids.contains(&candidate.id)) {
@@ -235,7 +250,7 @@
     }
 }
 
-/// Whether a machine could run a task of the job if it were empty.
+/// Whether a machine could run a task of the job if no other task were on the machine.
 fn could_run_on(job: &SchedulableJob, machine: &SchedulableMachine) -> bool {
     machine.schedulable
         && (!machine.warm_pool || job.gang)
@@ -243,7 +258,8 @@
         && job.is_feasible_on(machine)
 }
 
-/// The zones that are tried for a gang, one after the other; `None` stands for all at once.
+/// Returns the zones to try for a gang, one after another; `None` in the list stands for all zones
+/// at once.
 fn allowed_zones(cycle: &SchedulingCycle, gang: &SchedulableJob) -> Vec<Option<ZoneIdx>> {
     if !gang.single_zone {
         return vec![gang.zone];
--- a/crates/gladekeel-sched/src/straggler.rs
+++ b/crates/gladekeel-sched/src/straggler.rs
@@ -1,21 +1,22 @@
-//! Straggler mitigation: which running tasks are slow enough to be restarted elsewhere.
+//! Straggler mitigation: finds running tasks that are slow enough to be restarted elsewhere.
 //!
-//! The leader calls [`find_stragglers`] with the running tasks of some machines, and restarts
-//! what it returns speculatively: the task is stopped before it starts anew, since no task may
-//! be on two machines at once.
+//! The leader calls [`find_stragglers`] with the running tasks of some machines and speculatively
+//! restarts the tasks that it returns. A task is stopped before it is started again, since no task
+//! may be on two machines at once.
 
 use crate::MachineIdx;
 
 /// A running task.
 #[derive(Debug, Clone, Copy)]
 pub struct RunningTask {
-    /// Its machine.
+    /// Machine that the task runs on.
     pub machine: MachineIdx,
-    /// How long it has run, in seconds.
+    /// Time for which the task has run, in seconds.
     pub ran_s: f64,
-    /// Median run time of its job's finished tasks in seconds, if enough have finished.
+    /// Median run time of the job's completed tasks, in seconds; `None` until enough tasks have
+    /// completed.
     pub median_s: Option<f64>,
-    /// Whether it may be restarted.
+    /// Whether the task may be restarted.
     pub may_restart: bool,
 }
 
@@ -25,9 +26,11 @@
     }
 }
 
-/// Positions of the tasks to restart, in ascending order: those that have run for more than
-/// `multiple` times their job's median, on a machine all of whose several tasks have. A slow
-/// task among ordinary ones has more to do, and would take as long elsewhere.
+/// Returns the positions of the tasks to restart, in ascending order.
+///
+/// A task is slow if it has run for more than `multiple` times the median run time of its job. A
+/// machine's tasks are restarted only if there are several and all of them are slow: a slow task
+/// among normal ones simply has more to do and would take as long on another machine.
 pub fn find_stragglers(tasks: &[RunningTask], multiple: f64) -> Vec<usize> {
     let mut order: Vec<usize> = (0..tasks.len()).collect();
     order.sort_by_key(|task| tasks[*task].machine);
@@ -41,7 +44,8 @@
     stragglers
 }
 
-/// The median of a list, which it reorders; the upper one if there are two in the middle.
+/// Returns the median of `values` and reorders them; the upper of the two middle values if their
+/// number is even, `None` if there are no values.
 pub fn median(values: &mut [f64]) -> Option<f64> {
     if values.is_empty() {
         return None;
