--- a/crates/gladekeel-sched/src/indices.rs
+++ b/crates/gladekeel-sched/src/indices.rs
@@ -1,19 +1,18 @@
-//! Newtypes for dense indices, one for each kind of thing that is indexed, so that the index of
-//! a zone cannot be taken for that of a machine type.
+//! Newtypes for dense indices, one for each kind of indexed object, so that for example the index
+//! of a zone cannot be used as the index of a machine type.
 
 use std::fmt;
 
-/// An index that an [`Interner`](crate::Interner) hands out: 0 for the first name, then 1, and
-/// so on.
+/// An index that an [`Interner`](crate::Interner) assigns: 0 for the first name, then 1, and so on.
 pub trait DenseIndex: Copy {
-    /// The index of the element at this position.
+    /// Returns the index of the element at this position.
     ///
     /// # Panics
     ///
     /// If there are more than `u32::MAX` elements.
     fn from_position(position: usize) -> Self;
 
-    /// The position of the element.
+    /// Returns the position of the element that has this index.
     fn position(self) -> usize;
 }
 
@@ -34,7 +33,7 @@
         pub struct $name(u32);
 
         impl $name {
-            /// The index with this number.
+            /// Returns the index with this number.
             pub const fn new(number: u32) -> $name {
                 $name(number)
             }
@@ -59,16 +58,16 @@
 }
 
 dense_indices! {
-    /// A job known to the leader.
+    /// Index of a job known to the leader.
     JobIdx;
-    /// A machine known to the leader.
+    /// Index of a machine known to the leader.
     MachineIdx;
-    /// A machine type of the cloud, or one that a job names.
+    /// Index of a machine type that the cloud offers or a job names.
     MachineTypeIdx;
-    /// A zone.
+    /// Index of a zone.
     ZoneIdx;
-    /// A team.
+    /// Index of a team.
     TeamIdx;
-    /// A container image.
+    /// Index of a container image.
     ImageIdx;
 }
--- a/crates/gladekeel-sched/src/intern.rs
+++ b/crates/gladekeel-sched/src/intern.rs
@@ -1,10 +1,10 @@
-//! Interning of names: each gets a dense index that does not change.
+//! Interning of names: each name gets a dense index that never changes.
 
 use crate::DenseIndex;
 use std::{collections::HashMap, hash::Hash};
 
-/// Maps names to dense indices, so that the rest of the code compares and
-/// indexes by small numbers.
+/// Maps names to dense indices, so that the rest of the code can compare and index by small
+/// integers.
 #[derive(Debug, Clone)]
 pub struct Interner<T, I = u32> {
     names: Vec<T>,
@@ -18,7 +18,7 @@
 }
 
 impl<T: Clone + Eq + Hash, I: DenseIndex> Interner<T, I> {
-    /// The index of a name, new if it has none yet.
+    /// Returns the index of a name, and assigns the next free one if the name has none yet.
     pub fn intern(&mut self, name: &T) -> I {
         if let Some(index) = self.indices.get(name) {
             return *index;
@@ -29,7 +29,7 @@
         index
     }
 
-    /// The index of a name that is known.
+    /// Returns the index of a name; `None` if the name has not been interned.
     pub fn get<Q>(&self, name: &Q) -> Option<I>
     where
         T: std::borrow::Borrow<Q>,
@@ -38,17 +38,21 @@
         self.indices.get(name).copied()
     }
 
-    /// The name of an index.
+    /// Returns the name that has this index.
+    ///
+    /// # Panics
+    ///
+    /// If this interner did not assign the index.
     pub fn name(&self, index: I) -> &T {
         &self.names[index.position()]
     }
 
-    /// All names, in the order of their indices.
+    /// Returns all names, in the order of their indices.
     pub fn names(&self) -> &[T] {
         &self.names
     }
 
-    /// How many names there are.
+    /// Returns the number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
--- a/crates/gladekeel-sched/src/resources.rs
+++ b/crates/gladekeel-sched/src/resources.rs
@@ -1,12 +1,13 @@
 //! Amounts of CPU, GPU and memory.
 //!
-//! Requests are rounded up and capacities down, so that no machine gets more than it has.
+//! Requests are rounded up and capacities are rounded down, so that no machine is overcommitted.
 
 use std::ops::{Add, AddAssign, Mul, Sub, SubAssign};
 
-/// Amounts are kept in thousandths.
+/// Number of integer units in one CPU, GPU or GB: amounts are kept in thousandths.
 const UNIT: f64 = 1000.0;
-/// Keeps errors of the floating-point product from changing an exact amount.
+/// Tolerance in rounding, so that the error of a floating-point product does not change an exact
+/// amount.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// An amount of CPU, GPU and memory, in thousandths, so that sums are exact.
@@ -21,24 +22,24 @@
 }
 
 impl Resources {
-    /// What a task requests: rounded up.
+    /// Returns the resources that a task requests, rounded up.
     pub fn requested(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
         let round_up = |amount: f64| (amount * UNIT - ROUNDING_TOLERANCE).ceil() as i64;
         Resources { cpus: round_up(cpus), gpus: round_up(gpus), memory: round_up(memory_gb) }
     }
 
-    /// What a machine offers: rounded down.
+    /// Returns the resources that a machine offers, rounded down.
     pub fn allocatable(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
         let round_down = |amount: f64| (amount * UNIT + ROUNDING_TOLERANCE).floor() as i64;
         Resources { cpus: round_down(cpus), gpus: round_down(gpus), memory: round_down(memory_gb) }
     }
 
-    /// Whether this much fits into `other`.
+    /// Whether each of these amounts is at most the one in `other`.
     pub fn fits_in(self, other: Resources) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus && self.memory <= other.memory
     }
 
-    /// How many times this much fits into `other`, up to `max`.
+    /// Returns how many times these resources fit into `other`, up to `max`.
     pub fn times_in(self, other: Resources, max: u32) -> u32 {
         let times = |request: i64, available: i64| {
             if request <= 0 { i64::MAX } else { available.max(0) / request }
@@ -49,8 +50,8 @@
             .min(i64::from(max)) as u32
     }
 
-    /// The largest of the shares that this is of a capacity's CPUs, GPUs and memory; infinite
-    /// if it asks for something of which there is none.
+    /// Returns the largest of the shares that these resources have of a capacity's CPUs, GPUs and
+    /// memory; infinite if they include a resource of which the capacity has none.
     pub fn dominant_share_of(self, capacity: Resources) -> f64 {
         let share = |request: i64, capacity: i64| match (request, capacity) {
             (0, _) => 0.0,
@@ -62,7 +63,7 @@
             .max(share(self.memory, capacity.memory))
     }
 
-    /// The lesser of the two amounts of each resource.
+    /// Returns the smaller of the two amounts for each resource.
     pub(crate) fn component_min(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
--- a/crates/gladekeel-sched/src/snapshot.rs
+++ b/crates/gladekeel-sched/src/snapshot.rs
@@ -1,52 +1,54 @@
 //! The scheduler's view of machines, jobs and teams at one point in time.
 //!
-//! The leader builds these values for each scheduling cycle. They hold indices and amounts only:
-//! whether a machine may take work, or how long a job is overdue, has been decided by then. The
-//! modules that decide ([`cycle`](crate::cycle), [`preemption`](crate::preemption)) depend on
-//! this one, and this one on none of them.
+//! The leader builds these values for each scheduling cycle. The values hold only indices, amounts
+//! and flags: the leader has already determined whether a machine may take tasks and for how long
+//! a job is overdue. The modules that make decisions ([`cycle`](crate::cycle),
+//! [`preemption`](crate::preemption)) depend on this module, which depends on none of them.
 
 use crate::{DenseIndex, ImageIdx, MachineTypeIdx, Resources, TeamIdx, ZoneIdx};
 
-/// A machine that may take work.
+/// A machine, as a scheduling cycle sees it.
 #[derive(Debug, Clone)]
 pub struct SchedulableMachine {
-    /// What it has in all.
+    /// Total resources of the machine.
     pub capacity: Resources,
-    /// What no task has requested.
+    /// Resources that no task on the machine has requested.
     pub free: Resources,
-    /// Its type.
+    /// Type of the machine.
     pub machine_type: MachineTypeIdx,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: ZoneIdx,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// Images that it has or fetches.
+    /// Images that the machine has or is fetching.
     pub cached_or_fetching: Vec<ImageIdx>,
-    /// Images that it has for certain.
+    /// Images that the machine is known to have.
     pub cached_images: Vec<ImageIdx>,
-    /// Whether it fetches an image now: another fetch would share its bandwidth.
+    /// Whether the machine is fetching an image now: another fetch would share the bandwidth.
     pub fetching: bool,
-    /// Whether it takes new work now.
+    /// Whether the machine may take new tasks now.
     pub schedulable: bool,
-    /// Whether it belongs to the warm pool, which only gangs may use.
+    /// Whether the machine belongs to the warm pool, which only gangs may use.
     pub warm_pool: bool,
 }
 
-/// How soon a machine can start a task with an image, the soonest first.
+/// The state of an image on a machine. Variants are ordered by how soon a task that needs the image
+/// can start, soonest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ImageState {
-    /// In the machine's cache: a task starts at once.
+    /// The image is in the machine's cache: a task starts at once.
     Cached,
-    /// Being fetched.
+    /// The machine is fetching the image.
     Fetching,
-    /// To be fetched; the machine fetches nothing else.
+    /// The image must be fetched, and the machine is not fetching any other image.
     AbsentNetworkIdle,
-    /// To be fetched, beside another image that shares the bandwidth.
+    /// The image must be fetched while the machine is fetching another image, and the two fetches
+    /// share the bandwidth.
     AbsentNetworkBusy,
 }
 
 impl SchedulableMachine {
-    /// The state of an image on this machine.
+    /// Returns the state of an image on this machine.
     pub(crate) fn image_state(&self, image: ImageIdx) -> ImageState {
         if self.cached_images.contains(&image) {
             ImageState::Cached
@@ -60,14 +62,14 @@
     }
 }
 
-/// A team's guarantee, limit and use. Quotas are in CPUs and GPUs; memory is not counted.
+/// A team's guarantee, limit and usage. Quotas apply to CPUs and GPUs; memory is not counted.
 #[derive(Debug, Clone, Copy)]
 pub struct TeamQuota {
-    /// What other teams may not keep from it.
+    /// Resources that the team is guaranteed: other teams cannot keep the team from using them.
     pub guaranteed: Resources,
-    /// The maximum that it may use.
+    /// Maximum resources that the team may use.
     pub limit: Resources,
-    /// What its tasks use.
+    /// Resources that the team's tasks use.
     pub used: Resources,
 }
 
@@ -82,71 +84,74 @@
         fits_quota(self.used + request, self.guaranteed)
     }
 
-    /// Whether the team has borrowed: it uses more than it is guaranteed.
+    /// Whether the team has borrowed, which means that it uses more than its guarantee.
     pub fn exceeds_guarantee(&self) -> bool {
         !fits_quota(self.used, self.guaranteed)
     }
 }
 
+/// Whether the CPUs and GPUs in use are within a quota.
 fn fits_quota(used: Resources, quota: Resources) -> bool {
     used.cpus <= quota.cpus && used.gpus <= quota.gpus
 }
 
-/// A job with tasks to place.
+/// An unfinished job, as a scheduling cycle sees it.
 #[derive(Debug, Clone)]
 pub struct SchedulableJob {
-    /// Its team.
+    /// Team of the job.
     pub team: TeamIdx,
-    /// The greater one goes first.
+    /// Priority of the job; jobs with a greater value go first.
     pub priority: u8,
-    /// What one task requests.
+    /// Resources that one task requests.
     pub task_request: Resources,
-    /// Tasks that have not completed.
+    /// Number of tasks that have not completed.
     pub remaining: u32,
-    /// Tasks of these that are on no machine.
+    /// Number of `remaining` tasks that are to be placed; the others count as assigned.
     pub pending: u32,
-    /// Pending tasks that are speculative restarts.
+    /// Number of `pending` tasks that are speculative restarts.
     pub speculative_restarts: u32,
-    /// Its container image.
+    /// Container image of the job.
     pub image: ImageIdx,
     /// Allowed machine types; `None` allows any.
     pub machine_types: Option<Vec<MachineTypeIdx>>,
-    /// The only allowed zone, if there is one.
+    /// The only allowed zone; `None` allows any.
     pub zone: Option<ZoneIdx>,
-    /// Whether all tasks must be in one zone.
+    /// Whether all tasks must be in the same zone.
     pub single_zone: bool,
-    /// The maximum of tasks in a zone.
+    /// Maximum number of tasks in each zone.
     pub max_tasks_per_zone: u32,
     /// Whether spot machines are allowed.
     pub spot: bool,
-    /// Tasks on machines, by zone; zones beyond the end have none.
+    /// Number of tasks on machines, by zone index; zones beyond the end have none.
     pub tasks_by_zone: Vec<u32>,
-    /// Whether all of its tasks start together or none does.
+    /// Whether the job is a gang, whose tasks start all together or not at all.
     pub gang: bool,
-    /// Whether it is a gang that has not started and lacks tasks that are gone.
+    /// Whether the job is a gang that has not started and has lost some of its assigned tasks; these
+    /// may be placed without the others.
     pub replaces_gang_members: bool,
-    /// For how long it has waited beyond the allowed time with nothing on any machine, in
-    /// seconds: the longest wait goes first.
+    /// Seconds for which the job has waited beyond the allowed time without a task on any machine;
+    /// 0 if it is not overdue. Jobs with the longest wait go first.
     pub overdue_s: u32,
-    /// Whether it should start sooner than its image can be fetched, so that for now only
-    /// machines with the image will do.
+    /// Whether the job may use only machines that have its image for now, because it should start
+    /// sooner than the image can be fetched.
     pub requires_cached_image: bool,
 }
 
 impl SchedulableJob {
-    /// Tasks that are on machines.
+    /// Returns the number of tasks that are assigned to machines.
     pub(crate) fn assigned(&self) -> u32 {
         self.remaining - self.pending
     }
 
-    /// Whether the job's constraints allow a further task on this machine; its free resources
-    /// are not looked at.
+    /// Whether the job's constraints allow a further task on this machine, regardless of the
+    /// machine's free resources.
     pub(crate) fn is_feasible_on(&self, machine: &SchedulableMachine) -> bool {
         (!self.requires_cached_image || machine.cached_images.contains(&self.image))
             && self.may_use(machine.machine_type, machine.zone, machine.spot)
     }
 
-    /// Whether the job's constraints allow a further task on machines of this pool.
+    /// Whether the job's constraints allow a further task on machines of this type, zone and
+    /// purchase model.
     pub fn may_use(&self, machine_type: MachineTypeIdx, zone: ZoneIdx, spot: bool) -> bool {
         (self.spot || !spot)
             && self.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&machine_type))
