--- a/crates/gladekeel-controller/src/leader/job/mod.rs
+++ b/crates/gladekeel-controller/src/leader/job/mod.rs
@@ -1,8 +1,8 @@
-//! A job: its specification and what the leader keeps of its tasks.
+//! A job: its specification and the state of its tasks, as the leader keeps them.
 //!
-//! Reconciliation adds jobs as they appear in the store and takes in the ends of their attempts;
-//! scheduling binds their pending tasks. Attempts on machines are in the
-//! [attempt table](super::attempt_table), not here.
+//! Reconciliation adds jobs as they appear in the store and applies the ends of their attempts;
+//! scheduling binds their pending tasks. The [attempt table](super::attempt_table) holds their
+//! attempts on machines.
 
 mod failure_backoff;
 mod objectives;
@@ -27,67 +27,72 @@
 pub use task_queue::TaskQueue;
 pub use zone_placement::ZonePlacement;
 
-/// A task is given this multiple of the time that its user expects it to save in, so that a
-/// slower save is not cut off.
+/// Multiple of the expected checkpoint write time that a task gets to save its progress, so that a
+/// slower write is not cut off.
 const CHECKPOINT_WRITE_FACTOR: f64 = 1.5;
-/// What comes on top of it, for saves that take next to no time.
+/// Time that a task gets to save its progress in addition to that multiple, in seconds, for
+/// checkpoints that take almost no time to write.
 const CHECKPOINT_WRITE_MARGIN_S: f64 = 1.0;
 
-/// A job that the store has, from its submission until its records are removed.
+/// A job in the store, from its submission until its records are removed.
 #[derive(Debug)]
 pub struct Job {
-    /// Its id, as the user chose it.
+    /// Id of the job, as chosen by the user.
     pub id: JobId,
-    /// What the user submitted.
+    /// Specification that the user submitted.
     pub spec: Rc<JobSpec>,
-    /// Version of its key in the store: the precondition of commits that change it.
+    /// Version of the job's key in the store: the precondition of commits that change the key.
     pub version: u64,
-    /// The team whose quota its tasks use.
+    /// Team whose quota the job's tasks use.
     pub team: TeamIdx,
     /// Resources that one task requests.
     pub task_request: Resources,
-    /// The image that its tasks run.
+    /// Image that the tasks run.
     pub image: ImageIdx,
-    /// Machine types that its tasks may use; `None` for any.
+    /// Machine types that the tasks may use; `None` allows any.
     pub machine_types: Option<Vec<MachineTypeIdx>>,
-    /// The only zone that its tasks may use; `None` for any.
+    /// The only zone that the tasks may use; `None` allows any.
     pub zone: Option<ZoneIdx>,
-    /// Its final state, once the store has one.
+    /// Final state of the job; `None` until the store has one.
     pub final_state: Option<JobState>,
-    /// Whether another controller has committed its cancellation and the store has not shown it
-    /// yet.
+    /// Whether another controller has committed the job's cancellation and this leader's view of
+    /// the store does not show the cancellation yet.
     pub cancellation_pending: bool,
-    /// If it is cancelled: a time on the leader's clock at which it was not yet. Its tasks must be
-    /// off their machines within a deadline from the cancellation, whose own time is not known.
+    /// For a cancelled job, a time on the leader's clock at which the job was not cancelled yet;
+    /// negative infinity if no such time is known. The tasks must be off their machines within a
+    /// deadline from the cancellation, whose exact time is not known.
     pub cancelled_no_earlier_than: f64,
     /// Tasks that have completed.
     pub done: TaskBitmap,
-    /// Tasks that were restarted as stragglers; none is a second time.
+    /// Tasks that were restarted as stragglers; no task is restarted a second time.
     pub restarted: TaskBitmap,
-    /// Tasks that were preempted; none is a second time, or it might never complete.
+    /// Tasks that were preempted. No task is preempted a second time, since it might then never
+    /// complete.
     pub preempted: TaskBitmap,
-    /// Tasks on no machine.
+    /// Tasks that are not on any machine.
     pub pending: TaskQueue,
-    /// Attempts on machines, by zone.
+    /// Number of attempts on machines, by zone.
     pub zone_placement: ZonePlacement,
-    /// The attempt number that a gang's tasks share, as long as any of them is on a machine.
+    /// Attempt number that a gang's tasks share while any of these tasks is on a machine.
     pub gang_attempt: u64,
-    /// By page of its tasks, the newest segment of the assignment log that has the whole page's
-    /// progress.
+    /// For each page of the job's tasks, the newest segment of the assignment log that records the
+    /// progress of the whole page.
     pub progress_segments: BTreeMap<u32, u64>,
-    /// When it was accepted, as far as known, on the leader's clock.
+    /// Time at which the job was accepted, in seconds on the leader's clock; if that is not known,
+    /// the time at which the leader added the job.
     pub submitted_at: f64,
-    /// How long its tasks take.
+    /// Run times of the job's completed tasks.
     pub run_times: RunTimeHistory,
-    /// When it may be scheduled again after failures.
+    /// Failures of the job's tasks, and when the job may be scheduled again.
     pub backoff: FailureBackoff,
-    /// Whether it no longer waits for a machine that has its image: none could be freed.
+    /// Whether the job no longer waits for a machine that has its image, because no such machine
+    /// could be freed.
     pub gave_up_on_cached_image: bool,
 }
 
 impl Job {
-    /// A job as the store has it, with no task started. `now` stands in for the time of its
-    /// submission until that is known.
+    /// Creates a job from its record in the store, with no task started. `now` is used as the time
+    /// of submission until the actual time is known.
     pub(super) fn new(
         catalog: &mut Catalog,
         id: JobId,
@@ -113,7 +118,7 @@
             done: TaskBitmap::default(),
             restarted: TaskBitmap::default(),
             preempted: TaskBitmap::default(),
-            pending: TaskQueue::of_new_job(spec.tasks),
+            pending: TaskQueue::for_new_job(spec.tasks),
             zone_placement: ZonePlacement::default(),
             gang_attempt: 0,
             progress_segments: BTreeMap::new(),
@@ -125,30 +130,32 @@
         }
     }
 
-    /// Whether it is cancelled, be it that only another controller knows so far.
+    /// Whether the job is cancelled, including a cancellation that another controller has committed
+    /// and that this leader has not seen in the store yet.
     pub fn is_cancelled(&self) -> bool {
         self.final_state == Some(JobState::Cancelled) || self.cancellation_pending
     }
 
-    /// Whether its tasks run together or not at all.
+    /// Whether the job is a gang, whose tasks run all together or not at all.
     pub fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
-    /// Whether nothing of it may be started any more: it is final or cancelled, or all of its tasks
-    /// are done. Some of a finished job's attempts may still be on machines.
+    /// Whether no further task of the job may be started, because the job is in a final state or
+    /// cancelled or all of its tasks are done. Some attempts of a finished job may still be on
+    /// machines.
     pub fn is_finished(&self) -> bool {
         self.final_state.is_some()
             || self.cancellation_pending
             || self.done.count() == self.spec.tasks
     }
 
-    /// How many tasks have not completed.
+    /// Returns the number of tasks that have not completed.
     pub fn remaining(&self) -> u32 {
         self.spec.tasks - self.done.count()
     }
 
-    /// Puts a task back in the queue whose attempt has ended, unless it is completed.
+    /// Puts a task whose attempt has ended back into the queue, unless the task has completed.
     pub(super) fn requeue(&mut self, task_index: u32, outcome: AttemptOutcome, now: f64) {
         if self.done.contains(task_index) {
             return;
@@ -160,22 +167,23 @@
         }
     }
 
-    /// Marks all tasks as done: those of a gang complete together.
+    /// Marks all tasks as done. For gangs, whose tasks complete together.
     pub(super) fn mark_all_done(&mut self) {
         (0..self.spec.tasks).for_each(|task_index| _ = self.done.insert(task_index));
     }
 
-    /// Marks all tasks as preempted: those of a gang are preempted together.
+    /// Marks all tasks as preempted. For gangs, whose tasks are preempted together.
     pub(super) fn mark_all_preempted(&mut self) {
         (0..self.spec.tasks).for_each(|task_index| _ = self.preempted.insert(task_index));
     }
 
-    /// Records how long a task has run that is about to be marked as done.
+    /// Records the run time of a completed task, which the caller has not yet marked as done.
     pub(super) fn record_run_time(&mut self, run_s: f64) {
         self.run_times.record(run_s, self.done.count());
     }
 
-    /// How many seconds a task gets to save its progress when it is stopped; 0 if it saves none.
+    /// Returns the time that a task gets to save its progress when it is stopped, in seconds; 0 if
+    /// it writes no checkpoints or a stop for this reason leaves no time.
     pub fn grace_period_s(&self, reason: StopReason) -> f64 {
         if self.spec.checkpoint_interval_s <= 0.0 || self.is_stopped_at_once(reason) {
             return 0.0;
@@ -183,11 +191,12 @@
         self.spec.checkpoint_write_s * CHECKPOINT_WRITE_FACTOR + CHECKPOINT_WRITE_MARGIN_S
     }
 
-    /// Whether a stop for this reason leaves no time to save.
+    /// Whether a task that is stopped for this reason gets no time to save its progress.
     fn is_stopped_at_once(&self, reason: StopReason) -> bool {
         match reason {
-            // The resources are needed at once, and the victim was chosen for how little it loses
-            // since its last checkpoint. Gangs are preempted only when nothing else helps.
+            // The resources are needed at once, and the victim was chosen because it loses little
+            // progress since its last checkpoint. Gangs get time to save, since they are preempted
+            // only when nothing else helps.
             StopReason::Preempted => !self.is_gang(),
             StopReason::Cancelled | StopReason::GangRestart | StopReason::GangIncomplete => true,
             StopReason::Straggler | StopReason::Drained => false,
--- a/crates/gladekeel-controller/src/leader/job/objectives.rs
+++ b/crates/gladekeel-controller/src/leader/job/objectives.rs
@@ -1,4 +1,4 @@
-//! What a job's users expect of it, by its deadline and the objectives of its class.
+//! Time limits of a job that follow from its deadline and the objectives of its class.
 
 use super::Job;
 use gladekeel_wire::{
@@ -6,50 +6,53 @@
     settings::{Deployment, Objective, ObjectiveKind},
 };
 
-/// Without deadline and objective, a job should be complete within this multiple of its tasks'
-/// run time.
-const DEFAULT_COMPLETION_RUNS: f64 = 4.0;
-/// A fetch that takes more than this part of the time in which a task should start is too long.
-const MAX_FETCH_SHARE: f64 = 0.6;
-/// A job waits for machines that have its image for this part of the time in which it should start.
-const CACHED_IMAGE_WAIT_SHARE: f64 = 0.5;
+/// A job without a deadline and a completion objective should be complete within this multiple of
+/// its tasks' run time.
+const DEFAULT_COMPLETION_MULTIPLE: f64 = 4.0;
+/// An image fetch is too long if it takes more than this fraction of the start objective.
+const MAX_FETCH_FRACTION: f64 = 0.6;
+/// A job waits for machines that have its image for this fraction of the start objective.
+const CACHED_IMAGE_WAIT_FRACTION: f64 = 0.5;
 
 impl Job {
-    /// In how many seconds after its submission the job should be complete: by its deadline, else
-    /// by the objective of its class, else by a multiple of `run_s`, the run time of a task. 0 for
-    /// gangs and services, all of whose tasks are wanted at once.
+    /// Returns the time from submission within which the job should be complete, in seconds: its
+    /// deadline; without one, the objective of its class; without either, a multiple of `run_s`,
+    /// the run time of a task. 0 for gangs and services, whose tasks should all run at once.
     pub fn time_allowed_s(&self, deployment: &Deployment, run_s: f64) -> f64 {
         if self.spec.kind != JobKind::Array {
             return 0.0;
         }
         let objective_s = self.strictest_objective_s(deployment, &ObjectiveKind::Completion);
-        self.spec.deadline_s.or(objective_s).unwrap_or(DEFAULT_COMPLETION_RUNS * run_s)
+        self.spec.deadline_s.or(objective_s).unwrap_or(DEFAULT_COMPLETION_MULTIPLE * run_s)
     }
 
-    /// Whether only machines that have the job's image will do for now: by the objective of its
-    /// class it should start sooner than the image can be fetched, and it still can.
+    /// Whether the job may use only machines that have its image for now. That is so if fetching
+    /// the image, which takes `fetch_s` seconds, is too long for the start objective of the job's
+    /// class, and the job has not yet waited too long for such a machine.
     pub fn requires_cached_image(&self, deployment: &Deployment, fetch_s: f64, now: f64) -> bool {
         if self.gave_up_on_cached_image {
             return false;
         }
         let objective_s = self.strictest_objective_s(deployment, &ObjectiveKind::Start);
         objective_s.is_some_and(|objective_s| {
-            let fetch_too_long = fetch_s > MAX_FETCH_SHARE * objective_s;
-            fetch_too_long && now - self.submitted_at < CACHED_IMAGE_WAIT_SHARE * objective_s
+            let is_fetch_too_long = fetch_s > MAX_FETCH_FRACTION * objective_s;
+            is_fetch_too_long && now - self.submitted_at < CACHED_IMAGE_WAIT_FRACTION * objective_s
         })
     }
 
-    /// Whether the job's class has an objective for the time until the start.
+    /// Whether the job's class has an objective for the time until tasks start.
     pub fn has_start_objective(&self, deployment: &Deployment) -> bool {
         self.objectives(deployment, &ObjectiveKind::Start).next().is_some()
     }
 
-    /// The shortest time that the objectives of one kind allow the job's class.
+    /// Returns the shortest time, in seconds, that objectives of this kind set for the job's class;
+    /// `None` if no objective sets one.
     fn strictest_objective_s(&self, deployment: &Deployment, kind: &ObjectiveKind) -> Option<f64> {
         let objectives = self.objectives(deployment, kind);
         objectives.filter_map(|objective| objective.within_s).min_by(f64::total_cmp)
     }
 
+    /// Returns the objectives of this kind that apply to the job's class.
     fn objectives<'a>(
         &'a self,
         deployment: &'a Deployment,
--- a/crates/gladekeel-controller/src/leader/job/run_time_history.rs
+++ b/crates/gladekeel-controller/src/leader/job/run_time_history.rs
@@ -1,29 +1,31 @@
-//! How long a job's completed tasks have run.
+//! Run times of a job's completed tasks.
 
 use gladekeel_sched::straggler;
 
-/// Runs that are kept of each job: enough for a median, little enough for jobs of many tasks.
-const MAX_RUNS: usize = 64;
+/// Maximum number of run times kept for each job: enough for a median, and few enough for jobs that
+/// have many tasks.
+const MAX_RUN_TIMES: usize = 64;
 
-/// Run times of a job's tasks that were completed lately, in seconds.
+/// Run times of a job's recently completed tasks.
 #[derive(Debug, Default)]
 pub struct RunTimeHistory {
-    recent: Vec<f64>,
+    /// Run times in seconds, at most [`MAX_RUN_TIMES`].
+    recent_s: Vec<f64>,
 }
 
 impl RunTimeHistory {
-    /// Records a run. `completed_tasks` is how many of the job's tasks were completed before: it
-    /// picks the run that is overwritten when the history is full.
+    /// Records the run time of a completed task. `completed_tasks` is the number of the job's tasks
+    /// that had completed before; it selects the run time to overwrite if the history is full.
     pub(in crate::leader) fn record(&mut self, run_s: f64, completed_tasks: u32) {
-        if self.recent.len() < MAX_RUNS {
-            self.recent.push(run_s);
+        if self.recent_s.len() < MAX_RUN_TIMES {
+            self.recent_s.push(run_s);
         } else {
-            self.recent[completed_tasks as usize % MAX_RUNS] = run_s;
+            self.recent_s[completed_tasks as usize % MAX_RUN_TIMES] = run_s;
         }
     }
 
-    /// The median run time in seconds; `None` before the first run.
+    /// Returns the median run time in seconds; `None` if none has been recorded.
     pub fn median_s(&self) -> Option<f64> {
-        straggler::median(&mut self.recent.clone())
+        straggler::median(&mut self.recent_s.clone())
     }
 }
--- a/crates/gladekeel-controller/src/leader/job/task_queue.rs
+++ b/crates/gladekeel-controller/src/leader/job/task_queue.rs
@@ -1,58 +1,62 @@
-//! The tasks of a job that wait to be bound to a machine.
+//! The queue of a job's tasks that wait to be bound to a machine.
 
 use std::collections::VecDeque;
 
-/// Tasks on no machine, in the order in which they are bound: speculative restarts, then tasks
-/// that were requeued, then those that were never started.
+/// Pending tasks of a job, in the order in which they are bound: speculative restarts, then
+/// requeued tasks, then tasks that were never started.
 ///
-/// Invariant: the first `speculative_restarts` tasks are the restarts.
+/// Invariant: the first `speculative_restarts` tasks in the queue are the speculative restarts.
 #[derive(Debug)]
 pub struct TaskQueue {
+    /// Task indices.
     tasks: VecDeque<u32>,
     speculative_restarts: u32,
+    /// See [`TaskQueue::waiting_since`].
     waiting_since: Option<f64>,
 }
 
 impl TaskQueue {
-    /// A queue of a new job's tasks, none of which has been started.
-    pub(super) fn of_new_job(tasks: u32) -> TaskQueue {
+    /// Creates a queue with all tasks of a new job, none of which has been started.
+    pub(super) fn for_new_job(tasks: u32) -> TaskQueue {
         TaskQueue { tasks: (0..tasks).collect(), speculative_restarts: 0, waiting_since: None }
     }
 
-    /// How many tasks wait.
+    /// Returns the number of tasks in the queue.
     pub fn len(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Whether no task waits.
+    /// Whether the queue has no tasks.
     pub fn is_empty(&self) -> bool {
         self.tasks.is_empty()
     }
 
-    /// How many of the tasks that wait are speculative restarts.
+    /// Returns how many of the tasks in the queue are speculative restarts.
     pub fn speculative_restarts(&self) -> u32 {
         self.speculative_restarts
     }
 
-    /// Since when tasks have waited without a break, if a scheduling cycle has left some over
-    /// or one was requeued.
+    /// Returns the time, in seconds on the leader's clock, since which the queue has continuously
+    /// had waiting tasks. Tasks start to wait when a scheduling cycle leaves them unbound or when a
+    /// task is requeued; `None` if neither has happened since the queue was last empty.
     pub fn waiting_since(&self) -> Option<f64> {
         self.waiting_since
     }
 
-    /// For how many seconds tasks have waited; 0 if none has had to.
+    /// Returns how long tasks have waited, in seconds; 0 if no task has had to wait.
     pub fn waited_s(&self, now: f64) -> f64 {
         self.waiting_since.map_or(0.0, |since| now - since)
     }
 
-    /// Records that a scheduling cycle has bound what it could: what is left begins to wait.
+    /// Records that a scheduling cycle has ended: the tasks that it left unbound start to wait.
     pub(in crate::leader) fn record_unbound(&mut self, now: f64) {
         if !self.tasks.is_empty() {
             self.waiting_since.get_or_insert(now);
         }
     }
 
-    /// Takes the next task off the queue. The job has stopped waiting once it was the last.
+    /// Removes the next task from the queue and returns its index. If it was the last task, the job
+    /// is no longer waiting.
     pub(in crate::leader) fn next(&mut self) -> Option<u32> {
         self.speculative_restarts = self.speculative_restarts.saturating_sub(1);
         let task = self.tasks.pop_front()?;
@@ -62,14 +66,15 @@
         Some(task)
     }
 
-    /// Puts a speculative restart in front of all others.
+    /// Puts a speculative restart at the front of the queue.
     pub(super) fn requeue_restart(&mut self, task: u32, now: f64) {
         self.tasks.push_front(task);
         self.speculative_restarts += 1;
         self.waiting_since.get_or_insert(now);
     }
 
-    /// Puts a task back after the restarts, in front of the others: it has waited already.
+    /// Puts a task back behind the speculative restarts but ahead of all other tasks, since the
+    /// requeued task has waited before.
     pub(super) fn requeue(&mut self, task: u32, now: f64) {
         let position = (self.speculative_restarts as usize).min(self.tasks.len());
         self.tasks.insert(position, task);
@@ -77,9 +82,12 @@
     }
 
     /// Removes the tasks that are completed or assigned according to the assignment log. Only for
-    /// replay, before anything was requeued.
+    /// replay, before any task is requeued.
     pub(in crate::leader) fn retain(&mut self, is_pending: impl FnMut(&u32) -> bool) {
-        debug_assert_eq!(self.speculative_restarts, 0, "replay comes before all restarts");
+        debug_assert_eq!(
+            self.speculative_restarts, 0,
+            "the log is replayed before any task is restarted"
+        );
         self.tasks.retain(is_pending);
     }
 }
--- a/crates/gladekeel-controller/src/leader/job/zone_placement.rs
+++ b/crates/gladekeel-controller/src/leader/job/zone_placement.rs
@@ -1,9 +1,9 @@
-//! In which zones a job's attempts are.
+//! The distribution of a job's attempts over zones.
 
 use gladekeel_sched::{DenseIndex, ZoneIdx};
 
-/// How many attempts of a job there are in each zone. Attempts count from their proposal until
-/// their release is committed, so that zone constraints hold for whatever may still run.
+/// The number of a job's attempts in each zone. An attempt counts from its proposal until its
+/// release is committed, so that zone constraints cover every attempt that may still be running.
 #[derive(Debug, Default)]
 pub struct ZonePlacement {
     by_zone: Vec<u32>,
@@ -11,33 +11,35 @@
 }
 
 impl ZonePlacement {
-    /// Attempts by zone index; zones beyond the end have none.
+    /// Returns the number of attempts by zone index; zones beyond the end have none.
     pub fn by_zone(&self) -> &[u32] {
         &self.by_zone
     }
 
-    /// Whether an attempt is on a machine whose zone is not known. After a takeover that is so
-    /// until the machine's first heartbeat or the list of machines.
+    /// Whether any attempt is on a machine whose zone is not known. After a takeover, a machine's
+    /// zone is unknown until the leader receives the machine's first heartbeat or the list of
+    /// machines.
     pub fn has_unknown_zone(&self) -> bool {
         self.in_unknown_zone > 0
     }
 
-    /// The first zone that has an attempt.
+    /// Returns the first zone that has an attempt; `None` if no known zone has one.
     pub fn first_zone(&self) -> Option<ZoneIdx> {
         self.by_zone.iter().position(|tasks| *tasks > 0).map(ZoneIdx::from_position)
     }
 
-    /// Counts an attempt; `None` if the zone of its machine is not known yet.
+    /// Counts an attempt in a zone; `None` if the zone of the attempt's machine is not known yet.
     pub(in crate::leader) fn add(&mut self, zone: Option<ZoneIdx>) {
         *self.count_mut(zone) += 1;
     }
 
-    /// Stops counting an attempt that was added with this zone.
+    /// Removes an attempt from the count; `zone` must be the one with which it was added.
     pub(in crate::leader) fn remove(&mut self, zone: Option<ZoneIdx>) {
         let count = self.count_mut(zone);
         *count = count.saturating_sub(1);
     }
 
+    /// Returns the counter of a zone, or of attempts in unknown zones for `None`.
     fn count_mut(&mut self, zone: Option<ZoneIdx>) -> &mut u32 {
         let Some(zone) = zone else { return &mut self.in_unknown_zone };
         let position = zone.position();
--- a/crates/gladekeel-sched/src/snapshot.rs
+++ b/crates/gladekeel-sched/src/snapshot.rs
@@ -126,8 +126,8 @@
     pub tasks_by_zone: Vec<u32>,
     /// Whether the job is a gang, whose tasks start all together or not at all.
     pub gang: bool,
-    /// Whether the job is a gang that has not started and has lost some of its assigned tasks; these
-    /// may be placed without the others.
+    /// Whether the job is a gang that has not started and has lost some of its assigned tasks; the
+    /// lost tasks may then be placed without the others.
     pub replaces_gang_members: bool,
     /// Seconds for which the job has waited beyond the allowed time without a task on any machine;
     /// 0 if it is not overdue. Jobs with the longest wait go first.
