--- a/crates/gladekeel-controller/src/leader/job/mod.rs
+++ b/crates/gladekeel-controller/src/leader/job/mod.rs
@@ -27,11 +27,11 @@
 pub use task_queue::TaskQueue;
 pub use zone_placement::ZonePlacement;
 
-/// Multiple of the expected checkpoint write time that a task gets to save its progress, so that a
-/// slower write is not cut off.
+/// A stopped task gets this multiple of its expected checkpoint write time to save its progress, so
+/// that a slower write is not cut off.
 const CHECKPOINT_WRITE_FACTOR: f64 = 1.5;
-/// Time that a task gets to save its progress in addition to that multiple, in seconds, for
-/// checkpoints that take almost no time to write.
+/// Seconds that a stopped task gets on top of that multiple, for checkpoints that take almost no
+/// time to write.
 const CHECKPOINT_WRITE_MARGIN_S: f64 = 1.0;
 
 /// A job in the store, from its submission until its records are removed.
--- a/crates/gladekeel-sched/tests/autoscaling.rs
+++ b/crates/gladekeel-sched/tests/autoscaling.rs
@@ -1,4 +1,4 @@
-//! The autoscaler: how many machines of a type there should be.
+//! Tests of the autoscaler, which plans how many machines of one type there should be.
 
 use gladekeel_sched::autoscaling::{
     ArrivalRate, Autoscaler, AutoscalerConfig, JobDemand, ScalingInput, ScalingPlan, Supply,
@@ -7,15 +7,19 @@
 const CONFIG: AutoscalerConfig =
     AutoscalerConfig { smoothing_s: 60.0, spot_retention: 1.0, target_utilization: 1.0 };
 
+/// The input for a type whose machines boot in 50 s, without arrivals.
 fn input<'a>(demands: &'a [JobDemand], supply: &'a Supply) -> ScalingInput<'a> {
     ScalingInput { demands, supply, arrivals: &[], boot_s: 50.0 }
 }
 
+/// The first plan of a new autoscaler.
 fn plan(demands: &[JobDemand], up: f64, booting: &[f64]) -> ScalingPlan {
     let supply = Supply { up, booting: booting.to_vec() };
     Autoscaler::default().plan(0.0, &input(demands, &supply), &CONFIG)
 }
 
+/// Guards against renting machines for work that the existing and booting machines complete in
+/// time, and against renting too few for work that they do not.
 #[test]
 fn scale_out_covers_only_work_that_does_not_fit_before_it_is_due() {
     let demand =
@@ -24,14 +28,20 @@
     assert_eq!(plan(&[demand(150.0)], 0.0, &[]).scale_out, 3.0);
     assert_eq!(plan(&[demand(150.0)], 0.0, &[50.0, 50.0]).scale_out, 1.0);
     assert_eq!(plan(&[demand(150.0)], 9.0, &[]).required, 2.0);
-    assert_eq!(plan(&[demand(-9.0)], 0.0, &[]).scale_out, 10.0, "late work is done all at once");
+    assert_eq!(
+        plan(&[demand(-9.0)], 0.0, &[]).scale_out,
+        10.0,
+        "the tasks of a late job all run at once"
+    );
     let both = plan(&[demand(150.0), demand(300.0)], 0.0, &[]);
-    assert_eq!(both.scale_out, 3.0, "work due later waits for the same machines");
+    assert_eq!(both.scale_out, 3.0, "work that is due later waits for the same machines");
     assert_eq!(plan(&[JobDemand { running: 4.0, ..demand(900.0) }], 4.0, &[]).required, 4.0);
 }
 
+/// Guards against machines for work that arrives later and may wait, and against ignoring work
+/// that arrives later but is due earlier and so competes with the pending work.
 #[test]
-fn arriving_work_counts_if_it_is_due_earlier() {
+fn arriving_work_increases_scale_out_only_if_it_is_due_before_pending_work() {
     let demands =
         [JobDemand { pending: 10.0, run_s: 30.0, time_left_s: 150.0, ..JobDemand::default() }];
     let supply = Supply { up: 2.0, booting: Vec::new() };
@@ -40,10 +50,12 @@
         let input = ScalingInput { arrivals: &arrivals, ..input(&demands, &supply) };
         Autoscaler::default().plan(0.0, &input, &CONFIG).scale_out
     };
-    assert_eq!(scale_out(150.0), 0.0, "due later than what there is");
-    assert_eq!(scale_out(50.0), 4.0, "400 machine-seconds more are due in 150 s");
+    assert_eq!(scale_out(150.0), 0.0, "the arriving work is due after the pending work");
+    assert_eq!(scale_out(50.0), 4.0, "another 400 machine-seconds of work are due within 150 s");
 }
 
+/// Guards against replacing lost machines too late: 40 of 100 machines are lost while the jobs
+/// still have much time, so that the due times alone do not require new machines yet.
 #[test]
 fn lost_machines_are_replaced_while_there_is_work_for_them() {
     let plan = |pending: f64, up: f64| {
@@ -59,11 +71,13 @@
         autoscaler.plan(601.0, &input(&demands(up, pending), &supply(up)), &CONFIG).scale_out
     };
     assert!((38.0..=40.0).contains(&plan(500.0, 60.0)), "{}", plan(500.0, 60.0));
-    assert_eq!(plan(10.0, 60.0), 10.0, "no more than there is work for");
+    assert_eq!(plan(10.0, 60.0), 10.0, "no more machines than there is work for");
     assert_eq!(plan(0.0, 60.0), 0.0);
-    assert_eq!(plan(500.0, 100.0), 0.0, "all are there, and the work has time");
+    assert_eq!(plan(500.0, 100.0), 0.0, "no machine is lost, and the work is not urgent");
 }
 
+/// Guards against deleting all spot machines in a short gap between jobs: `retain` must decay
+/// gradually after demand has ended, although `required` drops to 0 at once.
 #[test]
 fn retained_machines_decline_slowly_when_demand_ends() {
     let mut autoscaler = Autoscaler::default();
--- a/crates/gladekeel-sched/tests/common/mod.rs
+++ b/crates/gladekeel-sched/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Machines, jobs, teams and scheduling cycles for tests.
+//! Builders of machines, jobs, teams and scheduling cycles for tests.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the builders")]
 
 use gladekeel_sched::{
     ImageIdx, MachineTypeIdx, Resources, TeamIdx, ZoneIdx,
@@ -8,12 +8,12 @@
     snapshot::{SchedulableJob, SchedulableMachine, TeamQuota},
 };
 
-/// So many CPUs, and a GB of memory for each.
+/// This many CPUs, and one GB of memory for each CPU.
 pub fn resources(cpus: f64) -> Resources {
     Resources::requested(cpus, 0.0, cpus)
 }
 
-/// An empty, schedulable machine with 32 CPUs.
+/// A schedulable machine with 32 CPUs, no tasks and no images.
 pub fn machine(zone: u32, spot: bool) -> SchedulableMachine {
     SchedulableMachine {
         capacity: resources(32.0),
@@ -29,7 +29,7 @@
     }
 }
 
-/// A job whose tasks are all pending.
+/// A job whose tasks are all pending and request `cpus` CPUs each.
 pub fn job(team: u32, cpus: f64, tasks: u32) -> SchedulableJob {
     SchedulableJob {
         team: TeamIdx::new(team),
@@ -52,7 +52,7 @@
     }
 }
 
-/// A team that uses nothing.
+/// A team that uses no resources; its guarantee and limit are in CPUs.
 pub fn team(guarantee: f64, limit: f64) -> TeamQuota {
     TeamQuota {
         guaranteed: resources(guarantee),
@@ -61,7 +61,7 @@
     }
 }
 
-/// A scheduling cycle with all of these machines.
+/// A scheduling cycle whose total capacity is that of the given machines.
 pub fn cycle(
     machines: Vec<SchedulableMachine>,
     teams: Vec<TeamQuota>,
--- a/crates/gladekeel-sched/tests/gangs.rs
+++ b/crates/gladekeel-sched/tests/gangs.rs
@@ -1,4 +1,5 @@
-//! Gangs: bound whole or not at all; preemption, the warm pool and scale-out for them.
+//! Tests of gangs: binding whole or not at all, and preemption, the warm pool and scale-out for
+//! gangs.
 
 mod common;
 
@@ -12,10 +13,12 @@
     snapshot::SchedulableJob,
 };
 
-fn count(bindings: &[Binding], job: usize) -> usize {
-    bindings.iter().filter(|p| p.job == job).count()
+/// The number of bindings of a job.
+fn count_of_job(bindings: &[Binding], job: usize) -> usize {
+    bindings.iter().filter(|binding| binding.job == job).count()
 }
 
+/// The first plan of a new autoscaler for a type whose machines boot in 50 s.
 fn plan(demands: &[JobDemand], up: f64, booting: &[f64]) -> ScalingPlan {
     let supply = Supply { up, booting: booting.to_vec() };
     let input = ScalingInput { demands, supply: &supply, arrivals: &[], boot_s: 50.0 };
@@ -24,8 +27,10 @@
     Autoscaler::default().plan(0.0, &input, &config)
 }
 
+/// Guards against a gang that is split over zones, or bound in part, because a machine that has the
+/// image is preferred although its zone cannot hold the whole gang.
 #[test]
-fn a_single_zone_gang_goes_to_the_zone_that_holds_all_of_it() {
+fn a_single_zone_gang_is_bound_in_a_zone_that_holds_all_of_its_tasks() {
     let mut machines = vec![machine(0, false), machine(1, false), machine(1, false)];
     machines[0].cached_images = vec![ImageIdx::new(0)];
     let mut gang = job(0, 16.0, 4);
@@ -34,17 +39,19 @@
         let teams = vec![team(0.0, 1000.0)];
         let mut cycle = cycle(machines.clone(), teams, vec![gang.clone()]);
         let bindings = cycle.run(&FairShare::default());
-        [0, 1, 2].map(|m| bindings.iter().filter(|p| p.machine == m).count())
+        [0, 1, 2].map(|m| bindings.iter().filter(|binding| binding.machine == m).count())
     };
-    assert_eq!(run(&gang), [0, 2, 2], "the machine with the image holds only half of it");
+    assert_eq!(run(&gang), [0, 2, 2], "the machine with the image holds only half of the gang");
     (gang.remaining, gang.pending) = (2, 2);
     assert_eq!(run(&gang), [2, 0, 0]);
     (gang.single_zone, gang.max_tasks_per_zone) = (false, 1);
     assert_eq!(run(&gang), [1, 1, 0], "at most one task in each zone");
 }
 
+/// Guards against two faults after a gang has lost a task: binding the task while an earlier
+/// attempt of the gang may still be running, and a replacement outside the zone of the others.
 #[test]
-fn a_missing_gang_member_is_replaced_in_the_zone_of_the_others() {
+fn a_lost_gang_member_is_replaced_in_the_zone_of_the_other_members() {
     let mut gang = job(0, 16.0, 3);
     (gang.gang, gang.single_zone, gang.pending, gang.tasks_by_zone) = (true, true, 1, vec![0, 2]);
     let run = |gang: &SchedulableJob| {
@@ -52,31 +59,34 @@
         let mut cycle = cycle(machines, vec![team(0.0, 1000.0)], vec![gang.clone()]);
         cycle.run(&FairShare::default())
     };
-    assert!(run(&gang).is_empty(), "the earlier attempt is not released yet");
+    assert!(run(&gang).is_empty(), "an attempt of the gang has not been released yet");
     gang.replaces_gang_members = true;
     assert_eq!(run(&gang), [Binding { job: 0, machine: 1 }]);
 }
 
+/// Guards against a gang that is cut off at `max_bindings`, or that is never bound because it has
+/// more tasks than a cycle may bind.
 #[test]
-fn a_gang_larger_than_a_cycle_is_bound_whole() {
+fn a_gang_that_exceeds_max_bindings_is_bound_whole() {
     let mut gang = job(0, 4.0, 9);
     gang.gang = true;
     let run = |jobs: Vec<SchedulableJob>| {
         let mut cycle = cycle(vec![machine(0, false); 2], vec![team(0.0, 1000.0)], jobs);
         cycle.max_bindings = 4;
         let bindings = cycle.run(&FairShare::default());
-        [0, 1].map(|job| count(&bindings, job))
+        [0, 1].map(|job| count_of_job(&bindings, job))
     };
     assert_eq!(run(vec![gang.clone()]), [9, 0]);
     assert_eq!(
         run(vec![gang, job(0, 4.0, 3)]),
         [0, 3],
-        "a gang that no longer fits into the cycle waits for the next one"
+        "a gang that exceeds the remaining bindings of the cycle waits for the next cycle"
     );
 }
 
+/// Guards against an array that fills the warm pool, so that a gang finds no free machines there.
 #[test]
-fn the_warm_pool_is_used_by_gangs_only() {
+fn only_gangs_are_bound_to_the_warm_pool() {
     let mut machines = vec![machine(0, false); 2];
     machines[1].warm_pool = true;
     let mut gang = job(0, 8.0, 2);
@@ -84,13 +94,14 @@
     let teams = vec![team(0.0, 1000.0)];
     let mut cycle = cycle(machines, teams, vec![gang, job(0, 8.0, 9)]);
     let bindings = cycle.run(&FairShare::default());
-    let on =
-        |job: usize, m: usize| bindings.iter().filter(|p| p.job == job && p.machine == m).count();
-    assert_eq!([on(0, 0), on(0, 1), on(1, 0), on(1, 1)], [0, 2, 4, 0]);
+    let count = |job, machine| bindings.iter().filter(|b| **b == Binding { job, machine }).count();
+    assert_eq!([count(0, 0), count(0, 1), count(1, 0), count(1, 1)], [0, 2, 4, 0]);
 }
 
+/// Guards against tasks that are stopped in vain: a gang cannot start if the capacity that they
+/// free holds only a part of the gang.
 #[test]
-fn preemption_frees_machines_for_a_whole_gang_or_stops_nothing() {
+fn preemption_for_a_gang_frees_capacity_for_all_of_it_or_stops_nothing() {
     let mut machines = vec![machine(0, false), machine(1, false), machine(1, false)];
     machines.iter_mut().for_each(|m| m.free = resources(16.0));
     machines[0].cached_images = vec![ImageIdx::new(0)];
@@ -112,17 +123,24 @@
         let scope = PreemptionScope::CheckpointingTasks;
         candidates.preempt_for_gang(&mut cycle, 0, 8, scope)
     };
-    assert_eq!(preempt(2), [1], "in the zone with the image, beside the free resources");
-    assert_eq!(preempt(3), [2], "the other zone holds it, on the machine with the least lost work");
-    assert!(preempt(5).is_empty(), "no zone holds it: nothing is preempted");
+    assert_eq!(preempt(2), [1], "in the zone with the image, in addition to the free resources");
+    assert_eq!(
+        preempt(3),
+        [2],
+        "only the other zone holds the gang; the machine with the least lost work is chosen"
+    );
+    assert!(preempt(5).is_empty(), "no zone holds the gang: nothing is preempted");
 }
 
+/// Guards against a gang that never starts: as long as there is time, its work would fit on the
+/// existing machines one task after another, but its tasks must all run at once.
 #[test]
-fn a_pending_gang_scales_out_to_run_beside_all_other_tasks() {
+fn a_pending_gang_requires_machines_in_addition_to_those_of_running_tasks() {
     let demand = |gang| JobDemand { pending: 6.2, run_s: 15.0, gang, ..JobDemand::default() };
     let others =
         JobDemand { running: 2.0, run_s: 15.0, time_left_s: 900.0, ..JobDemand::default() };
-    let late = |gang| plan(&[JobDemand { time_left_s: 900.0, ..demand(gang) }, others], 5.0, &[]);
-    assert_eq!(late(false).scale_out, 0.0, "its tasks can run one after the other");
-    assert_eq!((late(true).scale_out, late(true).required), (4.0, 8.2));
+    let plan_for =
+        |gang| plan(&[JobDemand { time_left_s: 900.0, ..demand(gang) }, others], 5.0, &[]);
+    assert_eq!(plan_for(false).scale_out, 0.0, "tasks of an array can run one after another");
+    assert_eq!((plan_for(true).scale_out, plan_for(true).required), (4.0, 8.2));
 }
--- a/crates/gladekeel-sched/tests/preemption.rs
+++ b/crates/gladekeel-sched/tests/preemption.rs
@@ -1,4 +1,4 @@
-//! Which tasks are preempted for others.
+//! Tests of which tasks may be preempted for a job.
 
 mod common;
 
@@ -11,8 +11,10 @@
 
 use PreemptionScope::{AllTasks, CheckpointingTasks};
 
+/// Guards against preemption without a better claim: tasks of the same priority may be stopped only
+/// if their team has borrowed beyond its guarantee and the job's team stays within its own.
 #[test]
-fn only_lower_priorities_and_borrowed_resources_are_preempted() {
+fn only_tasks_of_lower_priority_or_on_borrowed_resources_are_preempted() {
     let mut machines = vec![machine(0, false); 2];
     machines.iter_mut().for_each(|m| m.free = Resources::default());
     let mut teams = vec![team(32.0, 64.0), team(0.0, 64.0)];
@@ -35,13 +37,25 @@
         let mut cycle = cycle(machines.clone(), teams.clone(), vec![job]);
         PreemptionCandidates::new(2, candidates).preempt_for(&mut cycle, 0, 8, scope)
     };
-    // Same priority: only what team 1 borrowed, and the least lost work of that.
+    // Same priority: only tasks of team 1, which has borrowed, and of these the one that loses the
+    // least work.
     assert_eq!(preempt(job(0, 16.0, 1), AllTasks), [2]);
     assert_eq!(preempt(job(0, 16.0, 1), CheckpointingTasks), [1], "only tasks with checkpoints");
-    assert_eq!(preempt(job(0, 16.0, 9), AllTasks), [2, 1], "and no more than is borrowed");
-    // A team that exceeds its own guarantee may not reclaim from others.
+    assert_eq!(
+        preempt(job(0, 16.0, 9), AllTasks),
+        [2, 1],
+        "no more tasks than team 1 has borrowed for"
+    );
+    // A team that exceeds its own guarantee may not reclaim resources from other teams.
     assert!(preempt(job(0, 48.0, 1), AllTasks).is_empty());
-    let urgent = |team| SchedulableJob { priority: 2, ..job(team, 16.0, 1) };
-    assert_eq!(preempt(urgent(0), AllTasks), [3], "the least lost work of a lower priority");
-    assert!(preempt(urgent(1), AllTasks).is_empty(), "the limit holds for urgent work too");
+    let high_priority = |team| SchedulableJob { priority: 2, ..job(team, 16.0, 1) };
+    assert_eq!(
+        preempt(high_priority(0), AllTasks),
+        [3],
+        "the task of lower priority that loses the least work"
+    );
+    assert!(
+        preempt(high_priority(1), AllTasks).is_empty(),
+        "the team limit also holds for high priority"
+    );
 }
--- a/crates/gladekeel-sched/tests/straggler.rs
+++ b/crates/gladekeel-sched/tests/straggler.rs
@@ -1,10 +1,12 @@
-//! Which running tasks are stragglers.
+//! Tests of which running tasks are stragglers.
 
 use gladekeel_sched::{
     MachineIdx,
     straggler::{RunningTask, find_stragglers, median},
 };
 
+/// Guards against restarts that gain nothing: a slow task on a machine whose other tasks run at a
+/// normal pace, or that is alone there, may just have more to do than the other tasks of its job.
 #[test]
 fn only_tasks_on_machines_whose_tasks_are_all_slow_are_stragglers() {
     let task = |machine, ran_s, may_restart| RunningTask {
