--- a/crates/gladekeel-controller/src/leader/job/failure_backoff.rs
+++ b/crates/gladekeel-controller/src/leader/job/failure_backoff.rs
@@ -3,8 +3,8 @@
 use gladekeel_sched::MachineIdx;
 use std::collections::BTreeSet;
 
-/// Number of machines on which a job must have failed before the job is considered faulty rather
-/// than the machines.
+/// Number of machines on which a job's tasks must have failed before the failures are attributed to
+/// the job rather than to the machines.
 const MIN_FAILED_MACHINES: usize = 2;
 /// The longest backoff, in seconds.
 const MAX_BACKOFF_S: f64 = 60.0;
--- a/crates/gladekeel-sched/src/autoscaling.rs
+++ b/crates/gladekeel-sched/src/autoscaling.rs
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Returns how many machines were busy recently and are missing now, as far as there is work
-    /// for them; negative if none is missing.
+    /// Returns how many of the recently busy machines are missing now and have work to do; zero or
+    /// negative if none is missing.
     fn lost_machines(&self, input: &ScalingInput<'_>) -> f64 {
         let with_work = self.smoothed_busy.min(input.running() + input.pending());
         with_work - input.supply.up - input.supply.booting.len() as f64
--- a/crates/gladekeel-sched/src/cycle/state.rs
+++ b/crates/gladekeel-sched/src/cycle/state.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns how many tasks of each job its fair share covers, by the job's position. Jobs of
-    /// higher priority get their shares first; [`FairShare`] divides the rest within a priority.
+    /// higher priority get their shares first; [`FairShare`] divides what is left at each priority.
     pub fn task_allocations(&self, fair_share: &FairShare) -> Vec<u32> {
         let mut allocations = vec![0; self.jobs.len()];
         let mut unallocated = 1.0;
--- a/crates/gladekeel-sched/src/intern.rs
+++ b/crates/gladekeel-sched/src/intern.rs
@@ -42,7 +42,7 @@
     ///
     /// # Panics
     ///
-    /// If this interner did not assign the index.
+    /// If no name has this index.
     pub fn name(&self, index: I) -> &T {
         &self.names[index.position()]
     }
