--- a/crates/gladekeel-sched/tests/autoscaling.rs
+++ b/crates/gladekeel-sched/tests/autoscaling.rs
@@ -38,8 +38,8 @@
     assert_eq!(plan(&[JobDemand { running: 4.0, ..demand(900.0) }], 4.0, &[]).required, 4.0);
 }
 
-/// Guards against machines for work that arrives later and may wait, and against ignoring work
-/// that arrives later but is due earlier and so competes with the pending work.
+/// Guards against renting machines for arriving work that can wait, and against ignoring arriving
+/// work that is due earlier than the pending work and so competes for the same machines.
 #[test]
 fn arriving_work_increases_scale_out_only_if_it_is_due_before_pending_work() {
     let demands =
