--- a/crates/gladekeel-controller/src/leader/cluster_state.rs
+++ b/crates/gladekeel-controller/src/leader/cluster_state.rs
@@ -1,4 +1,4 @@
-//! The cluster as heartbeats and the cloud describe it, as opposed to what is in the store.
+//! The observed state of the cluster, which comes from heartbeats and the cloud, not the store.
 
 use super::{
     LeaderCounters, Machine,
@@ -9,32 +9,35 @@
 use gladekeel_sched::{Interner, MachineIdx};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// What a leader has learned since it began to lead. It outlives a change of fencing token on the
-/// same node; another leader rebuilds it from heartbeats and the cloud's lists.
+/// The state that a leader has gathered from heartbeats and the cloud.
+///
+/// This state survives a change of fencing token on the same node. A leader on another node
+/// rebuilds it from heartbeats and the cloud's lists.
 #[derive(Debug, Default)]
 pub struct ClusterState {
-    /// The indices by which everything else here refers to names. Between two tokens only: a
-    /// leader holds them beside this state.
+    /// The indices by which the other fields refer to names. The field is filled only between two
+    /// tokens; during a term the leader itself holds the catalog.
     pub(super) catalog: Catalog,
     pub(super) machine_names: Interner<String, MachineIdx>,
     pub(super) machines: BTreeMap<MachineIdx, Machine>,
-    /// Machines that may be on their way out; [`Machine::is_leaving`] says which are.
+    /// Machines that may be leaving the cluster; [`Machine::is_leaving`] says which ones are.
     pub(super) leaving: BTreeSet<MachineIdx>,
     pub(super) cloud: CloudRequestQueue,
     pub(super) autoscaler: AutoscalerState,
     pub(super) warm_pool: WarmPool,
-    /// Since when each zone has been reachable. Between two tokens only, like the catalog: the
-    /// failure detector holds it.
+    /// Since when each zone has been reachable. The field is filled only between two tokens, like
+    /// the catalog; during a term the failure detector holds this state.
     pub(super) reachable_zones: ReachableZones,
-    /// Run time as a multiple of the owner's estimate, learned by class of jobs.
+    /// Observed run time as a multiple of the job owner's estimate, by class of job.
     pub(super) run_time_ratios: HashMap<String, f64>,
     /// Counters for metrics.
     pub counters: LeaderCounters,
 }
 
 impl ClusterState {
-    /// Prepares the state for a new token on the same node. Heartbeats have come all the while,
-    /// so silence goes on to count. Assignments are replayed from the log.
+    /// Prepares the state for a new token on the same node. Heartbeats kept arriving between the
+    /// two tokens, so the silence of a machine continues to count. Assignments are dropped, to be
+    /// replayed from the log.
     pub(super) fn renew(&mut self) {
         for machine in self.machines.values_mut() {
             machine.reset_for_new_token();
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -1,20 +1,21 @@
 //! The leading controller.
 //!
-//! Jobs and the assignments of their tasks are the desired state, which the store holds; workers'
-//! heartbeats and the cloud's lists are the observed state. Each concern below works out how they
-//! differ and what is to be done. The node passes in what arrives and takes out transactions and
-//! requests; nothing here does I/O or reads a clock.
+//! The store holds the desired state: jobs and the assignments of their tasks. Workers' heartbeats
+//! and the cloud's machine lists give the observed state. Each module below handles one concern:
+//! it compares the two states and decides what to do about the differences. The node passes
+//! incoming messages and the current time to the leader and fetches the transactions and requests
+//! that are to be sent; the leader does no I/O and reads no clock.
 //!
 //! | concern | module |
 //! | --- | --- |
-//! | observed against desired state of tasks | `reconciliation` |
-//! | machines and zones that cannot be reached | `failure_detection` |
-//! | which task goes where, preemption, stragglers, gangs | `scheduling` |
-//! | how many machines to rent | `autoscaling` |
-//! | what is committed | `assignment_log` |
-//! | commands that do not wait for a heartbeat | `commands` |
+//! | comparing the observed and the desired state of tasks | `reconciliation` |
+//! | detecting unreachable machines and zones | `failure_detection` |
+//! | placing tasks, preemption, restarting stragglers, gangs | `scheduling` |
+//! | deciding how many machines to rent | `autoscaling` |
+//! | committing assignments and replaying them | `assignment_log` |
+//! | sending workers commands without waiting for a heartbeat | `commands` |
 //!
-//! Every step follows the rules of `docs/safety.md`.
+//! All of these modules follow the rules in `docs/safety.md`.
 
 mod assignment_log;
 mod attempt;
@@ -68,62 +69,63 @@
 use timers::Timers;
 use token_renewal::{TokenRenewal, TokenRenewalReason};
 
-/// What a leader is given when it begins to lead under a token.
+/// The parameters of a leader's term, which lasts as long as its fencing token.
 #[derive(Debug)]
 pub struct LeaderTerm {
-    /// The fencing token.
+    /// The fencing token of the term.
     pub token: u64,
-    /// The time at which it begins, in seconds on the node's clock.
+    /// The time at which the term begins, in seconds on the node's clock.
     pub now: f64,
     /// The time of day at time 0 of the node's clock, in seconds.
     pub epoch: f64,
-    /// The deployment.
+    /// The settings of the deployment.
     pub deployment: Rc<Deployment>,
-    /// A random number of its own, for the names of rental requests.
+    /// A random number drawn for this term, which becomes part of the ids of its rental requests.
     pub salt: u64,
 }
 
-/// The leader under one fencing token.
+/// The state of a leader under one fencing token.
 ///
-/// It composes the state of all concerns; the methods of a concern are in the concern's module.
+/// The struct composes the state of all concerns; each concern's methods are in its own module.
 #[derive(Debug)]
 pub struct Leader {
-    /// The fencing token.
+    /// The fencing token of the term.
     pub token: u64,
-    /// When it began to lead under this token.
+    /// When the term began, in seconds on the node's clock.
     since: f64,
-    /// The time of day at time 0 of the node's clock.
+    /// The time of day at time 0 of the node's clock, in seconds.
     epoch: f64,
     deployment: Rc<Deployment>,
     salt: u64,
     catalog: Catalog,
     timers: Timers,
 
-    /// Desired state: the jobs that the store has, and the teams' quotas with what is in use.
+    /// Desired state: the jobs in the store, and the teams' quotas with their current usage.
     jobs: BTreeMap<JobIdx, Job>,
     job_names: Interner<JobId, JobIdx>,
     teams: Vec<TeamQuota>,
 
-    /// Assignments of tasks to machines, from the proposal to the commit of the release.
+    /// Assignments of tasks to machines, from their proposal until their release is committed.
     attempts: AttemptTable,
     attempt_numbers: AttemptNumbers,
 
-    /// Observed state: machines, and requests to the cloud.
+    /// Observed state: the machines and the requests to the cloud.
     cluster: ClusterState,
 
-    /// Assignment log: what is to be committed, and what is in flight.
+    /// Assignment log: changes that are to be committed, and transactions in flight.
     log_writer: AssignmentLogWriter,
 
     /// Failure detection.
     failure_detector: FailureDetector,
-    /// When the request was sent whose response is the last one of the store.
+    /// When the newest request to the store that received a response was sent, in seconds on the
+    /// node's clock.
     store_contact_at: f64,
     /// Cancelled jobs that may still have attempts on machines.
     cancelled_on_machines: BTreeSet<JobIdx>,
 
-    /// Scheduling.
+    /// Scheduling: the search for stragglers.
     straggler_scan: StragglerScan,
-    /// See [`Leader::suspend_scheduling`].
+    /// Whether scheduling is suspended; see [`Leader::suspend_scheduling`].
     scheduling_suspended: bool,
 
     /// Commands to workers.
@@ -133,22 +135,26 @@
     /// Cost accounting.
     cost_accounting: CostAccounting,
 
-    /// Status: jobs whose progress has changed since it was last published.
+    /// Status: jobs whose progress has changed since their progress was last published.
     changed_progress: BTreeSet<JobIdx>,
 }
 
 impl Leader {
-    /// Builds a leader from the store as of its token or later, and from the log as
-    /// read under its token.
+    /// Builds a leader from a view of the store and the rows of the assignment log.
+    ///
+    /// The view must be as of the write of the term's token or later, and the log must have been
+    /// read under that token. `cluster` is the state that a previous term of this node left, if
+    /// there was one.
     ///
-    /// Every attempt that the log does not release counts as on its machine until
-    /// there is proof of the contrary; a task without one is on no machine, since no
-    /// start is sent without a commit that this token would have made fail.
+    /// Every attempt that the log does not release counts as being on its machine until the
+    /// contrary is proved. A task without such an attempt is on no machine: a start is only sent
+    /// after its assignment is committed, and a commit under an older token fails once this token
+    /// is written.
     ///
     /// # Errors
     ///
-    /// A segment of the log cannot be read. The node must not lead then: the attempts in it
-    /// would count as released.
+    /// Returns an error if a segment of the log cannot be read. The node must not lead in that
+    /// case: the attempts in the segment would count as released.
     pub fn new(
         store: &StoreView,
         rows: Vec<LogRow>,
@@ -170,7 +176,7 @@
         Ok(leader)
     }
 
-    /// A leader that does not know of any job yet.
+    /// Builds a leader without any jobs or attempts.
     fn without_jobs(store: &StoreView, term: LeaderTerm, mut cluster: ClusterState) -> Leader {
         let LeaderTerm { token, now, epoch, deployment, salt } = term;
         let mut catalog = std::mem::take(&mut cluster.catalog);
@@ -204,7 +210,7 @@
         }
     }
 
-    /// Adds the jobs of the store in the order in which they were submitted.
+    /// Adds the jobs in the store, in the order of their submission.
     fn add_stored_jobs(&mut self, store: &StoreView, now: f64) {
         let mut jobs: Vec<(&JobId, u64)> =
             store.jobs.iter().map(|(id, job)| (id, job.version)).collect();
@@ -214,7 +220,7 @@
         }
     }
 
-    /// The part of the state that outlives the token, for the next one.
+    /// Returns the part of the state that stays valid under the node's next token.
     pub fn into_cluster_state(self) -> ClusterState {
         ClusterState {
             catalog: self.catalog,
@@ -223,65 +229,68 @@
         }
     }
 
-    /// Does the periodic work that is due. `zone` is the leader's own; `peer_zones` are those of
-    /// the controllers that it has heard from lately.
-    pub fn tick(&mut self, now: f64, options: &RuntimeSettings, zone: &str, peer_zones: &[&str]) {
+    /// Runs the periodic steps that are due. `zone` is the leader's own zone; `peer_zones` are the
+    /// zones of the controllers from which it has recently received messages.
+    pub fn tick(&mut self, now: f64, settings: &RuntimeSettings, zone: &str, peer_zones: &[&str]) {
         self.timers.tick(now);
         self.cluster.counters.attempt_lookups += self.attempts.take_lookups();
         self.evacuate_leaving_machines(now);
         if self.unsettled_start_needs_new_token(now) {
             self.token_renewal.require(TokenRenewalReason::UnansweredStart);
         }
-        let maintenance_due = self.timers.maintenance_due(now, options);
+        let maintenance_due = self.timers.maintenance_due(now, settings);
         if maintenance_due {
-            // Also while a new token is awaited: that may take as long as an outage of the store.
+            // These steps also run while the leader waits for a new token, which may take as long
+            // as an outage of the store.
             self.commands.retry_undelivered_stops();
-            self.detect_failures(now, options, zone, peer_zones);
+            self.detect_failures(now, settings, zone, peer_zones);
             self.enforce_cancellation_deadlines(now);
         }
         if self.token_renewal.is_required() || self.scheduling_suspended {
             return;
         }
-        if self.timers.cycle_due(now, options) {
-            self.run_scheduling_cycle(now, options);
+        if self.timers.cycle_due(now, settings) {
+            self.run_scheduling_cycle(now, settings);
         }
         if maintenance_due {
-            self.restart_stragglers(now, options);
-            self.preempt_for_waiting_jobs(now, options);
+            self.restart_stragglers(now, settings);
+            self.preempt_for_waiting_jobs(now, settings);
             self.account_costs(now);
             self.restart_incomplete_gangs(now);
             self.maintain_warm_pool(now);
             self.remove_deleted_machines(now);
-            self.autoscale(now, options);
+            self.autoscale(now, settings);
         }
     }
 
-    /// Records when the request was sent whose response is the last one of the store, if there has
-    /// been one.
+    /// Records when the newest request to the store that received a response was sent. `None`
+    /// means that no request has received one, and leaves the recorded time as it is.
     pub fn note_store_contact(&mut self, at: Option<f64>) {
         self.store_contact_at = at.unwrap_or(self.store_contact_at);
     }
 
-    /// Whether the leader needs a new token before it goes on: it cannot know what became of a
-    /// commit or a start, or is about to run out of attempt numbers.
+    /// Whether the leader needs a new token before it can continue, because the outcome of a
+    /// commit or a start is unknown, its view of the store is wrong, or its attempt numbers are
+    /// nearly used up.
     pub fn needs_new_token(&self) -> bool {
         self.token_renewal.is_required() || self.attempt_numbers.are_nearly_used_up()
     }
 
-    /// Binds and preempts nothing as long as `suspended` holds: something in the store cannot be
-    /// read. What runs goes on, and cancellations end what they should.
+    /// Suspends or resumes scheduling. The node suspends it while a value in the store cannot be
+    /// read. Nothing is bound or preempted in the meantime; running tasks continue, and
+    /// cancelled ones are still stopped.
     pub fn suspend_scheduling(&mut self, suspended: bool) {
         self.scheduling_suspended = suspended;
     }
 
-    /// Applies all drain orders that the store has.
+    /// Applies all drain orders in the store.
     fn apply_drain_orders(&mut self, store: &StoreView) {
         for name in store.drain_orders.keys() {
             self.apply_drain(store, name);
         }
     }
 
-    /// Applies an operator's order to drain a machine, or its withdrawal.
+    /// Applies an operator's order to drain a machine, or the withdrawal of such an order.
     pub fn apply_drain(&mut self, store: &StoreView, name: &str) {
         let is_ordered = store.drain_orders.contains_key(name);
         self.log_writer.set_drain_version(name, store.drain_orders.get(name).copied());
@@ -295,8 +304,9 @@
         }
     }
 
-    /// Sets a machine's zone. After a takeover it is not known until the machine's first heartbeat
-    /// or the cloud's list, while attempts are on it already.
+    /// Sets the zone of a machine and of the attempts on it. After a takeover, a machine that
+    /// already has attempts is in an unknown zone until its first heartbeat or the cloud's list
+    /// arrives.
     fn set_zone(&mut self, machine_idx: MachineIdx, zone: ZoneIdx) {
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
         if machine.zone == Some(zone) {
@@ -314,23 +324,23 @@
         }
     }
 
-    /// Counters so far.
+    /// The counters for metrics.
     pub fn counters(&self) -> &LeaderCounters {
         &self.cluster.counters
     }
 
-    /// For how long no machine at all was seen.
+    /// For how long not a single machine has been seen.
     pub fn silence(&self, now: f64) -> HeartbeatSilence {
         self.failure_detector.silence(now)
     }
 
-    /// When it began to lead under this token.
+    /// When the leader's term began, in seconds on the node's clock.
     pub fn since(&self) -> f64 {
         self.since
     }
 }
 
-/// The quotas of the deployment's teams, none of which uses anything yet.
+/// The quotas of the deployment's teams, with zero usage.
 fn team_quotas(deployment: &Deployment) -> Vec<TeamQuota> {
     deployment
         .teams
--- a/crates/gladekeel-controller/src/leader/status.rs
+++ b/crates/gladekeel-controller/src/leader/status.rs
@@ -1,21 +1,21 @@
-//! What a leader tells of its work: progress of jobs, states of machines, figures for metrics.
+//! The status that a leader publishes: progress of jobs, states of machines, values for metrics.
 
 use super::{Job, Leader, Machine};
 use crate::store_view::JobProgress;
 use gladekeel_sched::{DenseIndex, Interner};
 use gladekeel_wire::{JobId, admin::MachineStatus};
 
-/// Work that is not finished.
+/// The number of unfinished jobs and of their pending tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backlog {
     /// Jobs that are not finished.
     pub jobs: usize,
-    /// Tasks of them that are on no machine.
+    /// Tasks of unfinished jobs that are waiting for a machine.
     pub pending_tasks: u64,
 }
 
 impl Leader {
-    /// The progress of the unfinished jobs for which it has changed since this was last called.
+    /// Returns the progress of the unfinished jobs whose progress has changed since the last call.
     pub fn take_changed_progress(&mut self) -> Vec<(JobId, JobProgress)> {
         let changed = std::mem::take(&mut self.changed_progress);
         let jobs = changed.iter().filter_map(|job_idx| Some((*job_idx, self.jobs.get(job_idx)?)));
@@ -27,7 +27,7 @@
             .collect()
     }
 
-    /// The machines that exist, for operators.
+    /// The status of all machines that are not known to be deleted, as the admin API shows it.
     pub fn machine_status(&self, now: f64) -> Vec<MachineStatus> {
         self.cluster
             .machines
@@ -49,20 +49,21 @@
         }
     }
 
-    /// How many segments of the assignment log are in use.
+    /// The number of segments of the assignment log that are in use.
     pub fn log_segments(&self) -> usize {
         self.log_writer.segment_count()
     }
 
-    /// How many seconds ago the oldest unfinished job was submitted; `None` if there is none.
+    /// The age of the oldest unfinished job since its submission, in seconds; `None` if all jobs
+    /// are finished.
     pub fn oldest_job_s(&self, now: f64) -> Option<f64> {
         self.unfinished_jobs().map(|job| now - job.submitted_at).max_by(f64::total_cmp)
     }
 
-    /// The unfinished jobs and their pending tasks.
+    /// Counts the unfinished jobs and their pending tasks.
     pub fn backlog(&self) -> Backlog {
-        let none = Backlog { jobs: 0, pending_tasks: 0 };
-        self.unfinished_jobs().fold(none, |backlog, job| Backlog {
+        let empty = Backlog { jobs: 0, pending_tasks: 0 };
+        self.unfinished_jobs().fold(empty, |backlog, job| Backlog {
             jobs: backlog.jobs + 1,
             pending_tasks: backlog.pending_tasks + job.pending.len() as u64,
         })
--- a/crates/gladekeel-controller/src/leader/timers.rs
+++ b/crates/gladekeel-controller/src/leader/timers.rs
@@ -1,13 +1,15 @@
-//! When the leader's periodic work is due, and whether this node keeps up with it.
+//! Timers of the leader's periodic steps, and detection of ticks that come late on this node.
 
 use crate::runtime_settings::RuntimeSettings;
 
-/// Ticks come many times a second. After a longer gap this node counts as lagging.
+/// Ticks come many times a second. After a gap longer than this, in seconds, this node counts as
+/// lagging.
 const MAX_TICK_GAP_S: f64 = 0.5;
-/// A requested scheduling cycle comes early, but not before this part of the cycle interval.
-const MIN_CYCLE_INTERVAL_SHARE: f64 = 0.25;
+/// A requested scheduling cycle runs early, but not before this fraction of the cycle interval has
+/// passed.
+const MIN_CYCLE_INTERVAL_FRACTION: f64 = 0.25;
 
-/// When each kind of periodic work was last done.
+/// The times at which the periodic steps last ran, in seconds on the node's clock.
 #[derive(Debug)]
 pub(super) struct Timers {
     last_cycle_at: f64,
@@ -18,7 +20,7 @@
 }
 
 impl Timers {
-    /// Timers that begin now, with a scheduling cycle requested.
+    /// Creates timers that start now, with a scheduling cycle requested.
     pub fn new(now: f64) -> Timers {
         Timers {
             last_cycle_at: now,
@@ -29,7 +31,7 @@
         }
     }
 
-    /// Records a tick, and whether it comes late.
+    /// Records a tick, and notes a lag if the tick comes late.
     pub fn tick(&mut self, now: f64) {
         if now - self.last_tick_at > MAX_TICK_GAP_S {
             self.last_lag_at = now;
@@ -37,23 +39,24 @@
         self.last_tick_at = now;
     }
 
-    /// Whether this node has lagged within the last seconds; just after the start it counts as
-    /// having lagged.
+    /// Whether this node has lagged within the last `seconds`. A node whose term has just begun
+    /// counts as having lagged.
     pub fn lagged_within(&self, seconds: f64, now: f64) -> bool {
         now - self.last_lag_at < seconds
     }
 
-    /// Asks for a scheduling cycle ahead of its time: something has changed that it may act on.
+    /// Requests an early scheduling cycle, after a change on which the scheduler may act.
     pub fn request_cycle(&mut self) {
         self.cycle_requested = true;
     }
 
-    /// Whether a scheduling cycle is due; if so, it counts as done.
-    pub fn cycle_due(&mut self, now: f64, options: &RuntimeSettings) -> bool {
+    /// Whether a scheduling cycle is due. If so, the timer restarts, and the caller must run the
+    /// cycle.
+    pub fn cycle_due(&mut self, now: f64, settings: &RuntimeSettings) -> bool {
         let since_last_s = now - self.last_cycle_at;
-        let min_interval_s = options.cycle_interval_s * MIN_CYCLE_INTERVAL_SHARE;
+        let min_interval_s = settings.cycle_interval_s * MIN_CYCLE_INTERVAL_FRACTION;
         let is_early = self.cycle_requested && since_last_s >= min_interval_s;
-        let is_due = is_early || since_last_s >= options.cycle_interval_s;
+        let is_due = is_early || since_last_s >= settings.cycle_interval_s;
         if is_due {
             self.last_cycle_at = now;
             self.cycle_requested = false;
@@ -61,9 +64,10 @@
         is_due
     }
 
-    /// Whether the work that looks at every machine is due; if so, it counts as done.
-    pub fn maintenance_due(&mut self, now: f64, options: &RuntimeSettings) -> bool {
-        let is_due = now - self.last_maintenance_at >= options.cycle_interval_s;
+    /// Whether the maintenance steps, which examine every machine, are due. If so, the timer
+    /// restarts, and the caller must run them.
+    pub fn maintenance_due(&mut self, now: f64, settings: &RuntimeSettings) -> bool {
+        let is_due = now - self.last_maintenance_at >= settings.cycle_interval_s;
         if is_due {
             self.last_maintenance_at = now;
         }
--- a/crates/gladekeel-controller/src/leader/token_renewal.rs
+++ b/crates/gladekeel-controller/src/leader/token_renewal.rs
@@ -1,21 +1,21 @@
-//! Whether the leader needs a new fencing token before it goes on.
+//! Tracks whether the leader needs a new fencing token before it can continue.
 //!
-//! Upholds "Who may decide" and "Direct commands" of `docs/safety.md`: what may still be executed
-//! under the old token can only fail under a new one. The node asks
-//! [`Leader::needs_new_token`](super::Leader::needs_new_token) and has the leader's key written
-//! again.
+//! This module enforces "Who may decide" and "Direct commands" of `docs/safety.md`: a request of
+//! unknown outcome that may still be executed under the old token can only fail once there is a
+//! new one. The node checks [`Leader::needs_new_token`](super::Leader::needs_new_token) and, if it
+//! returns true, writes the leader key again.
 
 use std::fmt;
 
-/// What only a new fencing token settles.
+/// Why a new fencing token is required.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TokenRenewalReason {
-    /// A commit had no response and may be applied at any later time.
+    /// A commit received no response and may be applied at any later time.
     UnansweredCommit,
-    /// A commit failed by the version of a key that only the leader writes: the leader's view of
-    /// the store is wrong.
+    /// A commit failed because a key that only the leader writes had another version than
+    /// expected, so the leader's view of the store is wrong.
     UnexpectedConflict,
-    /// A start had no response and may be executed at any later time.
+    /// A start received no response and may be executed at any later time.
     UnansweredStart,
 }
 
@@ -29,15 +29,15 @@
     }
 }
 
-/// The first reason for a new token, once there is one. It goes with the leader: the one under the
-/// new token begins without.
+/// The first reason for which a new token became required, if any has. A leader under a new token
+/// starts without a reason.
 #[derive(Debug, Default)]
 pub(super) struct TokenRenewal {
     reason: Option<TokenRenewalReason>,
 }
 
 impl TokenRenewal {
-    /// Has the leader commit, bind and start nothing more until it has a new token.
+    /// Requires a new token. The leader commits, binds and starts nothing until it has one.
     pub fn require(&mut self, reason: TokenRenewalReason) {
         if self.reason.is_none() {
             tracing::warn!(%reason, "new fencing token required");
