--- a/crates/gladekeel-controller/src/leader/failure_detection/cancellation_deadline.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/cancellation_deadline.rs
@@ -1,20 +1,20 @@
-//! Deletes machines on which tasks of a cancelled job might outlast its deadline.
+//! Deletes machines on which tasks of a cancelled job might run past the cancellation deadline.
 //!
-//! Leases end the tasks of most machines that are out of reach in time. A machine that hangs
-//! does not end its lease while it hangs, but what the cloud deletes is gone for certain
-//! ("Cancelled work ends in time" in `docs/safety.md`).
+//! On most unreachable machines, the expiry of the lease stops the tasks in time. A machine that
+//! hangs does not expire its lease while it hangs, but a machine that the cloud has deleted
+//! certainly runs nothing ("Cancelled work ends in time" in `docs/safety.md`).
 
 use super::thresholds::deletion_due_at;
 use crate::leader::{AssignmentPhase, Leader, machine::DeletionReason};
 use gladekeel_sched::{JobIdx, MachineIdx};
 
-/// Added to the heartbeat timeout, in seconds: for so long a new leader waits for heartbeats
-/// that show the tasks of a cancelled job gone, if it does not know when it was cancelled.
+/// Added to the heartbeat timeout, in seconds. If a new leader does not know when a job was
+/// cancelled, it waits for this sum for heartbeats that show that the job's tasks are gone.
 const TAKEOVER_MARGIN_S: f64 = 2.0;
 
 impl Leader {
-    /// Marks machines for deletion that may run tasks of a cancelled job beyond its
-    /// deadline. Runs with the failure detector.
+    /// Marks machines for deletion that may run tasks of a cancelled job past its cancellation
+    /// deadline. The leader calls this together with the failure detector.
     pub(in crate::leader) fn enforce_cancellation_deadlines(&mut self, now: f64) {
         let mut overdue_machines = Vec::new();
         for job_idx in &self.cancelled_on_machines {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether the machines that may still run a cancelled job must be deleted now.
+    /// Whether the machines that may still run tasks of a cancelled job must be deleted now.
     fn is_cancellation_overdue(&self, job_idx: JobIdx, now: f64) -> bool {
         let Some(job) = self.jobs.get(&job_idx) else { return false };
         let workers = &self.deployment.workers;
--- a/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -1,5 +1,5 @@
-//! Tasks on machines that are drained, reclaimed or deleted: stopped in time, and released
-//! once the machine is gone.
+//! Evacuation of machines that are drained, reclaimed or deleted: their tasks are stopped in time,
+//! and released once the deletion of the machine is confirmed.
 
 use crate::leader::{
     AssignmentPhase, Attempt, AttemptId, AttemptOutcome, ClusterState, Job, Leader, Machine,
@@ -8,28 +8,30 @@
 use gladekeel_sched::{JobIdx, MachineIdx};
 use std::collections::BTreeMap;
 
-/// A task that ends so long before its machine is reclaimed may go on, in seconds.
+/// A task may continue if it is expected to complete at least this long before its machine is
+/// reclaimed, in seconds.
 const TERMINATION_MARGIN_S: f64 = 0.5;
 
-/// Which gangs are reachable, as worked out at one time already.
+/// Caches which gangs are reachable, for queries at one time.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct GangReachability(BTreeMap<JobIdx, bool>);
 
-/// What is to be done about the machines that are leaving.
+/// The steps that evacuate the machines that are leaving.
 #[derive(Debug, Default)]
 struct Evacuation {
-    /// Machines that the cloud reclaims now.
+    /// Machines to mark for deletion because the cloud reclaims them.
     reclaimed: Vec<MachineIdx>,
-    /// Attempts that are not committed, to place elsewhere.
+    /// Uncommitted attempts, whose tasks are to be placed on other machines.
     withdraw: Vec<AttemptId>,
-    /// Attempts to stop while they can still save their progress.
+    /// Attempts to stop, while they can still save their progress or since they would not complete
+    /// in time.
     stop: Vec<AttemptId>,
-    /// Attempts that are gone with their machine.
+    /// Attempts to release, since the deletion of their machine is confirmed.
     release: Vec<AttemptId>,
 }
 
 impl ClusterState {
-    /// Marks a machine for deletion, unless it is marked already.
+    /// Marks a machine for deletion, unless it is already marked.
     pub(in crate::leader) fn mark_for_deletion(
         &mut self,
         now: f64,
@@ -44,8 +46,8 @@
 }
 
 impl Leader {
-    /// Moves tasks off the machines that are leaving. Runs in each tick, and when the cloud
-    /// has confirmed deletions.
+    /// Moves tasks off the machines that are leaving. The leader calls this in each tick, and when
+    /// the cloud has confirmed deletions.
     pub(in crate::leader) fn evacuate_leaving_machines(&mut self, now: f64) {
         let machines = &self.cluster.machines;
         self.cluster.leaving.retain(|idx| machines.get(idx).is_some_and(Machine::is_leaving));
@@ -85,7 +87,7 @@
         evacuation
     }
 
-    /// Stops an attempt, or its whole gang, so that it can save its progress.
+    /// Stops an attempt, or its whole gang if it is part of one, so that progress can be saved.
     fn stop_for_drain(&mut self, id: AttemptId) {
         let job_idx = self.attempts.get(id).map(|attempt| attempt.job);
         let is_gang = |job_idx: &JobIdx| self.jobs.get(job_idx).is_some_and(Job::is_gang);
@@ -100,9 +102,9 @@
         }
     }
 
-    /// Whether a task on a machine that is leaving should be stopped: while it can still save
-    /// its progress, or since it will not complete before the machine is reclaimed and is
-    /// better restarted elsewhere at once.
+    /// Whether a task on a machine that is leaving should be stopped now: either because the task
+    /// can still save its progress, or because it will not complete before the machine is
+    /// reclaimed, so that an immediate restart on another machine is better.
     fn must_stop(&self, now: f64, attempt: &Attempt, gangs: &mut GangReachability) -> bool {
         let (Some(machine), Some(job)) =
             (self.cluster.machines.get(&attempt.machine), self.jobs.get(&attempt.job))
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Whether a task can save its progress if it is stopped now.
+    /// Whether a task can save its progress when it is stopped now.
     fn can_save(
         &self,
         now: f64,
@@ -128,38 +130,38 @@
             && (!job.is_gang() || self.is_gang_reachable(attempt.job, now, gangs))
     }
 
-    /// Whether a task should be stopped on a machine that is reclaimed in `left_s` seconds.
+    /// Whether a task should be stopped on a machine that is reclaimed in `remaining_s` seconds.
     fn must_stop_before_termination(
         &self,
         now: f64,
-        left_s: f64,
+        remaining_s: f64,
         attempt: &Attempt,
         job: &Job,
         gangs: &mut GangReachability,
     ) -> bool {
-        let run_s = job.run_times.median_s().unwrap_or_else(|| self.expected_run_s(job));
-        let ran_s = attempt.running_since.map_or(0.0, |since| now - since);
-        let exceeds_termination = run_s - ran_s > left_s - TERMINATION_MARGIN_S;
+        let expected_run_s = job.run_times.median_s().unwrap_or_else(|| self.expected_run_s(job));
+        let elapsed_s = attempt.running_since.map_or(0.0, |since| now - since);
+        let exceeds_termination = expected_run_s - elapsed_s > remaining_s - TERMINATION_MARGIN_S;
         if !job.is_gang() || job.spec.checkpoint_interval_s == 0.0 {
             return exceeds_termination;
         }
-        // A gang with too little time to save would fall back to its last checkpoint by being
-        // stopped as by losing the machine; if it runs on it may reach another checkpoint.
+        // If there is too little time to save, the gang falls back to its last checkpoint, whether
+        // it is stopped or loses the machine. If it continues, it may reach another checkpoint.
         exceeds_termination
-            && left_s > job.grace_period_s(StopReason::Drained)
+            && remaining_s > job.grace_period_s(StopReason::Drained)
             && self.is_gang_reachable(attempt.job, now, gangs)
     }
 
-    /// Whether all machines of a gang are reachable, so that a stop reaches all its tasks: what
-    /// a part of them saves is of no use.
+    /// Whether all machines of a gang are reachable, so that a stop reaches all tasks of the gang.
+    /// Progress that only some of the tasks save is of no use.
     pub(in crate::leader) fn is_gang_reachable(
         &self,
         job_idx: JobIdx,
         now: f64,
-        known: &mut GangReachability,
+        cache: &mut GangReachability,
     ) -> bool {
         let heartbeat_timeout_s = self.deployment.workers.heartbeat_timeout_s();
-        *known.0.entry(job_idx).or_insert_with(|| {
+        *cache.0.entry(job_idx).or_insert_with(|| {
             self.attempts.of_job(job_idx).machines().all(|machine_idx| {
                 self.cluster.machines.get(&machine_idx).is_some_and(|machine| {
                     machine.liveness.silent_s(now) < heartbeat_timeout_s
@@ -170,8 +172,9 @@
     }
 }
 
-/// Whether the cloud reclaims a machine now. What is left on it is lost; its deletion proves
-/// that.
+/// Whether a machine that the cloud reclaims is to be deleted now: the time of its termination has
+/// come, or it is idle. Tasks that are still on the machine are lost, which its confirmed deletion
+/// proves.
 fn is_reclaimed(machine: &Machine, now: f64) -> bool {
     machine.termination_at.is_some_and(|at| now >= at || machine.is_idle())
 }
--- a/crates/gladekeel-controller/src/leader/failure_detection/mod.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/mod.rs
@@ -1,10 +1,11 @@
-//! Finds machines that have failed, and gets their tasks to others.
+//! Detects machines that have failed, and moves their tasks to other machines.
 //!
-//! The leader runs the [`detector::FailureDetector`] once in each scheduling cycle. It weighs
-//! who was seen and who responds to probes, and says which machines to probe and which to
-//! delete. The silence of a machine never releases its tasks, its confirmed deletion does ("Machines"
-//! in `docs/safety.md`). [`evacuation`] does that, and stops tasks in time on machines that are
-//! about to go.
+//! The leader runs the [`detector::FailureDetector`] once per scheduling cycle. From the machines
+//! that were seen and those that respond to probes, the detector decides which machines to probe
+//! and which to delete. The silence of a machine never releases its tasks; only the confirmed
+//! deletion of the machine does ("Machines" in `docs/safety.md`). The module [`evacuation`]
+//! releases the tasks of deleted machines, and stops tasks in time on machines that are about to
+//! be reclaimed or deleted.
 
 mod cancellation_deadline;
 pub(in crate::leader) mod detector;
--- a/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
@@ -1,28 +1,28 @@
-//! The signals that the failure detector weighs, as of one pass over all machines.
+//! The observations on which the failure detector decides, collected in one pass over all machines.
 
 use super::thresholds::DetectionThresholds;
 use crate::leader::Machine;
 use gladekeel_sched::ZoneIdx;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who was seen and who has responded to probes, by zone.
+/// Which machines were seen and when machines last responded to probes, by zone.
 #[derive(Default)]
 pub(super) struct ClusterObservation {
     zones: BTreeMap<Option<ZoneIdx>, ZoneObservation>,
-    /// Zones of this leader and of the controllers that it reaches.
+    /// The zones of this leader and of the other controllers that it can reach.
     controller_zones: BTreeSet<ZoneIdx>,
     any_machine_seen: bool,
 }
 
-/// The same of one zone.
+/// The observations in one zone.
 #[derive(Default)]
 struct ZoneObservation {
-    /// Machines of which heartbeats are expected.
+    /// The number of machines from which heartbeats are expected.
     expected: usize,
-    /// Those of them that were seen recently.
+    /// How many of the expected machines were seen recently.
     seen_recently: usize,
-    /// When a machine of the zone last responded to a probe.
-    last_probe_answer: Option<f64>,
+    /// When any machine in the zone last responded to a probe; `None` if none has responded.
+    last_probe_response: Option<f64>,
 }
 
 impl ZoneObservation {
@@ -31,17 +31,17 @@
         if machine.liveness.silent_s(now) < thresholds.recently_seen_s {
             self.seen_recently += 1;
         }
-        let answers = [self.last_probe_answer, machine.liveness.last_probe_answer()];
-        self.last_probe_answer = answers.into_iter().flatten().reduce(f64::max);
+        let responses = [self.last_probe_response, machine.liveness.last_probe_response()];
+        self.last_probe_response = responses.into_iter().flatten().reduce(f64::max);
     }
 
-    fn answered_after(&self, time: f64) -> bool {
-        self.last_probe_answer.is_some_and(|answer| answer > time)
+    fn responded_after(&self, time: f64) -> bool {
+        self.last_probe_response.is_some_and(|response| response > time)
     }
 }
 
 impl ClusterObservation {
-    /// Looks at all machines of which heartbeats are expected.
+    /// Collects the observations of all machines from which heartbeats are expected.
     pub fn collect<'a>(
         now: f64,
         machines: impl Iterator<Item = &'a Machine>,
@@ -58,40 +58,41 @@
         observation
     }
 
-    /// Whether any machine was seen recently. If none was, this leader may be the one that is
-    /// partitioned.
+    /// Whether any machine was seen recently. If none was, this leader may itself be partitioned.
     pub fn any_machine_seen(&self) -> bool {
         self.any_machine_seen
     }
 
-    /// The zones with machines of which heartbeats are expected, and how many those are.
+    /// The zones from which heartbeats are expected, with the number of machines expected to send
+    /// them.
     pub fn expected_by_zone(&self) -> impl Iterator<Item = (Option<ZoneIdx>, usize)> {
         self.zones.iter().map(|(zone, observed)| (*zone, observed.expected))
     }
 
-    /// Whether heartbeats of a zone are expected and it is reachable: a machine there was seen
-    /// recently, or a controller is there and any machine at all was seen.
+    /// Whether heartbeats are expected from a zone and the zone is reachable: a machine in the zone
+    /// was seen recently, or a controller is in the zone and any machine at all was seen recently.
     pub fn is_reachable(&self, zone: Option<ZoneIdx>) -> bool {
         self.zones.get(&zone).is_some_and(|observed| {
             observed.seen_recently > 0 || (self.any_machine_seen && self.has_controller(zone))
         })
     }
 
-    /// The zones that are reachable.
+    /// The zones for which [`ClusterObservation::is_reachable`] holds.
     pub fn reachable_zones(&self) -> impl Iterator<Item = Option<ZoneIdx>> {
         self.zones.keys().copied().filter(|zone| self.is_reachable(*zone))
     }
 
-    /// Whether other machines have responded to probes after the given time, so that one that
-    /// has not is itself to blame: machines of its zone, or of any if a controller is there.
-    pub fn others_answered_after(&self, zone: Option<ZoneIdx>, time: f64) -> bool {
-        let in_zone = self.zones.get(&zone).is_some_and(|observed| observed.answered_after(time));
+    /// Whether machines that share the network path of a machine in `zone` have responded to probes
+    /// after `time`, so that a machine that has not responded has probably failed itself. Machines
+    /// of the same zone count, and machines of any zone if a controller is in `zone`.
+    pub fn others_responded_after(&self, zone: Option<ZoneIdx>, time: f64) -> bool {
+        let in_zone = self.zones.get(&zone).is_some_and(|observed| observed.responded_after(time));
         in_zone
             || (self.has_controller(zone)
-                && self.zones.values().any(|observed| observed.answered_after(time)))
+                && self.zones.values().any(|observed| observed.responded_after(time)))
     }
 
-    /// Whether a controller is in the zone, or the zone is not known.
+    /// Whether a controller is in the zone, or the zone is unknown.
     fn has_controller(&self, zone: Option<ZoneIdx>) -> bool {
         zone.is_none_or(|zone| self.controller_zones.contains(&zone))
     }
--- a/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
@@ -1,46 +1,49 @@
-//! Which zones the leader reaches, by the heartbeats that arrive from them.
+//! Which zones the leader can reach, according to the heartbeats that arrive from them.
 
 use super::observation::ClusterObservation;
 use gladekeel_sched::ZoneIdx;
 use gladekeel_wire::settings::WorkerTimings;
 use std::collections::BTreeMap;
 
-/// A zone counts as unreachable once so many heartbeats in a row are missing.
+/// A zone counts as unreachable once this many consecutive heartbeats from it are missing.
 const MAX_MISSING_HEARTBEATS: f64 = 30.0;
-/// The shortest silence of a zone that counts, in seconds.
+/// The shortest silence after which a zone may count as unreachable, in seconds.
 const MIN_ZONE_TIMEOUT_S: f64 = 1.5;
 
-/// When machines were last seen, in all and by zone. The scheduler places no work in a zone
-/// that is unreachable, and a leader that sees no machine at all resigns.
+/// When machines were last seen, overall and by zone.
+///
+/// The scheduler places no tasks in an unreachable zone, and a leader that sees no machine at all
+/// resigns.
 #[derive(Debug)]
 pub(in crate::leader) struct ZoneReachability {
-    /// When any machine was last seen.
+    /// When any machine was last seen, in seconds on the node's clock.
     last_seen: f64,
-    /// Machines of which heartbeats are expected.
+    /// The number of machines from which heartbeats are expected.
     expected: usize,
     zones: BTreeMap<ZoneIdx, ZoneHeartbeats>,
     heartbeat_interval_s: f64,
     heartbeat_timeout_s: f64,
 }
 
-/// The heartbeats of one zone.
+/// The number of machines in one zone from which heartbeats are expected, and when the last one
+/// was seen.
 #[derive(Debug, Default)]
 struct ZoneHeartbeats {
     expected: usize,
     last_seen: f64,
 }
 
-/// For how long no machine at all was seen.
+/// The time for which not a single machine has been seen.
 #[derive(Debug, Clone, Copy)]
 pub struct HeartbeatSilence {
-    /// Machines of which heartbeats are expected.
+    /// The number of machines from which heartbeats are expected.
     pub expected_machines: usize,
-    /// For how long none of them was seen, in seconds.
+    /// For how long no machine has been seen, in seconds.
     pub silent_s: f64,
 }
 
 impl ZoneReachability {
-    /// No machine was seen yet; silence counts from now.
+    /// Creates the state in which no machine has been seen; silence counts from now.
     pub fn new(now: f64, workers: &WorkerTimings) -> ZoneReachability {
         ZoneReachability {
             last_seen: now,
@@ -51,26 +54,26 @@
         }
     }
 
-    /// Records that a machine of a zone was seen.
+    /// Records that a machine in a zone was seen.
     pub fn record_heartbeat(&mut self, zone: ZoneIdx, now: f64) {
         self.last_seen = now;
         self.zones.entry(zone).or_default().last_seen = now;
     }
 
-    /// Sets of how many machines heartbeats are expected, in all.
+    /// Sets the total number of machines from which heartbeats are expected.
     pub fn set_expected(&mut self, machines: usize) {
         self.expected = machines;
     }
 
-    /// Sets of how many machines of a zone heartbeats are expected. The silence of a zone
-    /// that is new counts from now.
+    /// Sets the number of machines in a zone from which heartbeats are expected. The silence of a
+    /// new zone counts from now.
     pub fn set_expected_in(&mut self, zone: ZoneIdx, machines: usize, now: f64) {
         let new_zone = ZoneHeartbeats { expected: 0, last_seen: now };
         self.zones.entry(zone).or_insert(new_zone).expected = machines;
     }
 
-    /// Whether so many heartbeats of a zone are missing that it is likely to be partitioned:
-    /// work that is placed there now would not start until that is over.
+    /// Whether so many heartbeats from a zone are missing that the zone is probably partitioned.
+    /// Tasks placed in the zone now would not start until the partition ends.
     pub fn is_unreachable(&self, zone: ZoneIdx, now: f64) -> bool {
         self.zones.get(&zone).is_some_and(|zone| {
             let machines = zone.expected.max(1) as f64;
@@ -79,26 +82,27 @@
         })
     }
 
-    /// The zones that are unreachable.
+    /// The zones for which [`ZoneReachability::is_unreachable`] holds.
     pub fn unreachable_zones(&self, now: f64) -> impl Iterator<Item = ZoneIdx> {
         self.zones.keys().copied().filter(move |zone| self.is_unreachable(*zone, now))
     }
 
-    /// For how long no machine at all was seen.
+    /// For how long not a single machine has been seen.
     pub fn silence(&self, now: f64) -> HeartbeatSilence {
         HeartbeatSilence { expected_machines: self.expected, silent_s: now - self.last_seen }
     }
 }
 
-/// Since when each zone has been reachable without interruption, as the failure detector
-/// observed it. It outlives the fencing token. `None` stands for machines of unknown zone.
+/// Since when each zone has been reachable without interruption, as observed by the failure
+/// detector. The state survives a change of fencing token. The key `None` stands for the machines
+/// whose zone is unknown.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct ReachableZones {
     since: BTreeMap<Option<ZoneIdx>, f64>,
 }
 
 impl ReachableZones {
-    /// Takes over which zones are reachable now.
+    /// Updates the state with the zones that are reachable now.
     pub(super) fn update(&mut self, now: f64, observation: &ClusterObservation) {
         self.since.retain(|zone, _| observation.is_reachable(*zone));
         for zone in observation.reachable_zones() {
@@ -106,7 +110,7 @@
         }
     }
 
-    /// For how long a zone has been reachable, in seconds, if it is.
+    /// For how long a zone has been reachable, in seconds; `None` if it is unreachable.
     pub fn reachable_s(&self, zone: Option<ZoneIdx>, now: f64) -> Option<f64> {
         self.since.get(&zone).map(|since| now - since)
     }
--- a/crates/gladekeel-controller/src/leader/failure_detection/thresholds.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/thresholds.rs
@@ -1,60 +1,61 @@
-//! How long a silence has to last before the failure detector draws a conclusion from it.
+//! The durations of silence after which the failure detector draws its conclusions.
 
 use gladekeel_wire::settings::Deployment;
 
-/// How long a deletion may take with a slow cloud API and many requests waiting, in seconds.
+/// How long a deletion may take with a slow cloud API and many queued requests, in seconds.
 const MAX_DELETION_S: f64 = 15.0;
-/// Heartbeat timeouts without a heartbeat, after which a machine that responds to probes and
-/// whose lease has expired counts as partitioned from all controllers.
+/// The number of heartbeat timeouts without a heartbeat after which a machine counts as partitioned
+/// from all controllers, if the machine responds to probes and its lease has expired.
 const OUTBOUND_PARTITION_TIMEOUTS: f64 = 2.0;
-/// Added to that, in seconds.
+/// Added to the time of these heartbeat timeouts, in seconds.
 const OUTBOUND_PARTITION_MARGIN_S: f64 = 4.0;
-/// A silent zone is given up so long before the cancellation deadline, counted from the
-/// begin of its silence, in seconds.
+/// The machines of a silent zone count as failed at least this long before a cancellation deadline
+/// that is counted from the beginning of their silence, in seconds.
 const ZONE_DEADLINE_MARGIN_S: f64 = 8.0;
-/// A machine counts as seen recently within this fraction of the unreachable timeout, so that
-/// the silence of a zone shows well before its machines count as failed.
-const RECENT_FRACTION: f64 = 0.6;
-/// With so many machines per processor core at most, a new leader probes all of them at once.
-/// The responses of more would keep the processor busy for longer than their next
-/// heartbeats take.
+/// A machine counts as recently seen within this fraction of the unreachable timeout, so that the
+/// silence of a zone is noticed well before the machines of the zone count as failed.
+const RECENTLY_SEEN_FRACTION: f64 = 0.6;
+/// The highest number of machines per processor core at which a new leader probes all machines at
+/// once. The responses of more machines would take longer to process than their next heartbeats
+/// take to arrive.
 const MAX_PROBED_MACHINES_PER_CORE: f64 = 500.0;
-/// Leases without a message, after which a machine counts as failed whatever else is known.
+/// The number of lease durations without a message after which a machine counts as failed in any
+/// case.
 const MAX_SILENT_LEASES: f64 = 3.0;
 
-/// The failure detector's limits at one time. All but the flags are in seconds.
+/// The thresholds of the failure detector at one time. All fields but the flags are in seconds.
 pub(super) struct DetectionThresholds {
     /// Silence after which a machine is probed.
     pub probe_after_s: f64,
-    /// Whether machines that this leader has not seen yet are probed without delay.
+    /// Whether machines that this leader has not yet seen are probed immediately.
     pub probes_unseen_machines: bool,
     /// Silence after which a heartbeat is overdue.
     pub heartbeat_timeout_s: f64,
-    /// Silence within which a machine counts as seen recently.
+    /// Silence below which a machine counts as recently seen.
     pub recently_seen_s: f64,
     /// Silence after which an unresponsive machine may count as failed.
     pub unreachable_after_s: f64,
-    /// How long a machine responds to probes without heartbeats before it counts as
+    /// Time after which a machine that responds to probes without sending heartbeats counts as
     /// partitioned from all controllers.
     pub outbound_partition_s: f64,
     /// Silence after which a machine counts as failed although its whole zone is silent.
     pub silent_zone_s: f64,
-    /// Silence after which a machine counts as failed whatever else is known.
+    /// Silence after which a machine counts as failed in any case.
     pub max_silence_s: f64,
-    /// Whether a job that was cancelled right after the last contact with the store must soon
-    /// be off every machine. This leader may not know of such a cancellation.
+    /// Whether the tasks of a job that was cancelled right after the last contact with the store
+    /// must soon be off every machine. This leader may not know of such a cancellation.
     pub unknown_cancellations_due: bool,
 }
 
-/// What the thresholds depend on beside the deployment.
+/// The values on which the thresholds depend, in addition to the deployment.
 pub(super) struct DetectionContext {
-    /// The time.
+    /// The current time, in seconds on the node's clock.
     pub now: f64,
     /// The configured silence after which a machine may count as failed, in seconds.
     pub unreachable_after_s: f64,
-    /// How many machines there are.
+    /// The number of machines in the cluster.
     pub machines: usize,
-    /// When the request of the last successful contact with the store was sent.
+    /// When the newest request to the store that received a response was sent.
     pub store_contact_at: f64,
 }
 
@@ -68,7 +69,7 @@
             probe_after_s: workers.probe_after_s(),
             probes_unseen_machines: context.machines as f64 <= max_probed_machines,
             heartbeat_timeout_s,
-            recently_seen_s: RECENT_FRACTION * unreachable_after_s,
+            recently_seen_s: RECENTLY_SEEN_FRACTION * unreachable_after_s,
             unreachable_after_s,
             outbound_partition_s: OUTBOUND_PARTITION_TIMEOUTS * heartbeat_timeout_s
                 + OUTBOUND_PARTITION_MARGIN_S,
@@ -81,8 +82,8 @@
     }
 }
 
-/// When machines that may still run a job must be deleted, so that the deletion is complete
-/// by the deadline of a cancellation that was made at the given time.
+/// The time at which machines that may still run a job cancelled at `cancelled_at` must be deleted,
+/// so that their deletion is complete by the cancellation deadline.
 pub(super) fn deletion_due_at(cancelled_at: f64, cancellation_deadline_s: f64) -> f64 {
     cancelled_at + cancellation_deadline_s - MAX_DELETION_S
 }
--- a/crates/gladekeel-controller/src/leader/machine/acknowledgements.rs
+++ b/crates/gladekeel-controller/src/leader/machine/acknowledgements.rs
@@ -1,20 +1,22 @@
-//! Whether a worker acts on the responses to its heartbeats.
+//! Tracks whether a worker acts on the responses to its heartbeats.
 //!
-//! A worker applies a response before it sends its next heartbeat, so that the next one
-//! shows whether the response arrived. With an inbound partition heartbeats go on to arrive,
-//! but nothing that is sent to the machine takes effect there: it must get no new work, nor
-//! look alive because of its heartbeats.
+//! A worker applies a response before it sends its next heartbeat, so that the next heartbeat
+//! shows whether the response arrived. During an inbound partition, heartbeats of the machine keep
+//! arriving, but nothing that is sent to the machine takes effect. Such a machine must get no new
+//! tasks, and its heartbeats must not make it count as alive.
 
 use gladekeel_wire::worker::Command;
 use std::collections::BTreeSet;
 
-/// Responses in a row without effect, after which a worker must respond to a direct command.
+/// The number of consecutive responses without effect after which a worker has to respond to a
+/// direct command.
 const MAX_MISSED_ACKS: u32 = 2;
 
-/// What the next heartbeat is to show if the response to the last one arrived.
+/// The effects that the next heartbeat of a worker shows if the response to the previous one
+/// arrived.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct ExpectedEffects {
-    /// The response carried a fencing token that the worker had not seen.
+    /// Whether the response carried a fencing token that the worker had not yet seen.
     token_seen: bool,
     /// Attempts to start, by the numbers that workers use.
     starts: Vec<u64>,
@@ -23,8 +25,8 @@
 }
 
 impl ExpectedEffects {
-    /// The effects of a response with these commands, to a heartbeat that was made under
-    /// this leader's token or not.
+    /// Returns the expected effects of a response with `commands`. `knows_token` says whether the
+    /// heartbeat to which it responds was created under this leader's token.
     pub fn of_response(commands: &[Command], knows_token: bool) -> ExpectedEffects {
         let mut effects = ExpectedEffects { token_seen: !knows_token, ..Default::default() };
         for command in commands {
@@ -41,7 +43,7 @@
         !self.token_seen && self.starts.is_empty() && self.forgets.is_empty()
     }
 
-    /// Whether a heartbeat with these attempts shows any of the effects.
+    /// Whether a heartbeat that reports these attempts shows any of the effects.
     fn any_shown(&self, reported_attempts: &BTreeSet<u64>, knows_token: bool) -> bool {
         self.starts.iter().any(|attempt| reported_attempts.contains(attempt))
             || self.forgets.iter().any(|attempt| !reported_attempts.contains(attempt))
@@ -49,7 +51,7 @@
     }
 }
 
-/// Compares the responses to a worker's heartbeats with the heartbeats that follow.
+/// Compares the responses to a worker's heartbeats with the heartbeats that follow them.
 #[derive(Debug, Default)]
 pub struct Acknowledgements {
     expected: ExpectedEffects,
@@ -57,12 +59,12 @@
 }
 
 impl Acknowledgements {
-    /// Sets what the next heartbeat is to show.
+    /// Sets the effects that the next heartbeat is expected to show.
     pub fn expect(&mut self, effects: ExpectedEffects) {
         self.expected = effects;
     }
 
-    /// Compares a heartbeat with what it was expected to show.
+    /// Compares a heartbeat with the effects that it was expected to show.
     pub fn check_heartbeat(&mut self, reported_attempts: &BTreeSet<u64>, knows_token: bool) {
         let expected = std::mem::take(&mut self.expected);
         if expected.any_shown(reported_attempts, knows_token) {
@@ -72,24 +74,24 @@
         }
     }
 
-    /// Records a response to a direct command: messages reach the worker.
+    /// Records a response to a direct command, which proves that messages reach the worker.
     pub fn confirm(&mut self) {
         self.missed = 0;
         self.expected = ExpectedEffects::default();
     }
 
-    /// Treats the worker as one on which several responses had no effect: its lease has
-    /// expired although its heartbeats arrived.
+    /// Records that the worker's lease has expired although its heartbeats arrived. The worker then
+    /// counts as one on which several responses had no effect.
     pub fn record_expired_lease(&mut self) {
         self.missed = self.missed.max(MAX_MISSED_ACKS);
     }
 
-    /// Responses in a row without effect.
+    /// The number of consecutive responses without effect.
     pub fn missed(&self) -> u32 {
         self.missed
     }
 
-    /// Whether so many responses had no effect that a lost one does not explain it.
+    /// Whether so many responses had no effect that a single lost response does not explain it.
     pub fn suggest_partition(&self) -> bool {
         self.missed >= MAX_MISSED_ACKS
     }
--- a/crates/gladekeel-controller/src/leader/machine/cloud_listing.rs
+++ b/crates/gladekeel-controller/src/leader/machine/cloud_listing.rs
@@ -1,12 +1,12 @@
-//! What the cloud's list of machines says of one of them.
+//! The state of one machine according to the cloud's lists of machines.
 
 use gladekeel_wire::cloud::MachineState;
 
-/// Lists in a row without a machine, after which it counts as gone. A list may be older than
-/// the one before it, so a single one proves little.
+/// The number of consecutive lists without a machine after which the machine counts as gone. A list
+/// may be older than the list received before it, so a single list proves little.
 const MAX_MISSING_LISTS: u32 = 2;
 
-/// A machine's entry in the cloud's list.
+/// A machine's entry in the cloud's lists.
 #[derive(Debug, Default)]
 pub struct CloudListing {
     state: Option<MachineState>,
@@ -20,18 +20,19 @@
         self.missing_lists = 0;
     }
 
-    /// Records that a list lacks the machine. Returns whether it counts as gone.
+    /// Records that a list lacks the machine. Returns whether the machine now counts as gone.
     pub fn record_missing(&mut self) -> bool {
         self.missing_lists += 1;
         self.missing_lists >= MAX_MISSING_LISTS
     }
 
-    /// Records that the worker was seen, whatever the lists say.
+    /// Records that the worker was seen, which restarts the count of lists without the machine.
     pub fn record_seen(&mut self) {
         self.missing_lists = 0;
     }
 
-    /// The state in the newest list that included the machine, if any did.
+    /// The state in the last received list that included the machine; `None` if no list has
+    /// included it.
     pub fn state(&self) -> Option<MachineState> {
         self.state
     }
--- a/crates/gladekeel-controller/src/leader/machine/deletion.rs
+++ b/crates/gladekeel-controller/src/leader/machine/deletion.rs
@@ -1,4 +1,4 @@
-//! The deletion of a machine: planned for a reason, requested from the cloud, confirmed.
+//! The stages of a machine's deletion: planned for a reason, requested from the cloud, confirmed.
 
 use std::fmt;
 
@@ -7,26 +7,26 @@
 pub enum DeletionReason {
     /// The cloud reclaims the spot machine.
     SpotTermination,
-    /// Operators ordered it drained, and no attempt is left on it.
+    /// Operators ordered the machine to be drained, and no attempt is left on it.
     Drained,
-    /// It responds to direct commands, but none of its heartbeats reaches a controller.
+    /// The machine responds to direct commands, but none of its heartbeats reaches a controller.
     OutboundPartition,
-    /// It neither sends heartbeats nor responds to direct commands.
+    /// The machine neither sends heartbeats nor responds to direct commands.
     HeartbeatTimeout,
-    /// It has not booted in time.
+    /// The machine has not booted in time.
     BootTimeout,
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     Failed,
-    /// The cloud's list no longer includes it.
+    /// The cloud's list no longer includes the machine.
     NoLongerListed,
-    /// Its heartbeats arrive, but show no effect of the responses to them, and it does not
-    /// respond to direct commands.
+    /// The machine's heartbeats arrive, but show no effect of the responses to them, and the
+    /// machine does not respond to direct commands.
     InboundPartition,
-    /// Task after task failed on it.
+    /// Several consecutive tasks failed on the machine.
     RepeatedTaskFailures,
-    /// It is idle, and the autoscaler does not need it.
+    /// The machine is idle, and the autoscaler does not need it.
     Idle,
-    /// A task of a cancelled job may run on it beyond the cancellation deadline.
+    /// A task of a cancelled job may run on the machine past the cancellation deadline.
     CancelledTaskMayRun,
 }
 
@@ -48,23 +48,25 @@
     }
 }
 
-/// How far the deletion of a machine is. A planned one is never taken back: the cloud may
-/// carry out a request late, so the machine gets no more work whatever comes of it.
+/// The stage of a machine's deletion.
+///
+/// A planned deletion is never cancelled: the cloud may execute a request late, so the machine gets
+/// no more tasks, whatever the outcome of the request is.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum Deletion {
-    /// None is planned.
+    /// No deletion is planned.
     #[default]
     NotPlanned,
-    /// Planned, not yet requested from the cloud.
+    /// The deletion is planned, but not yet requested from the cloud.
     Planned(DeletionReason),
-    /// Requested from the cloud, and requested again until it confirms.
+    /// The deletion was requested from the cloud; the request is retried until the cloud confirms.
     Requested(DeletionReason),
-    /// Confirmed by the cloud. Nothing runs on the machine any more.
+    /// The cloud has confirmed the deletion. Nothing runs on the machine any more.
     Confirmed,
 }
 
 impl Deletion {
-    /// Plans the deletion. Returns false if it was planned already; its reason stays then.
+    /// Plans the deletion. Returns false if it was already planned; the first reason then stays.
     pub fn plan(&mut self, reason: DeletionReason) -> bool {
         let is_new = *self == Deletion::NotPlanned;
         if is_new {
@@ -73,7 +75,7 @@
         is_new
     }
 
-    /// Records that a request to delete the machine goes out.
+    /// Records that a request to delete the machine is being sent.
     pub fn request(&mut self) {
         if let Deletion::Planned(reason) = *self {
             *self = Deletion::Requested(reason);
@@ -85,22 +87,22 @@
         *self = Deletion::Confirmed;
     }
 
-    /// Whether the machine is to be deleted, or is deleted already.
+    /// Whether the machine is to be deleted or is already deleted.
     pub fn is_planned(self) -> bool {
         self != Deletion::NotPlanned
     }
 
-    /// Whether a request was sent that the cloud has not confirmed.
+    /// Whether a request for the deletion was sent and the cloud has not confirmed it.
     pub fn is_requested(self) -> bool {
         matches!(self, Deletion::Requested(_))
     }
 
-    /// Whether the machine is to be deleted and the cloud has not confirmed it.
+    /// Whether the machine is to be deleted and the cloud has not confirmed the deletion.
     pub fn is_unconfirmed(self) -> bool {
         matches!(self, Deletion::Planned(_) | Deletion::Requested(_))
     }
 
-    /// Whether the machine is deleted for certain.
+    /// Whether the cloud has confirmed the deletion of the machine.
     pub fn is_confirmed(self) -> bool {
         self == Deletion::Confirmed
     }
--- a/crates/gladekeel-controller/src/leader/machine/image_cache.rs
+++ b/crates/gladekeel-controller/src/leader/machine/image_cache.rs
@@ -1,28 +1,28 @@
-//! The container images on a machine, as the leader assumes them from what it assigned.
+//! The container images on a machine, which the leader infers from the tasks that it assigned.
 
 use gladekeel_sched::ImageIdx;
 use std::collections::BTreeSet;
 
-/// An image that was assigned to the machine.
+/// An image of a task that was assigned to the machine.
 #[derive(Debug, Clone, Copy)]
 struct CacheEntry {
     image: ImageIdx,
     size_gb: f64,
 }
 
-/// The images of a machine. The worker's cache is assumed to evict the least recently used images
-/// when it is full.
+/// The images on a machine. The leader assumes that a worker whose cache is full evicts the least
+/// recently used images.
 #[derive(Debug, Default)]
 pub struct ImageCache {
     /// Images that are cached or being fetched, least recently used first.
     entries: Vec<CacheEntry>,
-    /// Those of them with which a task was seen to run.
+    /// The cached images, each of which a task has been seen to use.
     cached: BTreeSet<ImageIdx>,
 }
 
 impl ImageCache {
-    /// Records that a task with this image was assigned, and evicts the least recently used
-    /// images beyond the capacity.
+    /// Records that a task with this image was assigned, and evicts the least recently used images
+    /// until the rest fits into the capacity. The new image itself is never evicted.
     pub fn record_use(&mut self, image: ImageIdx, size_gb: f64, capacity_gb: f64) {
         self.entries.retain(|entry| entry.image != image);
         self.entries.push(CacheEntry { image, size_gb });
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Records that a task has this image, so that it is fetched completely.
+    /// Records that a task on the machine uses this image, so that the image is completely fetched.
     pub fn record_fetched(&mut self, image: ImageIdx) {
         self.cached.insert(image);
     }
@@ -44,7 +44,7 @@
         self.entries.iter().any(|entry| entry.image == image)
     }
 
-    /// Whether the image is fetched completely.
+    /// Whether the image is completely fetched.
     pub fn is_cached(&self, image: ImageIdx) -> bool {
         self.cached.contains(&image)
     }
@@ -54,7 +54,7 @@
         self.entries.iter().map(|entry| entry.image)
     }
 
-    /// Images that are fetched completely.
+    /// Images that are completely fetched.
     pub fn cached(&self) -> &BTreeSet<ImageIdx> {
         &self.cached
     }
--- a/crates/gladekeel-controller/src/leader/machine/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/machine/liveness.rs
@@ -1,10 +1,11 @@
-//! When a machine's worker was last seen, and whether it responds to direct commands.
+//! Tracks when a machine's worker was last seen, and whether it responds to direct commands.
 //!
-//! Heartbeats and responses to direct commands are recorded apart: only a heartbeat that reaches
-//! a controller renews the worker's lease, so a worker that responds to commands but whose heartbeats
-//! get lost will still lose its tasks.
+//! Heartbeats and responses to direct commands are recorded separately: only a heartbeat that
+//! reaches a controller renews the worker's lease. A worker that responds to commands but whose
+//! heartbeats are lost therefore still loses its tasks.
 
-/// Direct commands in a row without a response, after which a machine is unresponsive.
+/// The number of consecutive direct commands without a response after which a machine is
+/// unresponsive.
 const MAX_UNANSWERED_COMMANDS: u32 = 2;
 
 /// The newest heartbeat that reached a controller.
@@ -14,70 +15,73 @@
     incarnation: u64,
 }
 
-/// Whether a machine counts as unresponsive after a command without a response.
+/// Whether a machine counts as unresponsive after a direct command without a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Responsiveness {
-    /// Not yet: it is to be probed again.
+    /// The machine does not yet count as unresponsive; it is to be probed again.
     Unconfirmed,
-    /// Several commands in a row had no response.
+    /// Several consecutive commands received no response.
     Unresponsive,
 }
 
-/// What is known of a worker's liveness. All times are on the leader's clock.
+/// The liveness of a worker as the leader knows it. All times are in seconds on the leader's clock.
 #[derive(Debug)]
 pub struct Liveness {
     /// When the machine became known to this process.
     known_since: f64,
-    /// When the worker was last seen: by a heartbeat, or a response to a direct command.
+    /// When the worker was last seen, by a heartbeat or a response to a direct command; `None` if
+    /// it was never seen.
     last_seen: Option<f64>,
     last_heartbeat: LastHeartbeat,
-    /// When the worker last responded to a direct command.
-    last_probe_answer: Option<f64>,
-    /// Since when it has responded to direct commands without sending heartbeats.
-    answering_probes_since: Option<f64>,
-    /// Direct commands in a row without a response.
+    /// When the worker last responded to a direct command; `None` if it never has.
+    last_probe_response: Option<f64>,
+    /// Since when the worker has responded to direct commands without sending heartbeats; `None` if
+    /// it has not responded since its last heartbeat.
+    responsive_without_heartbeats_since: Option<f64>,
+    /// The number of consecutive direct commands without a response.
     unanswered_commands: u32,
-    /// Since when it has been unresponsive.
+    /// Since when the worker has been unresponsive; `None` while it is responsive.
     unresponsive_since: Option<f64>,
-    /// Since when other machines are known to have responded while it was unresponsive.
+    /// Since when other machines are known to have responded while this one was unresponsive;
+    /// `None` if there is no such suspicion.
     suspect_since: Option<f64>,
 }
 
 impl Liveness {
-    /// A machine that becomes known now and was not seen yet.
+    /// Creates the state of a machine that becomes known now and has not been seen yet.
     pub fn new(now: f64) -> Liveness {
         Liveness {
             known_since: now,
             last_seen: None,
             last_heartbeat: LastHeartbeat { at: now, incarnation: 0 },
-            last_probe_answer: None,
-            answering_probes_since: None,
+            last_probe_response: None,
+            responsive_without_heartbeats_since: None,
             unanswered_commands: 0,
             unresponsive_since: None,
             suspect_since: None,
         }
     }
 
-    /// Records a new message of the worker, whether it is a heartbeat or the response to a
-    /// direct command.
+    /// Records a new message from the worker: either a heartbeat or the response to a direct
+    /// command.
     pub fn record_message(&mut self, now: f64) {
         self.last_seen = Some(now);
         self.unresponsive_since = None;
         self.suspect_since = None;
     }
 
-    /// Records that a heartbeat has reached a controller.
+    /// Records that a heartbeat of the worker has reached a controller.
     pub fn record_heartbeat(&mut self, now: f64, incarnation: u64) {
         let incarnation = incarnation.max(self.last_heartbeat.incarnation);
         self.last_heartbeat = LastHeartbeat { at: now, incarnation };
-        self.answering_probes_since = None;
+        self.responsive_without_heartbeats_since = None;
     }
 
-    /// Records the response to a direct command that was executed.
+    /// Records that the worker has executed a direct command and responded.
     pub fn record_probe_answer(&mut self, now: f64, incarnation: u64) {
         self.unanswered_commands = 0;
-        self.last_probe_answer = Some(now);
-        self.answering_probes_since.get_or_insert(now);
+        self.last_probe_response = Some(now);
+        self.responsive_without_heartbeats_since.get_or_insert(now);
         if self.last_heartbeat.incarnation == 0 {
             self.last_heartbeat.incarnation = incarnation;
         }
@@ -85,12 +89,14 @@
         self.suspect_since = None;
     }
 
-    /// Records that the worker has refused a direct command, which shows that it responds.
+    /// Records that the worker has refused a direct command. A refusal also proves that the worker
+    /// responds.
     pub fn record_refusal(&mut self) {
         self.unanswered_commands = 0;
     }
 
-    /// Records that a direct command had no response.
+    /// Records that a direct command received no response. Returns whether the worker now counts as
+    /// unresponsive.
     pub fn record_unanswered_command(&mut self, now: f64) -> Responsiveness {
         self.unanswered_commands += 1;
         if self.unanswered_commands < MAX_UNANSWERED_COMMANDS {
@@ -100,7 +106,8 @@
         Responsiveness::Unresponsive
     }
 
-    /// Records that other machines have responded while this one was unresponsive.
+    /// Records that other machines have responded while this one was unresponsive. Repeated calls
+    /// keep the time of the first one.
     pub fn record_suspicion(&mut self, now: f64) {
         self.suspect_since.get_or_insert(now);
     }
@@ -110,12 +117,13 @@
         self.last_seen.is_some()
     }
 
-    /// When the worker was last seen.
+    /// When the worker was last seen; `None` if this process has never seen it.
     pub fn last_seen(&self) -> Option<f64> {
         self.last_seen
     }
 
-    /// From when its silence counts: it was last seen then, or became known.
+    /// When the worker's silence began: when it was last seen or, if it was never seen, when the
+    /// machine became known.
     pub fn silent_since(&self) -> f64 {
         self.last_seen.unwrap_or(self.known_since)
     }
@@ -125,33 +133,36 @@
         now - self.silent_since()
     }
 
-    /// For how long either no heartbeat or no message at all has arrived, in seconds.
+    /// The age of the last heartbeat or the duration of the silence, in seconds, whichever is
+    /// longer.
     pub fn heartbeat_age_s(&self, now: f64) -> f64 {
         now - self.silent_since().min(self.last_heartbeat.at)
     }
 
-    /// The newest incarnation of which a heartbeat has reached a controller.
+    /// The newest incarnation from which a heartbeat has reached a controller. If there was no
+    /// heartbeat yet, the incarnation of the first response to a direct command; 0 without either.
     pub fn last_heartbeat_incarnation(&self) -> u64 {
         self.last_heartbeat.incarnation
     }
 
-    /// For how long it has responded to direct commands without sending heartbeats.
-    pub fn answering_probes_s(&self, now: f64) -> f64 {
-        self.answering_probes_since.map_or(0.0, |since| now - since)
+    /// For how long the worker has responded to direct commands without sending heartbeats, in
+    /// seconds; 0 if it has not responded since its last heartbeat.
+    pub fn responsive_without_heartbeats_s(&self, now: f64) -> f64 {
+        self.responsive_without_heartbeats_since.map_or(0.0, |since| now - since)
     }
 
-    /// When the worker last responded to a direct command.
-    pub fn last_probe_answer(&self) -> Option<f64> {
-        self.last_probe_answer
+    /// When the worker last responded to a direct command; `None` if it never has.
+    pub fn last_probe_response(&self) -> Option<f64> {
+        self.last_probe_response
     }
 
-    /// Since when it has been unresponsive.
+    /// Since when the worker has been unresponsive; `None` while it is responsive.
     pub fn unresponsive_since(&self) -> Option<f64> {
         self.unresponsive_since
     }
 
-    /// Whether it has been suspect for so many seconds.
-    pub fn is_suspect_for(&self, suspect_s: f64, now: f64) -> bool {
-        self.suspect_since.is_some_and(|since| now - since >= suspect_s)
+    /// Whether the worker has been suspect for at least `min_suspect_s` seconds.
+    pub fn is_suspect_for(&self, min_suspect_s: f64, now: f64) -> bool {
+        self.suspect_since.is_some_and(|since| now - since >= min_suspect_s)
     }
 }
--- a/crates/gladekeel-controller/src/leader/machine/mod.rs
+++ b/crates/gladekeel-controller/src/leader/machine/mod.rs
@@ -1,10 +1,10 @@
 //! A machine as the leader knows it from the cloud, its worker and the assignment log.
 //!
-//! Each aspect that changes by itself is a type of its own, which keeps the rules of its
+//! Each aspect that changes independently has its own type, which enforces the rules of its
 //! transitions: [`Liveness`], [`Acknowledgements`], [`Deletion`], [`Workload`],
 //! [`OutstandingCommands`], [`Quarantine`], [`CloudListing`] and [`ImageCache`].
 //! Reconciliation, failure detection, scheduling, autoscaling and worker commands all read
-//! machines; each transition is called from one of them.
+//! machines; each transition is triggered by one of these modules.
 
 mod acknowledgements;
 mod cloud_listing;
@@ -29,12 +29,13 @@
 use gladekeel_wire::{cloud::MachineState, worker::Heartbeat};
 use std::{collections::BTreeSet, fmt};
 
-/// Orders the messages of a worker: by incarnation, then by their sequence number in it.
+/// The position of a message among all messages of a worker: ordered by incarnation, then by the
+/// sequence number within the incarnation.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageOrder {
     /// The worker's incarnation, which increases whenever its lease has expired.
     pub incarnation: u64,
-    /// The number of the message in its incarnation.
+    /// The sequence number of the message within its incarnation.
     pub sequence: u64,
 }
 
@@ -44,17 +45,19 @@
     }
 }
 
-/// When a machine was provisioned, which says how long it may take to boot.
+/// When a machine was provisioned, from which the boot timeout of the machine is counted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ProvisionedAt {
-    /// At this time, on the leader's clock.
+    /// The machine was provisioned at this time, in seconds on the leader's clock.
     Time(f64),
-    /// Before this leader's term: the assignment log places tasks on it, so it has booted.
+    /// The machine was provisioned before this leader's term: the assignment log places tasks on
+    /// it, so it has booted.
     BeforeTerm,
 }
 
 impl ProvisionedAt {
-    /// How long ago that was, in seconds.
+    /// The time since the machine was provisioned, in seconds; infinite for
+    /// [`ProvisionedAt::BeforeTerm`].
     pub fn age_s(self, now: f64) -> f64 {
         match self {
             ProvisionedAt::Time(at) => now - at,
@@ -63,18 +66,18 @@
     }
 }
 
-/// The condition of a machine as the admin API shows it; `Display` gives the API's word.
+/// The condition of a machine as the admin API shows it. `Display` writes the API's value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineCondition {
-    /// Operators ordered it drained, and its deletion is not planned yet.
+    /// Operators ordered the machine to be drained, and its deletion is not planned yet.
     Draining,
-    /// It is reclaimed or deleted.
+    /// The machine is being reclaimed or deleted.
     Leaving,
-    /// Its worker was not seen yet.
+    /// The machine's worker has not been seen yet.
     Booting,
-    /// It has no attempts.
+    /// The machine has no attempts.
     Idle,
-    /// It has attempts.
+    /// The machine has attempts.
     Working,
 }
 
@@ -93,44 +96,46 @@
 /// A machine of the cluster.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name in the cloud.
+    /// The name of the machine in the cloud.
     pub name: String,
-    /// Its type; unknown until the cloud or the worker names it.
+    /// The machine type; `None` until the cloud or the worker reports it.
     pub machine_type: Option<MachineTypeIdx>,
-    /// Its zone; unknown until the cloud or the worker names it.
+    /// The zone of the machine; `None` until the cloud or the worker reports it.
     pub zone: Option<ZoneIdx>,
-    /// Whether it is a spot machine, which the cloud may reclaim.
+    /// Whether this is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// The address at which the worker takes direct commands.
+    /// The address at which the worker accepts direct commands; `None` while it is unknown.
     pub addr: Option<String>,
-    /// The newest message of the worker; older ones that arrive later are ignored.
+    /// The position of the worker's newest message; older messages that arrive later are ignored.
     pub newest_message: MessageOrder,
     /// When the worker was last seen, and whether it responds to direct commands.
     pub liveness: Liveness,
     /// Whether the worker acts on the responses to its heartbeats.
     pub acknowledgements: Acknowledgements,
-    /// When the cloud reclaims it, once it has announced that.
+    /// When the cloud reclaims the machine, in seconds on the leader's clock; `None` until the
+    /// cloud has announced it.
     pub termination_at: Option<f64>,
-    /// When it was provisioned.
+    /// When the machine was provisioned.
     pub provisioned_at: ProvisionedAt,
-    /// What the cloud's machine list says of it.
+    /// The state of the machine according to the cloud's lists.
     pub listing: CloudListing,
-    /// Whether and why it is to be deleted, and how far that is.
+    /// Whether and why the machine is to be deleted, and the stage of the deletion.
     pub deletion: Deletion,
-    /// Whether operators have ordered it drained.
+    /// Whether operators have ordered the machine to be drained.
     pub draining: bool,
-    /// Whether it is kept for gangs that should start at once.
+    /// Whether the machine is kept in the warm pool, for gangs that should start without delay.
     pub warm_pool: bool,
-    /// Whether task failures keep new work off it.
+    /// Whether the machine gets no new tasks for a while because tasks failed on it.
     pub quarantine: Quarantine,
-    /// The attempts on it, and the resources that they request.
+    /// The attempts on the machine, and the resources that they request.
     pub workload: Workload,
-    /// Whether its existence is known from more than its heartbeats. A delayed copy of
-    /// a heartbeat may name a machine that is gone, so one without this gets no work.
+    /// Whether the existence of the machine is known from another source than its heartbeats. A
+    /// delayed copy of a heartbeat may name a machine that no longer exists, so a machine whose
+    /// existence is not confirmed gets no tasks.
     pub existence_confirmed: bool,
-    /// Direct commands without a response.
+    /// The direct commands to the worker that have not received a response.
     pub commands: OutstandingCommands,
-    /// The container images on it.
+    /// The container images on the machine.
     pub images: ImageCache,
 }
 
@@ -159,7 +164,8 @@
         }
     }
 
-    /// A machine on which the assignment log places tasks: it was up before this term.
+    /// Creates a machine on which the assignment log places tasks, and which was therefore up
+    /// before this term.
     pub(super) fn recovered(name: &str, now: f64) -> Machine {
         Machine {
             provisioned_at: ProvisionedAt::BeforeTerm,
@@ -168,55 +174,55 @@
         }
     }
 
-    /// Drops what belongs to the previous fencing token. The attempts are replayed from the
-    /// assignment log. No start of an older token can take effect once the worker has seen
-    /// the new one.
+    /// Drops the state that belongs to the previous fencing token. The attempts are replayed from
+    /// the assignment log. Outstanding starts can be dropped because no start under an older token
+    /// takes effect once the worker has seen the new token.
     pub(super) fn reset_for_new_token(&mut self) {
         self.workload.clear();
         self.acknowledgements.expect(ExpectedEffects::default());
         self.commands.reset();
     }
 
-    /// The attempts on it, those whose release is not committed yet included.
+    /// The attempts on the machine, including those whose release is not yet committed.
     pub fn attempts(&self) -> &BTreeSet<AttemptId> {
         self.workload.attempts()
     }
 
-    /// Whether it has no attempts.
+    /// Whether the machine has no attempts.
     pub fn is_idle(&self) -> bool {
         self.workload.attempts().is_empty()
     }
 
-    /// The resources that its attempts request.
+    /// The total resources that the attempts on the machine request.
     pub fn requested(&self) -> Resources {
         self.workload.requested()
     }
 
-    /// Whether heartbeats of it are expected, so that their absence says something: its
-    /// worker was seen, or it holds attempts.
+    /// Whether heartbeats are expected from the machine, so that their absence is significant: its
+    /// worker was seen, or the machine has attempts.
     pub fn should_send_heartbeats(&self) -> bool {
         !self.deletion.is_confirmed() && (self.liveness.was_seen() || !self.is_idle())
     }
 
-    /// Whether it has booted, as far as the assignment log or the cloud's list say.
+    /// Whether the machine has booted, according to the assignment log or the cloud's list.
     pub(super) fn has_booted(&self) -> bool {
         self.provisioned_at == ProvisionedAt::BeforeTerm
             || self.listing.state() == Some(MachineState::Running)
     }
 
-    /// Whether the cloud's list is known to have included it. One that only the assignment
-    /// log names counts as such: it was up before this term.
+    /// Whether the cloud's list is known to have included the machine. A machine that is known only
+    /// from the assignment log also counts as listed, since it was up before this term.
     pub(super) fn was_listed(&self) -> bool {
         self.listing.state().is_some() || self.provisioned_at == ProvisionedAt::BeforeTerm
     }
 
-    /// Whether it may get new work as far as its messages go: its existence is
+    /// Whether the messages exchanged with the machine allow new tasks on it: its existence is
     /// confirmed, and its worker acts on the responses to its heartbeats.
     pub fn is_reachable(&self) -> bool {
         self.existence_confirmed && self.acknowledgements.missed() == 0
     }
 
-    /// Its condition as operators see it.
+    /// The condition of the machine, as shown to operators.
     pub fn condition(&self) -> MachineCondition {
         if self.draining && !self.deletion.is_planned() {
             MachineCondition::Draining
@@ -231,12 +237,12 @@
         }
     }
 
-    /// Whether it gets no new work since it is drained, reclaimed or deleted.
+    /// Whether the machine is being drained, reclaimed or deleted, and therefore gets no new tasks.
     pub fn is_leaving(&self) -> bool {
         self.deletion.is_planned() || self.draining || self.termination_at.is_some()
     }
 
-    /// Plans its deletion. Returns false if that was planned already.
+    /// Plans the deletion of the machine. Returns false if it was already planned.
     pub(super) fn mark_for_deletion(&mut self, now: f64, reason: DeletionReason) -> bool {
         let is_new = self.deletion.plan(reason);
         if is_new {
--- a/crates/gladekeel-controller/src/leader/machine/outstanding_commands.rs
+++ b/crates/gladekeel-controller/src/leader/machine/outstanding_commands.rs
@@ -1,25 +1,25 @@
-//! Direct commands to a worker that have no response yet, or none at all.
+//! Direct commands to a worker that await a response or have received none.
 //!
-//! A start that was sent directly and has no response may be carried out at any later time.
-//! Until that is settled its attempt is neither released for being absent nor forgotten
-//! ("Proof of absence" in `docs/safety.md`).
+//! A start that was sent directly and received no response may be executed at any later time.
+//! Until the start is settled, its attempt is neither released for being absent from a heartbeat
+//! nor forgotten ("Proof of absence" in `docs/safety.md`).
 
 use crate::leader::AttemptId;
 use std::collections::BTreeMap;
 
-/// What is known of a start that was sent directly.
+/// The state of a start that was sent directly and may still be executed.
 #[derive(Debug, Clone, Copy)]
 enum UnsettledStart {
-    /// Its response is awaited.
+    /// The response to the start is awaited.
     InFlight,
-    /// It has no response; this was found at the given time.
+    /// The start received no response, which was recorded at the time `since`.
     Unanswered { since: f64 },
 }
 
-/// The direct commands to one worker.
+/// The outstanding direct commands to one worker.
 #[derive(Debug, Default)]
 pub struct OutstandingCommands {
-    /// Whether a request awaits its response; there is one at a time.
+    /// Whether a request awaits its response. There is at most one such request at a time.
     in_flight: bool,
     unsettled_starts: BTreeMap<AttemptId, UnsettledStart>,
 }
@@ -30,7 +30,7 @@
         self.in_flight
     }
 
-    /// Records a request that goes out, with the starts in it.
+    /// Records that a request with these starts is being sent.
     pub fn begin_request(&mut self, starts: &[AttemptId]) {
         self.in_flight = true;
         self.unsettled_starts.extend(starts.iter().map(|id| (*id, UnsettledStart::InFlight)));
@@ -41,29 +41,29 @@
         self.in_flight = false;
     }
 
-    /// Records that a start had no response, unless it was settled meanwhile.
+    /// Records that a start received no response, unless it has been settled in the meantime.
     pub fn record_unanswered_start(&mut self, id: AttemptId, now: f64) {
         if let Some(start) = self.unsettled_starts.get_mut(&id) {
             *start = UnsettledStart::Unanswered { since: now };
         }
     }
 
-    /// Settles a start: it was executed, or can never be.
+    /// Settles a start that was executed or can no longer be executed.
     pub fn settle_start(&mut self, id: AttemptId) {
         self.unsettled_starts.remove(&id);
     }
 
-    /// Settles all starts: the worker has a newer incarnation, which refuses them.
+    /// Settles all starts. The worker must have a newer incarnation, which refuses them.
     pub fn settle_all_starts(&mut self) {
         self.unsettled_starts.clear();
     }
 
-    /// Whether a start of this attempt may still arrive.
+    /// Whether a start of this attempt may still be executed.
     pub fn may_still_start(&self, id: AttemptId) -> bool {
         self.unsettled_starts.contains_key(&id)
     }
 
-    /// The starts without a response, and since when.
+    /// The starts that received no response, each with the time at which this was recorded.
     pub fn unanswered_starts(&self) -> impl Iterator<Item = (AttemptId, f64)> {
         self.unsettled_starts.iter().filter_map(|(id, start)| match start {
             UnsettledStart::InFlight => None,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Forgets the commands of an older fencing token.
+    /// Drops the commands that were sent under an older fencing token.
     pub fn reset(&mut self) {
         self.unsettled_starts.clear();
         self.in_flight = false;
--- a/crates/gladekeel-controller/src/leader/machine/workload.rs
+++ b/crates/gladekeel-controller/src/leader/machine/workload.rs
@@ -4,7 +4,7 @@
 use gladekeel_sched::Resources;
 use std::collections::BTreeSet;
 
-/// The attempts on one machine, until their release is committed.
+/// The attempts on one machine. Each attempt stays until its release is committed.
 #[derive(Debug)]
 pub struct Workload {
     attempts: BTreeSet<AttemptId>,
@@ -13,18 +13,18 @@
 }
 
 impl Workload {
-    /// No attempts since now.
+    /// Creates a workload without attempts, which is idle from now on.
     pub fn new(now: f64) -> Workload {
         Workload { attempts: BTreeSet::new(), requested: Resources::default(), idle_since: now }
     }
 
-    /// Adds an attempt with what it requests.
+    /// Adds an attempt and the resources that it requests.
     pub fn add(&mut self, id: AttemptId, request: Resources) {
         self.attempts.insert(id);
         self.requested += request;
     }
 
-    /// Removes an attempt with what it requests.
+    /// Removes an attempt and the resources that it requests.
     pub fn remove(&mut self, id: AttemptId, request: Resources, now: f64) {
         self.attempts.remove(&id);
         self.requested -= request;
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Removes all attempts, to add anew those that the assignment log holds. The machine
-    /// does not count as idle from now by that.
+    /// Removes all attempts, so that the attempts in the assignment log can be added again. This
+    /// does not restart the machine's idle time.
     pub fn clear(&mut self) {
         self.attempts.clear();
         self.requested = Resources::default();
@@ -50,7 +50,7 @@
         self.requested
     }
 
-    /// Since when there has been no attempt; only meaningful while there is none.
+    /// Since when the machine has had no attempts. The value is meaningful only while it has none.
     pub fn idle_since(&self) -> f64 {
         self.idle_since
     }
