--- a/crates/gladekeel-controller/src/assignment_log/layout.rs
+++ b/crates/gladekeel-controller/src/assignment_log/layout.rs
@@ -1,14 +1,15 @@
-//! The binary layout of a segment: its header and its rows. See the table of the parent module.
+//! The binary layout of a segment's header and rows. The table in the parent module gives an
+//! overview.
 
 use zerocopy::{
     FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned,
     little_endian::{U16, U32, U64},
 };
 
-/// Marks a segment and the version of its layout.
+/// The number at the start of each segment, which identifies the version of the layout.
 pub(super) const MAGIC: u32 = 0x676b_6c31;
 
-/// The header of a segment.
+/// The header of a segment, with the number of rows of each kind.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub struct SegmentHeader {
@@ -18,19 +19,19 @@
     pub(super) assignments: U16,
     pub(super) releases: U16,
     pub(super) progress_pages: U16,
-    /// Written as 0, ignored when read.
+    /// Written as 0 and ignored by readers.
     pub(super) reserved: U16,
     pub(super) sequence: U64,
 }
 
-/// A job that other rows refer to by the position of this row.
+/// A job, to which other rows refer by the position of this row.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct JobRow {
     pub name_len: U16,
 }
 
-/// A machine that other rows refer to by the position of this row.
+/// A machine, to which other rows refer by the position of this row.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct MachineRow {
@@ -38,7 +39,7 @@
     pub name_len: U16,
 }
 
-/// An attempt that may be on its machine from now on.
+/// An attempt that may be on its machine from this segment on.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct AssignmentRow {
@@ -48,7 +49,7 @@
     pub machine: U16,
 }
 
-/// An attempt that is proved to be off its machine.
+/// An attempt that is proved to be no longer on its machine.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct ReleaseRow {
@@ -58,7 +59,7 @@
     pub outcome: U16,
 }
 
-/// A progress page, whose two bitmaps follow at the end of the segment.
+/// A progress page, whose two bitmaps are stored at the end of the segment.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct ProgressPageRow {
@@ -68,7 +69,8 @@
     pub restarted_len: U16,
 }
 
-/// A machine in one incarnation of its worker: the content of a [`MachineRow`].
+/// A machine together with one incarnation of its worker, as a [`MachineRow`] and the machine's
+/// name describe them.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct MachineIncarnation {
     pub name: String,
--- a/crates/gladekeel-controller/src/assignment_log/reader.rs
+++ b/crates/gladekeel-controller/src/assignment_log/reader.rs
@@ -21,40 +21,40 @@
     /// The segment is shorter than its header says.
     #[error("truncated: the {0} are incomplete")]
     Truncated(SegmentPart),
-    /// Another layout, or no segment at all.
-    #[error("the magic number is {found:#010x}, not {MAGIC:#010x}")]
+    /// The value has another layout or is not a segment at all.
+    #[error("wrong magic number: found {found:#010x}, expected {MAGIC:#010x}")]
     WrongMagic {
-        /// The number that stands there.
+        /// The number found in place of the magic number.
         found: u32,
     },
-    /// A job id or a machine's name is not UTF-8.
-    #[error("a name is not text: {0}")]
+    /// A job id or a machine name is not valid UTF-8.
+    #[error("a name is not valid UTF-8: {0}")]
     NameNotText(#[from] Utf8Error),
-    /// A job's name is not a job id.
+    /// The name of a job is not a valid job id.
     #[error(transparent)]
     InvalidJobId(#[from] InvalidId),
-    /// A row refers to a job that the segment doesn't contain.
-    #[error("a row refers to job {0}, which the segment does not contain")]
+    /// A row refers to the job at a position that the segment does not contain.
+    #[error("a row refers to the job at position {0}, which the segment does not contain")]
     UnknownJob(u16),
-    /// A row refers to a machine that the segment doesn't contain.
-    #[error("a row refers to machine {0}, which the segment does not contain")]
+    /// A row refers to the machine at a position that the segment does not contain.
+    #[error("a row refers to the machine at position {0}, which the segment does not contain")]
     UnknownMachine(u16),
-    /// A release has an outcome that this version doesn't know.
+    /// A release has an outcome that this version does not know.
     #[error(transparent)]
     UnknownOutcome(#[from] UnknownOutcome),
-    /// The segment is longer than its header says.
-    #[error("{0} bytes follow the end of the segment")]
+    /// The value is longer than the header of the segment says.
+    #[error("{0} unexpected bytes after the end of the segment")]
     TrailingBytes(usize),
 }
 
-/// A part of a segment's layout, named when it is incomplete.
+/// A part of a segment's layout, by which [`UnreadableSegment::Truncated`] says what is incomplete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SegmentPart {
-    /// The header.
+    /// The header of the segment.
     Header,
-    /// The rows of jobs, machines, assignments, releases or progress pages.
+    /// The rows for jobs, machines, assignments, releases or progress pages.
     Rows,
-    /// Job ids and machine names.
+    /// The job ids and machine names.
     Names,
     /// The bitmaps of progress pages.
     Bitmaps,
@@ -71,15 +71,16 @@
     }
 }
 
-/// Decodes a segment.
+/// Decodes a segment from the text in the store.
 ///
 /// # Errors
 ///
-/// If the text is not exactly one segment in the known layout. Nothing is guessed: a leader
-/// that took a damaged segment for a shorter one would start tasks that are running.
+/// Returns an error if the text is not exactly one segment in the layout of this version. The
+/// decoder makes no guesses: a leader that took a damaged segment for a shorter one would start
+/// tasks that are already running.
 pub fn decode(text: &str) -> Result<Segment, UnreadableSegment> {
     let bytes = STANDARD_NO_PAD.decode(text)?;
-    let mut input = Input(&bytes);
+    let mut input = UndecodedBytes(&bytes);
     let header = input.take_header()?;
     let rows = Rows::take(header, &mut input)?;
     let names = Names::take(&rows, &mut input)?;
@@ -125,7 +126,7 @@
 fn decode_progress_pages(
     rows: &[ProgressPageRow],
     names: &Names,
-    input: &mut Input<'_>,
+    input: &mut UndecodedBytes<'_>,
 ) -> Result<Vec<ProgressPage>, UnreadableSegment> {
     let decode_row = |row: &ProgressPageRow| {
         Ok(ProgressPage {
@@ -138,10 +139,11 @@
     rows.iter().map(decode_row).collect()
 }
 
-/// The rest of a segment, from which parts are taken off the front.
-struct Input<'a>(&'a [u8]);
+/// The bytes of a segment that have not been decoded yet. Each `take` method removes a part from
+/// the front.
+struct UndecodedBytes<'a>(&'a [u8]);
 
-impl<'a> Input<'a> {
+impl<'a> UndecodedBytes<'a> {
     fn take_header(&mut self) -> Result<&'a SegmentHeader, UnreadableSegment> {
         let (header, rest) = SegmentHeader::ref_from_prefix(self.0)
             .map_err(|_| UnreadableSegment::Truncated(SegmentPart::Header))?;
@@ -184,7 +186,7 @@
     }
 }
 
-/// All rows of a segment.
+/// All rows of a segment, by kind.
 struct Rows<'a> {
     jobs: &'a [JobRow],
     machines: &'a [MachineRow],
@@ -194,7 +196,10 @@
 }
 
 impl<'a> Rows<'a> {
-    fn take(header: &SegmentHeader, input: &mut Input<'a>) -> Result<Rows<'a>, UnreadableSegment> {
+    fn take(
+        header: &SegmentHeader,
+        input: &mut UndecodedBytes<'a>,
+    ) -> Result<Rows<'a>, UnreadableSegment> {
         Ok(Rows {
             jobs: input.take_rows(header.jobs)?,
             machines: input.take_rows(header.machines)?,
@@ -205,14 +210,14 @@
     }
 }
 
-/// The jobs and machines that rows refer to by position.
+/// The jobs and machines to which the other rows refer by position.
 struct Names {
     jobs: Vec<JobId>,
     machines: Vec<MachineIncarnation>,
 }
 
 impl Names {
-    fn take(rows: &Rows<'_>, input: &mut Input<'_>) -> Result<Names, UnreadableSegment> {
+    fn take(rows: &Rows<'_>, input: &mut UndecodedBytes<'_>) -> Result<Names, UnreadableSegment> {
         let mut jobs = Vec::with_capacity(rows.jobs.len());
         for row in rows.jobs {
             jobs.push(input.take_name(row.name_len)?.parse()?);
--- a/crates/gladekeel-controller/src/assignment_log/records.rs
+++ b/crates/gladekeel-controller/src/assignment_log/records.rs
@@ -1,15 +1,15 @@
-//! The records of a segment, as they are read back.
+//! The records of a decoded segment.
 
 use gladekeel_wire::JobId;
 
-/// How an attempt ended. The numbers are stored.
+/// How an attempt ended. The numbers are part of the stored format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Its task is done.
+    /// The task of the attempt is done.
     Done = 1,
-    /// Its task goes back to the queue.
+    /// The task of the attempt returns to the queue.
     Requeued = 2,
-    /// Its task goes back to the queue as its one speculative restart.
+    /// The task of the attempt returns to the queue for its only speculative restart.
     Restarted = 3,
 }
 
@@ -19,9 +19,9 @@
     }
 }
 
-/// A number that stands for no [`AttemptOutcome`].
+/// The error for a stored number that is not the number of any [`AttemptOutcome`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("no outcome of an attempt has the number {0}")]
+#[error("unknown attempt outcome: {0}")]
 pub struct UnknownOutcome(pub u16);
 
 impl TryFrom<u16> for AttemptOutcome {
@@ -46,47 +46,49 @@
     pub index: u32,
     /// The name of the machine.
     pub machine: String,
-    /// The incarnation of the worker there: in a newer one the attempt cannot be running.
+    /// The incarnation of the worker on the machine. The attempt cannot be running in a newer
+    /// incarnation.
     pub incarnation: u64,
-    /// The attempt's number, unique over all leaders.
+    /// The number of the attempt, which is unique across all leaders.
     pub attempt: u64,
 }
 
-/// An attempt that is proved to be off its machine.
+/// An attempt that is proved to be no longer on its machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Release {
     /// The job of the task.
     pub job: JobId,
     /// The task's index within its job.
     pub index: u32,
-    /// The attempt's number.
+    /// The number of the attempt.
     pub attempt: u64,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
 }
 
-/// The whole progress of one page of a job's tasks, written when the releases that recorded it
-/// are about to be overwritten.
+/// The complete progress of one page of a job's tasks. A page is written when releases that record
+/// parts of this progress are about to be overwritten.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgressPage {
-    /// The job.
+    /// The job whose tasks are on the page.
     pub job: JobId,
-    /// The page's number; see [`TASKS_PER_PAGE`](crate::task_bitmap::TASKS_PER_PAGE).
+    /// The page's number in the job; see [`TASKS_PER_PAGE`](crate::task_bitmap::TASKS_PER_PAGE).
     pub page: u32,
-    /// Bitmap of the finished tasks, without trailing zero bytes.
+    /// The bitmap of the finished tasks, without trailing zero bytes.
     pub done: Vec<u8>,
-    /// Bitmap of the tasks that were restarted, without trailing zero bytes.
+    /// The bitmap of the tasks that were speculatively restarted, without trailing zero bytes.
     pub restarted: Vec<u8>,
 }
 
 /// A decoded segment.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Segment {
-    /// Its position in the log. Segments are replayed in this order, whatever their slots.
+    /// The position of the segment in the log. Segments are replayed in the order of their
+    /// positions, regardless of the slots in which they are stored.
     pub sequence: u64,
-    /// New assignments, and older ones that were copied from a segment about to be overwritten.
+    /// New assignments, and older assignments copied from a segment about to be overwritten.
     pub assignments: Vec<Assignment>,
-    /// Releases of attempts that this or an earlier segment assigns.
+    /// Releases of attempts that were assigned in this segment or an earlier one.
     pub releases: Vec<Release>,
     /// Progress pages that were copied from segments about to be overwritten.
     pub progress_pages: Vec<ProgressPage>,
--- a/crates/gladekeel-controller/src/assignment_log/writer.rs
+++ b/crates/gladekeel-controller/src/assignment_log/writer.rs
@@ -14,32 +14,35 @@
 use gladekeel_wire::JobId;
 use zerocopy::{IntoBytes, little_endian::U16};
 
-/// Upper bound of a segment in bytes: rows and lengths are counted in 16 bits.
+/// Upper bound of the size of a segment in bytes. Row counts and lengths have 16 bits, so the bound
+/// is below 65,536.
 const MAX_SEGMENT_BYTES: usize = 60_000;
-/// Bytes of a value that are not left to the text of a segment: the quotes around it, and some
-/// to spare.
+/// Bytes of a stored value that the text of a segment cannot use: the quotes around the text, and
+/// some reserve.
 const VALUE_OVERHEAD_BYTES: usize = 16;
-/// Upper bound of what a progress page adds besides its two bitmaps.
+/// Upper bound of the bytes that a progress page adds to a segment, without its two bitmaps.
 const PROGRESS_PAGE_OVERHEAD_BYTES: usize = 128;
 
-/// The most bytes that a progress page adds to a segment.
+/// Upper bound of the bytes that a progress page adds to a segment.
 pub const MAX_PROGRESS_PAGE_BYTES: usize = 2 * PAGE_BYTES + PROGRESS_PAGE_OVERHEAD_BYTES;
 
-/// Bytes of a segment whose text fits into a value of at most `value_bytes`.
+/// The largest size of a segment, in bytes before base64, whose text fits into a stored value of
+/// `value_bytes` bytes.
 pub fn segment_capacity(value_bytes: usize) -> usize {
-    // Base64 writes three bytes as four characters.
+    // Base64 encodes three bytes as four characters.
     (value_bytes.saturating_sub(VALUE_OVERHEAD_BYTES) / 4 * 3).min(MAX_SEGMENT_BYTES)
 }
 
-/// The most bytes that an assignment adds to a segment: its row, and its job and machine if no
-/// other row has named them. A release adds less.
+/// Upper bound of the bytes that an assignment adds to a segment: its own row, and the rows and
+/// names of its job and machine if the segment does not contain them yet. A release adds fewer
+/// bytes.
 pub fn max_row_bytes(job: &JobId, machine: &str) -> usize {
     let job_bytes = size_of::<JobRow>() + job.as_str().len();
     let machine_bytes = size_of::<MachineRow>() + machine.len();
     size_of::<AssignmentRow>() + job_bytes + machine_bytes
 }
 
-/// An [`Assignment`] to be written, with borrowed names.
+/// An [`Assignment`] that is to be written, with borrowed names.
 #[derive(Debug, Clone, Copy)]
 pub struct AssignmentRef<'a> {
     /// The job of the task.
@@ -48,9 +51,9 @@
     pub index: u32,
     /// The name of the machine.
     pub machine: &'a str,
-    /// The incarnation of the worker there.
+    /// The incarnation of the worker on the machine.
     pub incarnation: u64,
-    /// The attempt's number.
+    /// The number of the attempt.
     pub attempt: u64,
 }
 
@@ -68,8 +71,9 @@
 
 /// Builds one segment row by row.
 ///
-/// It doesn't bound its size: callers compare [`SegmentWriter::size`] and [`max_row_bytes`] or
-/// [`MAX_PROGRESS_PAGE_BYTES`] with [`segment_capacity`] before they add a row.
+/// The writer does not limit the size of the segment. Before adding a row, callers must compare the
+/// sum of [`SegmentWriter::size`] and [`max_row_bytes`] or [`MAX_PROGRESS_PAGE_BYTES`] with
+/// [`segment_capacity`].
 #[derive(Debug, Default)]
 pub struct SegmentWriter {
     jobs: Interner<JobId>,
@@ -78,12 +82,12 @@
     release_rows: Vec<u8>,
     progress_page_rows: Vec<u8>,
     bitmaps: Vec<u8>,
-    /// Total length of the job ids and machine names.
+    /// Total length of the job ids and machine names, in bytes.
     name_bytes: usize,
 }
 
 impl SegmentWriter {
-    /// Its size so far in bytes, before base64.
+    /// The size of the segment so far, in bytes before base64.
     pub fn size(&self) -> usize {
         size_of::<SegmentHeader>()
             + self.jobs.len() * size_of::<JobRow>()
@@ -130,7 +134,7 @@
         self.bitmaps.extend_from_slice(restarted);
     }
 
-    /// The text that the store keeps.
+    /// Encodes the segment with this sequence number as the text that the store keeps.
     pub fn encode(&self, sequence: u64) -> String {
         let mut segment = Vec::with_capacity(self.size());
         segment.extend_from_slice(self.header(sequence).as_bytes());
@@ -179,7 +183,7 @@
         }
     }
 
-    /// The position of a job's row, which is added if there is none yet.
+    /// Returns the position of a job's row, adding the row if there is none yet.
     fn intern_job(&mut self, job: &JobId) -> U16 {
         let rows_before = self.jobs.len();
         let position = self.jobs.intern(job);
@@ -189,7 +193,7 @@
         (position as u16).into()
     }
 
-    /// The position of a machine's row, which is added if there is none yet.
+    /// Returns the position of a machine's row, adding the row if there is none yet.
     fn intern_machine(&mut self, name: &str, incarnation: u64) -> U16 {
         let rows_before = self.machines.len();
         let position =
@@ -201,12 +205,12 @@
     }
 }
 
-/// How many rows of type `R` these bytes are.
+/// The number of rows of type `R` that these bytes contain.
 fn row_count<R>(rows: &[u8]) -> U16 {
     U16::new((rows.len() / size_of::<R>()) as u16)
 }
 
-/// The length of a name or a bitmap as its row stores it.
+/// The length of a name or a bitmap, in the form in which its row stores it.
 fn length(bytes: &[u8]) -> U16 {
     U16::new(bytes.len() as u16)
 }
