--- a/crates/gladekeel-controller/src/assignment_log/reader.rs
+++ b/crates/gladekeel-controller/src/assignment_log/reader.rs
@@ -47,7 +47,7 @@
     TrailingBytes(usize),
 }
 
-/// A part of a segment's layout, by which [`UnreadableSegment::Truncated`] says what is incomplete.
+/// A part of a segment's layout, named by [`UnreadableSegment::Truncated`] when it is incomplete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SegmentPart {
     /// The header of the segment.
--- a/crates/gladekeel-controller/src/leader/failure_detection/cancellation_deadline.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/cancellation_deadline.rs
@@ -1,15 +1,15 @@
 //! Deletes machines on which tasks of a cancelled job might run past the cancellation deadline.
 //!
 //! On most unreachable machines, the expiry of the lease stops the tasks in time. A machine that
-//! hangs does not expire its lease while it hangs, but a machine that the cloud has deleted
-//! certainly runs nothing ("Cancelled work ends in time" in `docs/safety.md`).
+//! hangs does not act on the expiry of its lease while it hangs, but a machine that the cloud has
+//! deleted certainly runs nothing ("Cancelled work ends in time" in `docs/safety.md`).
 
 use super::thresholds::deletion_due_at;
 use crate::leader::{AssignmentPhase, Leader, machine::DeletionReason};
 use gladekeel_sched::{JobIdx, MachineIdx};
 
-/// Added to the heartbeat timeout, in seconds. If a new leader does not know when a job was
-/// cancelled, it waits for this sum for heartbeats that show that the job's tasks are gone.
+/// Added to the heartbeat timeout, in seconds. A new leader that does not know when a job was
+/// cancelled waits for the sum of both for heartbeats which show that the job's tasks are gone.
 const TAKEOVER_MARGIN_S: f64 = 2.0;
 
 impl Leader {
--- a/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
@@ -31,7 +31,7 @@
 /// The boot time assumed for a machine of unknown type, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// The state of the failure detector between two passes.
+/// The reachability of zones, which the failure detector keeps from one pass to the next.
 #[derive(Debug)]
 pub(in crate::leader) struct FailureDetector {
     zones: ZoneReachability,
@@ -59,7 +59,7 @@
         self.zones.record_heartbeat(zone, now);
     }
 
-    /// Whether heartbeats from a zone are overdue and none of its machines has been seen since.
+    /// Whether no machine in a zone has been seen although heartbeats from the zone are overdue.
     pub fn is_zone_unreachable(&self, zone: ZoneIdx, now: f64) -> bool {
         self.zones.is_unreachable(zone, now)
     }
@@ -157,9 +157,8 @@
             && machine.provisioned_at.age_s(self.now) > timeout_s
     }
 
-    /// Records the suspicion against a machine if others have responded since it became
-    /// unresponsive. Their responses distinguish a failed machine from a partition between the
-    /// machine and this leader.
+    /// Marks a machine as suspect if others have responded since it became unresponsive. Their
+    /// responses distinguish a failed machine from a partition between the machine and this leader.
     fn update_suspicion(&self, machine: &mut Machine) {
         let unresponsive_since = machine.liveness.unresponsive_since();
         if unresponsive_since
@@ -171,8 +170,8 @@
 
     /// Whether the silence of a machine means that the machine has failed. The silence of its
     /// whole zone may be due to a partition behind which tasks continue to run: the machine then
-    /// counts as failed only after a long silence, or earlier if it may run tasks of which this
-    /// leader does not know that they were cancelled.
+    /// counts as failed only after a long silence, or earlier if it may run tasks whose
+    /// cancellation this leader has not learned of.
     fn has_heartbeat_timed_out(&self, machine: &Machine) -> bool {
         let thresholds = self.thresholds;
         let silent_s = machine.liveness.silent_s(self.now);
--- a/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -12,7 +12,7 @@
 /// reclaimed, in seconds.
 const TERMINATION_MARGIN_S: f64 = 0.5;
 
-/// Caches which gangs are reachable, for queries at one time.
+/// A cache of which gangs are reachable at one point in time.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct GangReachability(BTreeMap<JobIdx, bool>);
 
@@ -23,10 +23,9 @@
     reclaimed: Vec<MachineIdx>,
     /// Uncommitted attempts, whose tasks are to be placed on other machines.
     withdraw: Vec<AttemptId>,
-    /// Attempts to stop, while they can still save their progress or since they would not complete
-    /// in time.
+    /// Attempts to stop, either to save their progress or because they would not complete in time.
     stop: Vec<AttemptId>,
-    /// Attempts to release, since the deletion of their machine is confirmed.
+    /// Attempts to release because the deletion of their machine is confirmed.
     release: Vec<AttemptId>,
 }
 
--- a/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
@@ -1,4 +1,4 @@
-//! The observations on which the failure detector decides, collected in one pass over all machines.
+//! The observations of the failure detector, collected in one pass over all machines.
 
 use super::thresholds::DetectionThresholds;
 use crate::leader::Machine;
--- a/crates/gladekeel-controller/src/leader/failure_detection/thresholds.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/thresholds.rs
@@ -35,8 +35,8 @@
     pub recently_seen_s: f64,
     /// Silence after which an unresponsive machine may count as failed.
     pub unreachable_after_s: f64,
-    /// Time after which a machine that responds to probes without sending heartbeats counts as
-    /// partitioned from all controllers.
+    /// Time after which a machine that responds to probes, but from which no heartbeats arrive,
+    /// counts as partitioned from all controllers.
     pub outbound_partition_s: f64,
     /// Silence after which a machine counts as failed although its whole zone is silent.
     pub silent_zone_s: f64,
--- a/crates/gladekeel-controller/src/leader/machine/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/machine/liveness.rs
@@ -35,12 +35,12 @@
     last_heartbeat: LastHeartbeat,
     /// When the worker last responded to a direct command; `None` if it never has.
     last_probe_response: Option<f64>,
-    /// Since when the worker has responded to direct commands without sending heartbeats; `None` if
-    /// it has not responded since its last heartbeat.
+    /// Since when the worker has responded to direct commands while no heartbeat has arrived;
+    /// `None` if it has not responded since its last heartbeat.
     responsive_without_heartbeats_since: Option<f64>,
     /// The number of consecutive direct commands without a response.
     unanswered_commands: u32,
-    /// Since when the worker has been unresponsive; `None` while it is responsive.
+    /// Since when the worker has counted as unresponsive; `None` if it does not.
     unresponsive_since: Option<f64>,
     /// Since when other machines are known to have responded while this one was unresponsive;
     /// `None` if there is no such suspicion.
@@ -145,7 +145,7 @@
         self.last_heartbeat.incarnation
     }
 
-    /// For how long the worker has responded to direct commands without sending heartbeats, in
+    /// For how long the worker has responded to direct commands while no heartbeat has arrived, in
     /// seconds; 0 if it has not responded since its last heartbeat.
     pub fn responsive_without_heartbeats_s(&self, now: f64) -> f64 {
         self.responsive_without_heartbeats_since.map_or(0.0, |since| now - since)
@@ -156,7 +156,7 @@
         self.last_probe_response
     }
 
-    /// Since when the worker has been unresponsive; `None` while it is responsive.
+    /// Since when the worker has counted as unresponsive; `None` if it does not.
     pub fn unresponsive_since(&self) -> Option<f64> {
         self.unresponsive_since
     }
