--- a/crates/gladekeel-controller/src/node/health.rs
+++ b/crates/gladekeel-controller/src/node/health.rs
@@ -1,13 +1,14 @@
-//! The health check, by which load balancers decide where to send users.
+//! The health check, by which load balancers decide to which nodes they send users' requests.
 
 use super::{Node, RequestId, peers::Peer};
 use crate::http_api::Reply;
 
 /// A node whose last contact with the store is more recent than this is healthy.
 const HEALTHY_CONTACT_S: f64 = 3.0;
-/// Only peers that were seen within this time can excuse a node without contact.
+/// A node without recent contact with the store compares itself only with peers whose last
+/// heartbeat is more recent than this.
 const PEER_SEEN_WITHIN_S: f64 = 2.5;
-/// A peer whose last contact with the store is this old is no better off.
+/// A peer whose last contact with the store is at least this old counts as having lost contact.
 const STALE_PEER_CONTACT_MS: u32 = 2500;
 
 impl Node {
@@ -21,9 +22,10 @@
         self.reply(now, id, reply);
     }
 
-    /// Whether users should be sent here. A node without contact to the store is of use only
-    /// if all peers that are reachable are no better off; one that reaches none of them cannot
-    /// know.
+    /// Whether this node should receive users' requests. A node without recent contact with the
+    /// store is healthy only if every reachable peer has lost contact too. If no peer is
+    /// reachable, the node cannot know whether the store or its own network has failed, and counts
+    /// as unhealthy; a deployment's only node counts as healthy.
     fn is_healthy(&self, now: f64) -> bool {
         if !self.store.is_loaded() {
             return false;
--- a/crates/gladekeel-controller/src/node/leadership/commits.rs
+++ b/crates/gladekeel-controller/src/node/leadership/commits.rs
@@ -1,15 +1,15 @@
-//! The leader's commits, and what becomes of those whose answer is slow.
+//! The leader's commits, and the handling of commits whose response is slow.
 //!
 //! A commit in doubt is looked up in the store rather than assumed to have failed
-//! (`docs/safety.md`, "Who may decide"). One that has no answer in the end makes the leader ask
-//! for a new token, under which the old commit can only fail.
+//! (`docs/safety.md`, "Who may decide"). If a commit remains in doubt until it times out, the
+//! leader requests a new token, under which the old commit can only fail.
 
 use crate::node::{Node, outgoing_calls::StoreCallPurpose};
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_wire::store::KeyValue;
 
-/// A leader's commit without an answer for this long is looked up in the store, and again each
-/// time this has passed.
+/// A leader's commit without a response for this long is looked up in the store, repeatedly at
+/// this interval.
 const CONFIRM_COMMIT_AFTER_S: f64 = 0.5;
 
 impl Node {
@@ -33,14 +33,14 @@
     ) {
         let Some(leader) = self.leadership.leader_under_mut(token) else { return };
         if *outcome == StoreOutcome::RateLimited {
-            self.rate_limits.leader_writes.on_refused(now);
+            self.rate_limits.leader_writes.on_rate_limited(now);
         }
         if leader.commit_answered(now, outcome) {
             self.store.request_read();
         }
     }
 
-    /// Looks up a commit in the store whose answer is slow to arrive.
+    /// Looks up the leader's commit in the store if its response is slow.
     pub(in crate::node) fn send_commit_confirmation(&mut self, now: f64) {
         let Some(leader) = self.leadership.leader() else { return };
         let (token, marker) = (leader.token, leader.commit_marker());
@@ -58,10 +58,10 @@
         }
     }
 
-    /// Settles a commit in doubt if the lookup shows that it was made.
+    /// Resolves a commit in doubt as committed if the lookup shows that it was applied.
     ///
-    /// The whole commit was made if and only if its marker stands under its key: nobody else
-    /// writes there under the token.
+    /// The whole commit was applied if and only if its marker is stored under the marker's key:
+    /// nothing else writes to this key under the token.
     pub(in crate::node) fn on_commit_confirmation(
         &mut self,
         now: f64,
--- a/crates/gladekeel-controller/src/node/leadership/election.rs
+++ b/crates/gladekeel-controller/src/node/leadership/election.rs
@@ -1,31 +1,32 @@
-//! Election of the leader: a key under a lease, whose version is the fencing token.
+//! Election of the leader by a key in the store, whose version is the fencing token.
 //!
 //! [`Election`] decides which request to the store is due; it never decides that this node
-//! leads. The key disappears with its lease, so a leader that ends without notice is
+//! leads. The key is attached to a lease and is deleted with it, so a leader that crashes is
 //! replaced after the lease's time to live.
 
 use crate::keys::{self, LeaderRecord};
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_wire::store::{Precondition, Transaction, Write};
 
-/// Time to live of the lease: the leader key outlives its last renewal by this much.
+/// Time to live of the lease: the leader key outlives the last renewal by this much.
 const LEASE_TTL_MS: u64 = 3000;
 /// Time between renewals of the lease.
 const RENEWAL_INTERVAL_S: f64 = 0.8;
-/// Pause after a request that changed the key, or was refused.
+/// Pause after a request that changed the key or was refused.
 const RETRY_S: f64 = 0.2;
-/// Pause after a request whose outcome is in doubt, and after the token was renewed.
+/// Pause after a request whose outcome is in doubt, and after a request for a new token.
 const RETRY_IN_DOUBT_S: f64 = 0.3;
 
-/// This node's part in the election.
+/// The state of this node in the election.
 #[derive(Debug, Default)]
 pub(super) struct Election {
-    /// The lease that this process holds, with or without the key.
+    /// The lease that this process holds, whether or not the leader key is attached to it.
     lease: Option<LeadershipLease>,
+    /// Whether an election request is in flight.
     in_flight: bool,
     /// No request is sent before this time.
     not_before: f64,
-    /// This node is no candidate before this time, since it has resigned.
+    /// After a resignation, this node is not a candidate before this time.
     candidate_after: f64,
 }
 
@@ -36,19 +37,19 @@
     renewed_at: f64,
 }
 
-/// Whom the leader key names, as of the last read.
+/// The holder of the leader key as of the last read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ObservedLeader {
     /// There is no leader key.
     Vacant,
-    /// This incarnation.
+    /// The key names this incarnation.
     ThisIncarnation,
-    /// An earlier incarnation of this node, which has ended.
+    /// The key names an earlier incarnation of this node, whose process no longer runs.
     StaleIncarnation {
         /// The version of the leader key.
         version: u64,
     },
-    /// Another node.
+    /// The key names another node.
     OtherNode,
 }
 
@@ -67,8 +68,8 @@
 }
 
 impl Election {
-    /// The next request, if one is due. `token_to_renew` is the current token if it must be
-    /// replaced by a higher one.
+    /// Returns the next request, if one is due, and marks it as in flight. `token_to_renew` is
+    /// the current token if it must be replaced by a higher one.
     pub fn next_request(
         &mut self,
         now: f64,
@@ -81,7 +82,7 @@
         }
         let request = match (observed, self.lease) {
             (ObservedLeader::ThisIncarnation, Some(lease)) => match token_to_renew {
-                // Writing the key again gives the same leader a higher token.
+                // Rewriting the key gives the same leader a higher token.
                 Some(token) => {
                     self.not_before = now + RETRY_IN_DOUBT_S;
                     put_leader_key(record, token, lease.id)
@@ -91,7 +92,7 @@
                 }
                 None => return None,
             },
-            // The key is attached to a lease that this process does not hold: it expires.
+            // The key is attached to a lease that this process does not hold, and expires with it.
             (ObservedLeader::ThisIncarnation | ObservedLeader::OtherNode, None) => return None,
             (ObservedLeader::OtherNode, Some(lease)) => StoreRequest::RevokeLease(lease.id),
             (ObservedLeader::Vacant | ObservedLeader::StaleIncarnation { .. }, _)
@@ -112,7 +113,7 @@
     }
 
     /// Applies the outcome of a request that was sent at `sent_at`. Returns whether the store
-    /// should be read at once.
+    /// should be read immediately.
     pub fn on_outcome(
         &mut self,
         now: f64,
@@ -133,7 +134,7 @@
                 false
             }
             (StoreRequest::Commit(_), StoreOutcome::Committed(_)) => {
-                // Whether this node leads is decided by a read of the store, not by this answer.
+                // Whether this node leads is decided by a read of the store, not by this response.
                 self.not_before = now + RETRY_S;
                 true
             }
@@ -152,8 +153,9 @@
         }
     }
 
-    /// Gives up the lease and is no candidate for `pause_s`. The key goes with the lease, so
-    /// another node can lead at once. Returns nothing if this process holds no lease.
+    /// Releases the lease and stops this node from being a candidate for `pause_s` seconds.
+    /// Returns the request that revokes the lease, or `None` if this process holds no lease. The
+    /// key is deleted with the lease, so another node can acquire it immediately.
     pub fn resign(&mut self, now: f64, pause_s: f64) -> Option<StoreRequest> {
         self.candidate_after = now + pause_s;
         let lease = self.lease.take()?;
@@ -161,7 +163,8 @@
     }
 }
 
-/// Writes the leader key, if it still has this version; 0 if it must not exist.
+/// Builds the transaction that writes the leader key if the key still has `version`; 0 means
+/// that it must not exist.
 fn put_leader_key(record: &LeaderRecord, version: u64, lease: u64) -> StoreRequest {
     let value = serde_json::to_value(record).expect("stored types always serialise");
     StoreRequest::Commit(Transaction {
--- a/crates/gladekeel-controller/src/node/leadership/mod.rs
+++ b/crates/gladekeel-controller/src/node/leadership/mod.rs
@@ -1,10 +1,10 @@
-//! Whether this node leads, and the steps by which it begins and ends to.
+//! Leadership: how this node acquires it, takes over, leads and steps down.
 //!
 //! Leadership is decided by the store alone: a node leads when a read shows its own incarnation
-//! in the leader key, and stops when a read does not (`docs/safety.md`, "Who may decide"). The
-//! version of the key is the fencing token. The answers to a node's own election requests decide
-//! nothing. A peer that reports leading under a higher token makes this node step down early,
-//! which is always safe.
+//! in the leader key, and stops leading when a read does not (see `docs/safety.md`,
+//! "Who may decide"). The version of the key is the fencing token. The responses to a node's own
+//! election requests decide nothing. A peer that reports leading under a higher token makes this
+//! node step down early, which is always safe.
 
 mod commits;
 mod election;
@@ -22,40 +22,40 @@
 use resignation::ResignationBackoff;
 use takeover::{PreviousTerm, Takeover};
 
-/// What this node does under the leader key's current version.
+/// The role of this node under the current version of the leader key.
 enum Role {
-    /// Another node leads, or none.
+    /// Another node leads, or no node does.
     Follower,
-    /// The key names this incarnation; the assignment log is being read.
+    /// The leader key names this incarnation, which is reading the assignment log.
     TakingOver(Box<Takeover>),
-    /// This node decides.
+    /// This node leads: it makes the scheduling decisions.
     Leading(Box<Leader>),
 }
 
-/// This node's part in leadership.
+/// This node's role and its state in the election.
 pub(super) struct Leadership {
-    /// What this incarnation writes into the leader key.
+    /// The value that this incarnation writes into the leader key.
     record: LeaderRecord,
     election: Election,
     role: Role,
-    /// The last token under which this process led. Attempts are numbered by token, so it
-    /// never leads under the same one again.
+    /// The last token under which this process led; 0 if it has never led. Attempts are numbered
+    /// by token, so the process never leads under the same token again.
     last_used_token: u64,
-    count: u64,
+    acquisition_count: u64,
     resignations: ResignationBackoff,
     /// When a commit in doubt was last looked up.
     confirmation_sent_at: f64,
 }
 
 impl Leadership {
-    /// A follower whose incarnation is named by `record`.
+    /// Creates the state of a follower whose incarnation is named by `record`.
     pub fn new(record: LeaderRecord) -> Leadership {
         Leadership {
             record,
             election: Election::default(),
             role: Role::Follower,
             last_used_token: 0,
-            count: 0,
+            acquisition_count: 0,
             resignations: ResignationBackoff::default(),
             confirmation_sent_at: 0.0,
         }
@@ -87,10 +87,11 @@
         matches!(self.role, Role::Leading(_))
     }
 
-    /// How often this process has begun to lead. Consecutive tokens of one leadership count
-    /// once, since the leader's knowledge of the cluster outlives the token.
-    pub fn count(&self) -> u64 {
-        self.count
+    /// How many times this process has acquired leadership. A new token that directly follows an
+    /// earlier one of this process is not counted, since the leader's knowledge of the cluster
+    /// outlives the token.
+    pub fn acquisition_count(&self) -> u64 {
+        self.acquisition_count
     }
 
     /// The number that this process drew at its start.
@@ -98,9 +99,10 @@
         self.record.incarnation
     }
 
-    /// Steps down if a peer leads under a higher token. Returns whether this node did lead.
+    /// Steps down if this node leads and a peer leads under a higher token. Returns whether this
+    /// node stepped down.
     ///
-    /// A leader that the store no longer answers learns of its successor in this way.
+    /// This is how a leader that the store no longer responds to learns of its successor.
     pub fn step_down_if_superseded(&mut self, peer: &str, peer_token: u64) -> bool {
         let Some(leader) = self.leader().filter(|leader| leader.token < peer_token) else {
             return false;
@@ -110,8 +112,8 @@
         true
     }
 
-    /// Applies the leader key as a read has just shown it: begins a takeover, goes on under a
-    /// new token, or stops.
+    /// Applies the leader key that a read has just returned: begins a takeover, steps down, or
+    /// changes nothing. A takeover also follows when the key of a leading node has a new token.
     pub fn follow_leader_key(&mut self, now: f64, stored: Option<&(LeaderRecord, u64)>) {
         let Some((_, token)) = stored.filter(|(record, _)| *record == self.record) else {
             if let Role::Leading(leader) = std::mem::replace(&mut self.role, Role::Follower) {
@@ -129,15 +131,15 @@
         }
     }
 
-    /// Begins to read the log under a token. What this incarnation knows of the cluster from
-    /// leading under a lower token still holds.
+    /// Begins a takeover under `token`. What this incarnation learned about the cluster while
+    /// leading under a lower token remains valid and is carried over.
     fn begin_takeover(&mut self, now: f64, token: u64) {
         let previous = match std::mem::replace(&mut self.role, Role::Follower) {
             Role::Leading(leader) => Some(PreviousTerm::new(leader.into_cluster_state())),
             Role::TakingOver(takeover) => takeover.into_previous_term(),
             Role::Follower => None,
         };
-        self.count += u64::from(previous.is_none());
+        self.acquisition_count += u64::from(previous.is_none());
         self.role = Role::TakingOver(Box::new(Takeover::new(token, now, previous)));
     }
 
@@ -148,33 +150,34 @@
         }
     }
 
-    fn begin_to_lead(&mut self, leader: Leader) {
+    fn become_leader(&mut self, leader: Leader) {
         self.last_used_token = leader.token;
         self.role = Role::Leading(Box::new(leader));
     }
 
-    /// Applies the outcome of a call to the cloud.
+    /// Applies the outcome of a call to the cloud, or defers it until a takeover has completed.
     pub fn on_cloud_outcome(&mut self, now: f64, call: CloudCall, outcome: CloudOutcome) {
-        if call.leadership != self.count {
+        if call.acquisition != self.acquisition_count {
             return;
         }
         match &mut self.role {
             Role::Leading(leader) => leader.apply_cloud_outcome(now, &call.request, outcome),
-            Role::TakingOver(takeover) => takeover.hold_cloud_outcome(call.request, outcome),
+            Role::TakingOver(takeover) => takeover.defer_cloud_outcome(call.request, outcome),
             Role::Follower => {}
         }
     }
 
-    /// The election request that is due, if there is one. Must only be called while the view
-    /// of the store is fresh.
+    /// Returns the election request that is due, if there is one. Must only be called while the
+    /// view of the store is fresh.
     fn next_election_request(&mut self, now: f64, view: &StoreView) -> Option<StoreRequest> {
         let observed = ObservedLeader::of(view.leader.as_ref(), &self.record);
         let token_to_renew = self.token_to_renew(view.highest_token);
         self.election.next_request(now, observed, &self.record, token_to_renew)
     }
 
-    /// The token that must be replaced by a higher one before this node can lead on: the
-    /// leader has asked for it, or this node stepped down while the key still names it.
+    /// The token that must be replaced by a higher one before this node can continue to lead:
+    /// either the leader has requested a new token, or this node stepped down while the leader
+    /// key still names it.
     fn token_to_renew(&self, highest_token: u64) -> Option<u64> {
         match &self.role {
             Role::Leading(leader) => leader.needs_new_token().then_some(leader.token),
--- a/crates/gladekeel-controller/src/node/leadership/resignation.rs
+++ b/crates/gladekeel-controller/src/node/leadership/resignation.rs
@@ -1,8 +1,9 @@
 //! Resignation of a leader that no worker can reach.
 //!
-//! Such a leader cannot do its work, and another node may be better placed. Each resignation in
-//! a row doubles the patience before the next one and the time out of the election, so that
-//! nodes do not pass leadership around while the workers are what has failed.
+//! Such a leader cannot manage its workers, and workers may be able to reach another node. Each
+//! consecutive resignation doubles both the silence that the next one requires and the time for
+//! which this node is not a candidate. Otherwise nodes would keep passing leadership around when
+//! the workers, not the leader, have failed.
 
 use super::{Leadership, Role};
 use crate::{
@@ -12,18 +13,18 @@
 use gladekeel_store::StoreRequest;
 use gladekeel_wire::settings::WorkerTimings;
 
-/// A leader that misses this many heartbeats in a row counts as isolated.
+/// A leader that misses this many expected heartbeats in a row counts as isolated.
 const ISOLATED_AFTER_HEARTBEATS: f64 = 30.0;
-/// A leader counts as isolated no earlier than after this long.
+/// Minimum time without heartbeats before a leader counts as isolated.
 const MIN_ISOLATED_AFTER_S: f64 = 4.0;
-/// How far beyond a worker's heartbeat timeout the limit may be.
+/// How far the silence limit may exceed a worker's heartbeat timeout.
 const HEARTBEAT_TIMEOUT_SLACK_S: f64 = 2.0;
-/// How long a node that resigned for the first time is no candidate.
+/// How long a node is not a candidate after its first resignation.
 const CANDIDACY_PAUSE_S: f64 = 6.0;
-/// Patience and pause double at most this often.
+/// Maximum number of times that the silence limit and the candidacy pause double.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Counts the resignations since a leader last had heartbeats.
+/// Counts this node's resignations since it last received heartbeats as the leader.
 #[derive(Debug, Default)]
 pub(super) struct ResignationBackoff {
     consecutive: u32,
@@ -35,8 +36,9 @@
     }
 }
 
-/// For how long a leader of this many machines may be without any heartbeat. Of many machines
-/// some heartbeats are due at any time, so the limit is lower for them.
+/// How long a leader of this many machines may receive no heartbeat before it counts as
+/// isolated. The more machines there are, the shorter the time between heartbeats and the lower
+/// the limit.
 fn isolated_after_s(workers: &WorkerTimings, machines: usize) -> f64 {
     let expected_s =
         ISOLATED_AFTER_HEARTBEATS * workers.heartbeat_interval_s / machines.max(1) as f64;
@@ -45,8 +47,8 @@
 }
 
 impl Leadership {
-    /// Resigns if no machine's heartbeat arrives any more. Returns the request that gives up
-    /// the lease of the leader key.
+    /// Resigns if this node leads and no longer receives heartbeats from any machine. Returns the
+    /// request that revokes the lease of the leader key.
     fn resign_if_isolated(
         &mut self,
         now: f64,
@@ -55,13 +57,17 @@
     ) -> Option<StoreRequest> {
         let leader = self.leader()?;
         let HeartbeatSilence { expected_machines: machines, silent_s } = leader.silence(now);
-        let led_s = now - leader.since();
+        let leading_s = now - leader.since();
         let limit_s = isolated_after_s(workers, machines);
         if silent_s < limit_s {
             self.resignations.consecutive = 0;
         }
-        let patience_s = limit_s * self.resignations.factor();
-        if machines == 0 || silent_s < patience_s || led_s < patience_s || !has_peers {
+        let extended_limit_s = limit_s * self.resignations.factor();
+        if machines == 0
+            || silent_s < extended_limit_s
+            || leading_s < extended_limit_s
+            || !has_peers
+        {
             return None;
         }
         let request = self.election.resign(now, CANDIDACY_PAUSE_S * self.resignations.factor())?;
@@ -75,8 +81,8 @@
 impl Node {
     /// Resigns if this node leads and no worker can reach it.
     ///
-    /// Not while the store is out of reach: no other node could take over, and somebody must
-    /// delete the machines that hold cancelled tasks.
+    /// A node does not resign while the store is unreachable: no other node could take over, and
+    /// the machines on which cancelled tasks may run must still be deleted.
     pub(in crate::node) fn resign_if_isolated(&mut self, now: f64) {
         if !self.store.has_fresh_contact(now) {
             return;
--- a/crates/gladekeel-controller/src/node/leadership/takeover.rs
+++ b/crates/gladekeel-controller/src/node/leadership/takeover.rs
@@ -1,7 +1,7 @@
-//! Takeover: a node that the leader key names reads the assignment log before it decides.
+//! Takeover: a node that the leader key names reads the assignment log before it schedules.
 //!
-//! The log is read under the new token, so nobody else can change it meanwhile. Every attempt
-//! that it does not release counts as on its machine.
+//! The log is read under the new token, so no other node can change it in the meantime. An
+//! attempt that the log does not record as released counts as running on its machine.
 
 use super::Role;
 use crate::{
@@ -15,13 +15,13 @@
 use gladekeel_wire::store::KeyValue;
 use rand::Rng;
 
-/// Pause after a page of the log could not be read.
+/// Pause after reading a page of the log has failed.
 const PAGE_RETRY_S: f64 = 0.2;
-/// Pause after the log was read whole and could not be understood.
+/// Pause after the log was read completely but the leader's state could not be built from it.
 const UNREADABLE_RETRY_S: f64 = 5.0;
 
-/// Why a node cannot lead although the leader key names it. Scheduling without what cannot be
-/// read would start tasks twice.
+/// Why a node cannot lead although the leader key names it. Scheduling without the unreadable
+/// data would start tasks twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum TakeoverError {
     #[error("the key or value of a row of the assignment log is malformed")]
@@ -30,7 +30,7 @@
     UnreadableSegment,
     #[error("the store holds assignments in a layout that this version cannot read")]
     LegacyAssignments,
-    /// Attempts of such a job would count as attempts of none.
+    /// Attempts of an unreadable job could not be attributed to any job.
     #[error("values of jobs in the store cannot be read")]
     UnreadableJobs,
 }
@@ -41,18 +41,19 @@
     }
 }
 
-/// What this node knows from leading under a lower token.
+/// The state that this node keeps from leading under a lower token.
 #[derive(Debug)]
 pub(super) struct PreviousTerm {
     cluster: ClusterState,
-    /// Outcomes of calls to the cloud that arrived between the two tokens. `cluster` counts
-    /// these calls as in flight, and nothing else would ever end that.
-    cloud_outcomes: Vec<HeldCloudOutcome>,
+    /// Outcomes of calls to the cloud that were received during the takeover. `cluster` counts
+    /// these calls as in flight until the outcomes are applied.
+    cloud_outcomes: Vec<DeferredCloudOutcome>,
 }
 
-/// The outcome of a call to the cloud that no leader was there to apply.
+/// The outcome of a call to the cloud that was received during a takeover, while there was no
+/// leader to apply it.
 #[derive(Debug)]
-struct HeldCloudOutcome {
+struct DeferredCloudOutcome {
     request: CloudRequest,
     outcome: CloudOutcome,
 }
@@ -67,16 +68,18 @@
 #[derive(Debug)]
 pub(super) struct Takeover {
     token: u64,
-    /// Rows of the log that were read so far.
+    /// Rows of the log that have been read so far.
     rows: Vec<KeyValue>,
+    /// Whether a read of a page is in flight.
     in_flight: bool,
     /// No page is read before this time.
     not_before: f64,
+    /// The state from leading under a lower token; `None` if this node did not lead before.
     previous: Option<PreviousTerm>,
 }
 
 impl Takeover {
-    /// A takeover that has read nothing yet.
+    /// Creates a takeover that has not read any page yet.
     pub fn new(token: u64, now: f64, previous: Option<PreviousTerm>) -> Takeover {
         Takeover { token, rows: Vec::new(), in_flight: false, not_before: now, previous }
     }
@@ -86,19 +89,20 @@
         self.token
     }
 
-    /// Gives up the takeover, for one under a higher token.
+    /// Abandons the takeover in favour of one under a higher token. Returns the state that the
+    /// next takeover carries over.
     pub fn into_previous_term(self) -> Option<PreviousTerm> {
         self.previous
     }
 
-    /// Keeps the outcome of a call to the cloud for the leader that is about to be built.
-    pub fn hold_cloud_outcome(&mut self, request: CloudRequest, outcome: CloudOutcome) {
+    /// Keeps the outcome of a call to the cloud, to be applied once the takeover has completed.
+    pub fn defer_cloud_outcome(&mut self, request: CloudRequest, outcome: CloudOutcome) {
         if let Some(previous) = &mut self.previous {
-            previous.cloud_outcomes.push(HeldCloudOutcome { request, outcome });
+            previous.cloud_outcomes.push(DeferredCloudOutcome { request, outcome });
         }
     }
 
-    /// The request for the next page of the log, if it is due.
+    /// Returns the request for the next page of the log if it is due, and marks it as in flight.
     fn next_request(&mut self, now: f64) -> Option<StoreRequest> {
         if self.in_flight || now < self.not_before {
             return None;
@@ -108,7 +112,7 @@
         Some(StoreRequest::List { prefix: keys::ASSIGNMENT_LOG_PREFIX.into(), after })
     }
 
-    /// Adds a page of the log. Returns all rows after the last page.
+    /// Adds a page of the log. Returns all rows of the log if this page was the last one.
     fn on_page(&mut self, now: f64, outcome: StoreOutcome) -> Option<Vec<KeyValue>> {
         self.in_flight = false;
         let StoreOutcome::Page(page) = outcome else {
@@ -120,14 +124,14 @@
     }
 }
 
-/// Parses a row of the assignment log.
+/// Parses a row of the assignment log; `None` if its key or value is malformed.
 fn parse_row(row: KeyValue) -> Option<LogRow> {
     let slot = keys::parse_log_slot(&row.key)?;
     Some(LogRow { slot, version: row.version, text: row.value.as_str()?.to_owned() })
 }
 
 impl Node {
-    /// Reads the next page of the assignment log if a takeover is waiting for it.
+    /// Sends a read of the next page of the assignment log if a takeover needs it.
     pub(in crate::node) fn send_log_read(&mut self, now: f64) {
         let Role::TakingOver(takeover) = &mut self.leadership.role else { return };
         let token = takeover.token;
@@ -136,14 +140,15 @@
         }
     }
 
-    /// Applies a page of the assignment log, and leads once the log is complete.
+    /// Applies a page of the assignment log. This node becomes the leader once the log is
+    /// complete.
     pub(in crate::node) fn on_log_page(&mut self, now: f64, token: u64, outcome: StoreOutcome) {
         let Some(takeover) = self.leadership.takeover_under_mut(token) else { return };
         let Some(rows) = takeover.on_page(now, outcome) else { return };
         let previous = takeover.previous.take();
         let salt = self.rng.random();
         match self.build_leader(now, token, rows, previous, salt) {
-            Ok(leader) => self.leadership.begin_to_lead(leader),
+            Ok(leader) => self.leadership.become_leader(leader),
             Err(error) => {
                 let unreadable_keys = &self.store.view.unreadable;
                 tracing::error!(%error, ?unreadable_keys, "takeover failed: scheduling nothing");
@@ -178,7 +183,7 @@
         let deployment = self.deployment.clone();
         let term = LeaderTerm { token, now, epoch: self.epoch, deployment, salt };
         let mut leader = Leader::new(view, rows, term, cluster)?;
-        for HeldCloudOutcome { request, outcome } in cloud_outcomes {
+        for DeferredCloudOutcome { request, outcome } in cloud_outcomes {
             leader.apply_cloud_outcome(now, &request, outcome);
         }
         Ok(leader)
--- a/crates/gladekeel-controller/src/node/metrics.rs
+++ b/crates/gladekeel-controller/src/node/metrics.rs
@@ -1,7 +1,7 @@
-//! What a node exposes to Prometheus.
+//! The metrics that a node exposes to Prometheus.
 //!
-//! Names and help texts are part of the operators' interface and stay as they are, also where
-//! the code uses other terms by now.
+//! Names and help texts are part of the operators' interface and stay unchanged, even where the
+//! code now uses other terms.
 
 use super::{Node, RequestId, admin_requests::machines_by_state};
 use crate::{
@@ -12,31 +12,31 @@
 };
 use std::collections::{BTreeMap, HashMap};
 
-/// A request that is being timed.
+/// A request whose latency is being measured.
 #[derive(Debug)]
 struct TimedRequest {
-    /// The label of its route.
+    /// The metric label of the request's route.
     label: &'static str,
     received_at: f64,
 }
 
-/// Measures how long requests take, by the label of their route.
+/// Measures the latency of requests, by the metric label of their route.
 #[derive(Debug, Default)]
 pub(super) struct RequestTimers {
-    /// Requests that have not been answered yet.
+    /// Requests to which the node has not replied yet.
     in_progress: HashMap<RequestId, TimedRequest>,
     latencies: BTreeMap<&'static str, DurationHistogram>,
 }
 
 impl RequestTimers {
-    /// A request has arrived.
+    /// Starts the timer of a request, if its route has a metric label.
     pub fn start(&mut self, now: f64, id: RequestId, route: &Route) {
         if let Some(label) = route.metric_label() {
             self.in_progress.insert(id, TimedRequest { label, received_at: now });
         }
     }
 
-    /// A request has been answered.
+    /// Records the latency of a request to which the node has replied.
     pub fn finish(&mut self, now: f64, id: RequestId) {
         if let Some(TimedRequest { label, received_at }) = self.in_progress.remove(&id) {
             self.latencies.entry(label).or_default().record(now - received_at);
@@ -58,7 +58,8 @@
     }
 }
 
-/// What only the process around a node can measure: the node has no clock and no sockets.
+/// Metrics that only the process around a node can measure, since the node has no clock and no
+/// sockets.
 #[derive(Debug, Default)]
 pub(super) struct ProcessMetrics {
     scheduling_cycles: DurationHistogram,
@@ -105,7 +106,7 @@
         self.process_metrics.sockets = sockets;
     }
 
-    /// All metrics in the Prometheus text format.
+    /// Renders all metrics in the Prometheus text format.
     pub(super) fn render_metrics(&self, now: f64) -> String {
         let mut out = Exposition::default();
         self.request_timers.expose(&mut out);
@@ -121,7 +122,7 @@
         let is_leading = f64::from(u8::from(self.leadership.is_leading()));
         out.gauge("leading", "Whether this node leads.", is_leading);
         out.gauge("token", "The fencing token.", self.store.view.highest_token as f64);
-        let takeovers = self.leadership.count() as f64;
+        let takeovers = self.leadership.acquisition_count() as f64;
         out.counter("takeovers_total", "Times that this node began to lead.", takeovers);
         if let Some(contact) = self.store.last_contact() {
             let help = "Age of the last contact to the state service.";
@@ -136,7 +137,7 @@
     }
 }
 
-/// What only a leader knows.
+/// Exposes the metrics that only a leader has.
 fn expose_leader(leader: &Leader, now: f64, out: &mut Exposition) {
     expose_leader_counters(leader, out);
     let states = machines_by_state(leader, now);
--- a/crates/gladekeel-controller/src/node/mod.rs
+++ b/crates/gladekeel-controller/src/node/mod.rs
@@ -1,21 +1,21 @@
 //! A controller node without I/O.
 //!
 //! [`Node::handle`] takes an event and the time and returns the actions that follow; the same
-//! events give the same actions. The [`shell`](crate::shell) carries them out with sockets and a
-//! clock, the testkit in a simulated world. Times are seconds on the node's own monotonic clock,
-//! which begins at 0 when the process starts.
+//! events give the same actions. The [`shell`](crate::shell) executes the actions with sockets
+//! and a clock, the testkit executes them in a simulation. Times are seconds on the node's own
+//! monotonic clock, which begins at 0 when the process starts.
 //!
-//! Each concern has a type that owns its state, and a module with the steps that use it:
+//! Each concern has a type that owns its state and a module with the code that uses it:
 //!
 //! | concern | module |
 //! | --- | --- |
 //! | the election, takeovers and resignation; the [`Leader`] itself | `leadership` |
 //! | linearizable reads and the view of the store | `store_reads` |
 //! | submissions, polls and cancellations | `user_requests` |
-//! | workers' heartbeats, answered, relayed or redirected | `heartbeats` |
-//! | what controllers tell one another | `peers` |
+//! | workers' heartbeats: responding, relaying and redirecting | `heartbeats` |
+//! | messages between controllers | `peers` |
 //! | calls in flight to the store, the cloud and workers | `outgoing_calls` |
-//! | what operators and load balancers ask for | `admin_requests`, `metrics`, `health` |
+//! | requests from operators and load balancers | `admin_requests`, `metrics`, `health` |
 
 mod admin_requests;
 mod event;
@@ -52,15 +52,15 @@
 use store_reads::StoreReads;
 use user_requests::UserRequests;
 
-/// Least pause after a service has refused a request as beyond its rate.
+/// Minimum backoff after a service has refused a request because of its rate limit.
 const RATE_LIMIT_BACKOFF_S: f64 = 0.1;
-/// A random part of this is added to the pause.
+/// Upper bound of the random time that is added to [`RATE_LIMIT_BACKOFF_S`].
 const RATE_LIMIT_JITTER_S: f64 = 0.1;
 
 /// A controller node.
 pub struct Node {
     settings: Rc<Settings>,
-    /// The deployment's settings with the lowest limits of the store, present or announced.
+    /// The deployment's settings, with the lower of the store's current and announced limits.
     deployment: Rc<Deployment>,
     /// The time of day at which the node's clock was 0, in seconds.
     epoch: f64,
@@ -75,12 +75,12 @@
     calls: OutgoingCalls,
     request_timers: RequestTimers,
     process_metrics: ProcessMetrics,
-    /// Actions of the event that is being handled.
+    /// Actions collected while the current event is handled.
     actions: Vec<Action>,
 }
 
 impl Node {
-    /// A node that has just started. `seed` must differ from start to start, since the
+    /// Creates a node that has just started. `seed` must differ between starts, since the
     /// incarnation is drawn from it. `epoch` is the time of day at the start, in seconds.
     pub fn new(settings: Settings, seed: u64, epoch: f64) -> Node {
         let mut deployment = settings.deployment.clone();
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Handles an event that happened at `now` and returns the actions that follow. Times must
-    /// not decrease from call to call.
+    /// Handles an event that happened at `now` and returns the actions that follow. `now` must
+    /// not decrease from one call to the next.
     pub fn handle(&mut self, now: f64, event: Event) -> Vec<Action> {
         match event {
             Event::Http { id, method, path, body } => {
@@ -141,8 +141,8 @@
         self.leadership.leader()
     }
 
-    /// Whether this node knows the store and who leads: it leads itself, or the controller that
-    /// does has been seen. Until then it is better not to serve.
+    /// Whether this node has loaded the store and either leads or has received a heartbeat from
+    /// the leader. Until then the node should not serve requests.
     pub fn is_settled(&self, now: f64) -> bool {
         let was_seen = |name: &str| {
             let peer = self.peers.index_of(name).map(|index| self.peers.get(index));
@@ -152,7 +152,7 @@
             && (self.leadership.is_leading() || self.other_leader(now).is_some_and(was_seen))
     }
 
-    /// Whether leases may be renewed: see `docs/safety.md`, "Keeping leases alive".
+    /// Whether this node may renew workers' leases: see `docs/safety.md`, "Keeping leases alive".
     fn may_renew_leases(&self, now: f64) -> bool {
         self.store.may_renew_leases(now, &self.deployment.workers)
     }
@@ -219,7 +219,7 @@
         leader.tick(now, &self.runtime_settings, &self.settings.zone, &reachable_zones);
     }
 
-    /// Sends whatever is due after an event.
+    /// Sends all requests that are due after an event.
     fn send_due(&mut self, now: f64) {
         self.send_store_read(now);
         self.send_user_writes(now);
@@ -241,8 +241,8 @@
     }
 }
 
-/// When to send again what a service refused as beyond its rate. The random part keeps nodes
-/// that were refused at once from coming back at once.
+/// The earliest time to retry a request that a service refused because of its rate limit. The
+/// random part keeps nodes that were refused at the same time from retrying at the same time.
 fn jittered_backoff_until(now: f64, rng: &mut StdRng) -> f64 {
     now + RATE_LIMIT_BACKOFF_S + rng.random::<f64>() * RATE_LIMIT_JITTER_S
 }
--- a/crates/gladekeel-controller/src/node/outgoing_calls.rs
+++ b/crates/gladekeel-controller/src/node/outgoing_calls.rs
@@ -1,34 +1,34 @@
-//! Calls to the store, the cloud and workers that have not been answered yet.
+//! Calls to the store, the cloud and workers that are in flight.
 //!
-//! Each call gets an id, which its answer brings back. A call whose id is no longer in its
-//! table has been settled by other means, and its answer is dropped.
+//! Each call has an id, which identifies it in the event with its outcome. If the id is no longer
+//! in the table, the call has been resolved by other means, and the outcome is dropped.
 
 use super::{Action, RequestId, admin_requests::AdminChange, user_requests::UserWrite};
 use crate::{cloud_api::CloudRequest, leader::WorkerRequest};
 use gladekeel_store::StoreRequest;
 use std::collections::BTreeMap;
 
-/// Identifies a call of this node until its answer arrives.
+/// Identifies a call of this node until its outcome is known.
 pub type CallId = u64;
 
-/// Timeout of reads of the store, and of calls that are simply repeated if they fail.
+/// Timeout of reads of the store, and of other calls that can simply be retried if they fail.
 const STORE_READ_TIMEOUT_S: f64 = 1.5;
-/// Timeout of transactions and of the takeover's read of the log. A transaction without an
-/// answer is in doubt, which costs a user another request and a leader a new token.
+/// Timeout of transactions and of the takeover's reads of the log. A transaction that has timed
+/// out is in doubt: a user has to send another request, and a leader has to acquire a new token.
 const STORE_WRITE_TIMEOUT_S: f64 = 4.0;
 /// Timeout of calls to the cloud.
 const CLOUD_TIMEOUT_S: f64 = 5.0;
 /// Timeout of commands to a worker.
 const WORKER_COMMAND_TIMEOUT_S: f64 = 3.0;
-/// Timeout of probes that ask whether a worker is alive.
+/// Timeout of probes that check whether a worker is alive.
 const WORKER_PROBE_TIMEOUT_S: f64 = 1.5;
-/// Calls to workers in flight at once, hung ones not counted. One scheduling cycle may place
-/// thousands of tasks: commands sent all at once would delay users' requests.
+/// Maximum number of calls to workers in flight, not counting hung calls. One scheduling cycle may
+/// place thousands of tasks, and sending all their commands at once would delay users' requests.
 const WORKER_CALL_WINDOW: usize = 32;
-/// A call to a worker without an answer for this long counts as hung.
+/// A call to a worker without a response for this long counts as hung.
 const WORKER_CALL_HUNG_AFTER_S: f64 = 0.3;
 
-/// Why the store was called, and what the answer is needed for.
+/// The purpose of a call to the store, with the data needed to handle the outcome.
 #[derive(Debug)]
 pub(super) enum StoreCallPurpose {
     /// Bring the replica up to date.
@@ -39,12 +39,12 @@
     AdminWrite {
         /// The operator's request.
         request: RequestId,
-        /// What it changes.
+        /// The operator's change.
         change: AdminChange,
     },
     /// Commit the leader's decisions.
     LeaderCommit {
-        /// The fencing token under which it was sent.
+        /// The fencing token under which the commit was sent.
         token: u64,
     },
     /// Read the assignment log during a takeover.
@@ -52,7 +52,7 @@
         /// The fencing token of the takeover.
         token: u64,
     },
-    /// Look up whether a commit in doubt was made.
+    /// Look up whether a commit in doubt was applied.
     ConfirmCommit {
         /// The fencing token of the commit.
         token: u64,
@@ -83,20 +83,20 @@
     pub sent_at: f64,
 }
 
-/// A transaction with users' writes in flight.
+/// A transaction in flight with users' writes.
 pub(super) struct WritesInFlight<'a> {
     pub call: CallId,
     pub sent_at: f64,
-    /// The writes whose users have not been answered.
+    /// The writes to whose users the node has not replied yet.
     pub writes: &'a mut Vec<UserWrite>,
 }
 
 /// A call to the cloud in flight.
 #[derive(Debug)]
 pub(super) struct CloudCall {
-    /// The leadership that sent it: see
-    /// [`Leadership::count`](super::leadership::Leadership::count).
-    pub leadership: u64,
+    /// The number of times that this process had acquired leadership when the call was sent: see
+    /// [`Leadership::acquisition_count`](super::leadership::Leadership::acquisition_count).
+    pub acquisition: u64,
     pub request: CloudRequest,
 }
 
@@ -114,14 +114,14 @@
     store: BTreeMap<CallId, StoreCall>,
     cloud: BTreeMap<CallId, CloudCall>,
     workers: BTreeMap<CallId, WorkerCall>,
-    /// Limit of calls to workers in flight, hung ones included.
+    /// Maximum number of calls to workers in flight, including hung calls.
     max_worker_calls: usize,
     store_requests: u64,
     store_writes: u64,
 }
 
 impl OutgoingCalls {
-    /// No calls in flight.
+    /// Creates empty tables. `max_worker_calls` limits the calls to workers in flight.
     pub fn new(max_worker_calls: usize) -> OutgoingCalls {
         OutgoingCalls {
             next_id: 0,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// An id that no other call has. Relayed heartbeats are numbered by the same ids.
+    /// Returns an id that no other call has. Relayed heartbeats use the same ids.
     pub fn allocate_id(&mut self) -> CallId {
         let id = self.next_id;
         self.next_id += 1;
@@ -156,7 +156,7 @@
         Action::CallStore { call, request, timeout_s }
     }
 
-    /// Removes a call to the store; `None` if it was settled before.
+    /// Removes and returns a call to the store; `None` if the call has already been resolved.
     pub fn finish_store_call(&mut self, call: CallId) -> Option<StoreCall> {
         self.store.remove(&call)
     }
@@ -167,7 +167,7 @@
         self.store.iter().find(|(_, call)| is_commit(call)).map(|(id, call)| (*id, call))
     }
 
-    /// The transactions with users' writes in flight.
+    /// The transactions in flight with users' writes.
     pub fn user_writes_mut(&mut self) -> impl Iterator<Item = WritesInFlight<'_>> {
         self.store.iter_mut().filter_map(|(id, call)| match &mut call.purpose {
             StoreCallPurpose::UserWrites(writes) => {
@@ -177,8 +177,8 @@
         })
     }
 
-    /// Removes a transaction of users' writes if all of its writes have been answered.
-    /// Returns whether it was removed.
+    /// Removes a transaction with users' writes if the node has replied to the users of all its
+    /// writes. Returns whether the transaction was removed.
     pub fn finish_if_no_writes_left(&mut self, call: CallId) -> bool {
         let is_empty = self.store.get(&call).is_some_and(
             |call| matches!(&call.purpose, StoreCallPurpose::UserWrites(writes) if writes.is_empty()),
@@ -187,18 +187,18 @@
     }
 
     /// Registers a call to the cloud and returns the action that sends it.
-    pub fn call_cloud(&mut self, leadership: u64, request: CloudRequest) -> Action {
+    pub fn call_cloud(&mut self, acquisition: u64, request: CloudRequest) -> Action {
         let call = self.allocate_id();
-        self.cloud.insert(call, CloudCall { leadership, request: request.clone() });
+        self.cloud.insert(call, CloudCall { acquisition, request: request.clone() });
         Action::CallCloud { call, request, timeout_s: CLOUD_TIMEOUT_S }
     }
 
-    /// Removes a call to the cloud.
+    /// Removes and returns a call to the cloud.
     pub fn finish_cloud_call(&mut self, call: CallId) -> Option<CloudCall> {
         self.cloud.remove(&call)
     }
 
-    /// How many more calls to workers may be sent now.
+    /// The number of further calls to workers that may be sent now.
     pub fn worker_call_budget(&self, now: f64) -> usize {
         let is_recent = |call: &&WorkerCall| now - call.sent_at < WORKER_CALL_HUNG_AFTER_S;
         let recent = self.workers.values().rev().take_while(is_recent).count();
@@ -215,17 +215,17 @@
         Action::CallWorker { call, request, timeout_s }
     }
 
-    /// Removes a call to a worker.
+    /// Removes a call to a worker and returns its request.
     pub fn finish_worker_call(&mut self, call: CallId) -> Option<WorkerRequest> {
         self.workers.remove(&call).map(|call| call.request)
     }
 
-    /// Requests to the store since the process started.
+    /// Number of requests to the store since the process started.
     pub fn store_requests(&self) -> u64 {
         self.store_requests
     }
 
-    /// Puts and deletes requested of the store since the process started.
+    /// Number of puts and deletes sent to the store since the process started.
     pub fn store_writes(&self) -> u64 {
         self.store_writes
     }
--- a/crates/gladekeel-controller/src/node/rate_limits.rs
+++ b/crates/gladekeel-controller/src/node/rate_limits.rs
@@ -3,34 +3,35 @@
 use gladekeel_store::TokenBucket;
 use gladekeel_wire::settings::{Deployment, StoreLimits};
 
-/// Part of a node's share of the store's request rate that refills its bucket; the rest is the
-/// bucket's size.
+/// Fraction of a node's share of the store's request rate at which its bucket refills; the rest
+/// of the share is the bucket's capacity.
 const STEADY_REQUEST_SHARE: f64 = 0.6;
-/// Part of the store's write rate that users' changes may take at one node. They come in
-/// bursts, and after a crash all of them at the first node that is back, so the nodes do not
-/// divide it among themselves. If several write at once the store refuses, and each backs off.
+/// Fraction of the store's write rate that one node may use for users' changes. The nodes do not
+/// divide this rate among themselves, since users' changes come in bursts, and after a crash all
+/// of them go to the first node that is available again. If several nodes write at once, the
+/// store refuses the excess and the refused nodes back off.
 const USER_WRITE_SHARE: f64 = 0.3;
-/// Part of the cloud's request rate that the leader uses.
+/// Fraction of the cloud's request rate that the leader uses.
 const CLOUD_SHARE: f64 = 0.8;
-/// Least rate of users' writes, a second.
+/// Minimum rate of users' writes, in writes per second.
 const MIN_USER_WRITE_RATE: f64 = 0.5;
 
-/// What this node may request of the store and the cloud.
+/// The token buckets that limit this node's requests to the store and the cloud.
 #[derive(Debug)]
 pub(super) struct RateLimits {
-    /// Reads of the store.
+    /// Limits reads of the store.
     pub requests: TokenBucket,
-    /// Writes for users and operators.
+    /// Limits writes for users and operators.
     pub user_writes: TokenBucket,
-    /// Writes of the leader.
+    /// Limits writes of the leader.
     pub leader_writes: LeaderWrites,
-    /// Requests to the cloud.
+    /// Limits requests to the cloud.
     pub cloud: TokenBucket,
 }
 
 impl RateLimits {
-    /// Limits by the settings of a deployment, which have the lowest limits of the store,
-    /// present or announced. `current` are the present ones.
+    /// Creates the limits from the settings of a deployment, which must have the lower of the
+    /// store's current and announced limits. `current` holds the store's current limits.
     pub fn new(deployment: &Deployment, current: &StoreLimits) -> RateLimits {
         let requests = deployment.store.rps / f64::from(deployment.controllers.max(1));
         let user_writes = deployment.store.write_rps * USER_WRITE_SHARE;
@@ -50,28 +51,31 @@
     }
 }
 
-/// The leader's rate limit of writes, across an announced change of the store's limit.
+/// The rate limit of the leader's writes, across an announced change of the store's limit.
 ///
-/// A write that is too large for a limit that has fallen is refused for good, so sizes keep to
-/// the announced limits from the start. A rate beyond its limit is only slowed down, so the
-/// current rate is used until the store refuses it.
+/// The store refuses a write that exceeds a lowered size limit each time it is retried, so write
+/// sizes respect the announced limits from the start. Writes that exceed the rate limit are only
+/// delayed, so the current rate is used until the store refuses it.
 #[derive(Debug)]
 pub(super) struct LeaderWrites {
     bucket: TokenBucket,
-    /// The rate that has been announced, or the current one if none has.
+    /// The announced rate if it is lower than the current one, else the current rate; in writes
+    /// per second.
     announced_rate: f64,
+    /// The store's current rate, in writes per second.
     current_rate: f64,
-    /// When the current rate is tried again, after the store has refused it.
+    /// When the current rate is to be tried again after the store has refused it; `None` while it
+    /// is in use.
     retry_at: Option<f64>,
 }
 
 impl LeaderWrites {
-    /// Part of the store's write rate that the leader uses. It writes what has changed in few
+    /// Fraction of the store's write rate that the leader uses. The leader writes changes in few
     /// large transactions.
     const RATE_SHARE: f64 = 0.75;
-    /// Part of a second's writes that it may use at once.
+    /// Fraction of one second's writes that the leader may send in a burst.
     const BURST_SHARE: f64 = 0.5;
-    /// How long the announced rate is kept to after a refusal.
+    /// How long the announced rate is used after a refusal.
     const RETRY_AFTER_S: f64 = 30.0;
 
     fn new(announced_rate: f64, current_rate: f64) -> LeaderWrites {
@@ -83,7 +87,7 @@
         TokenBucket::new(rate * LeaderWrites::RATE_SHARE, rate * LeaderWrites::BURST_SHARE)
     }
 
-    /// The bucket to take writes from now.
+    /// Returns the bucket that limits writes at `now`.
     pub fn bucket_at(&mut self, now: f64) -> &mut TokenBucket {
         if self.retry_at.is_some_and(|retry_at| now >= retry_at) {
             self.retry_at = None;
@@ -92,13 +96,14 @@
         &mut self.bucket
     }
 
-    /// The store has refused a write as beyond its rate.
-    pub fn on_refused(&mut self, now: f64) {
+    /// Switches to the announced rate after the store has refused a write because of its rate
+    /// limit.
+    pub fn on_rate_limited(&mut self, now: f64) {
         self.retry_at = Some(now + LeaderWrites::RETRY_AFTER_S);
         self.use_rate(now, self.announced_rate);
     }
 
-    /// Goes on with another rate and an empty bucket.
+    /// Replaces the bucket by an empty one with another rate.
     fn use_rate(&mut self, now: f64, rate: f64) {
         self.bucket = LeaderWrites::bucket_for(rate);
         self.bucket.drain(now);
