--- a/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
@@ -1,60 +1,65 @@
 //! Load balancing of workers' heartbeats over the controllers.
 //!
-//! Most of what a heartbeat costs is the message itself. The leader needs the contents of each
+//! Most of the cost of a heartbeat is the message itself. The leader needs the contents of each
 //! heartbeat but need not receive it from the worker: other controllers receive heartbeats and
-//! relay many at a time. The leader redirects workers to the controllers that have fewest, and
-//! to itself last of all.
+//! relay them in batches. The leader redirects workers to the controllers that have the fewest,
+//! and to itself only if a single other controller can relay.
 
 use gladekeel_wire::settings::Deployment;
 use std::collections::HashMap;
 
-/// Heartbeats a second that a whole core serves, approximately.
+/// Approximate number of heartbeats per second that one core can serve.
 const HEARTBEATS_PER_CORE_PER_S: f64 = 1000.0;
-/// The part of its capacity that a leader spends on receiving heartbeats before it has others
-/// receive them.
+/// Part of its capacity that a leader may spend on receiving heartbeats. Beyond it, the leader
+/// redirects workers to other controllers.
 const MAX_LEADER_LOAD: f64 = 0.5;
-/// The leader's share of the workers if there is a single other controller.
-const LEADER_SHARE_OF_TWO: f64 = 0.3;
-/// A worker that was redirected stays for this long: it may have come back because it could
-/// not reach the other controller.
-const MIN_STAY_S: f64 = 45.0;
-/// A controller is overloaded beyond this many times its share of the workers...
+/// The leader's share of the workers if only one other controller can relay heartbeats.
+const LEADER_SHARE_WITH_ONE_PEER: f64 = 0.3;
+/// Minimum time between two redirections of a worker: a worker that returns earlier may have been
+/// unable to reach the other controller.
+const MIN_REDIRECT_INTERVAL_S: f64 = 45.0;
+/// A controller is overloaded if it has more than this multiple of its share of the workers, plus
+/// [`OVERLOAD_ALLOWANCE`].
 const OVERLOAD_FACTOR: f64 = 1.25;
-/// ...and this many more.
+/// Number of workers that a controller may have above [`OVERLOAD_FACTOR`] times its share.
 const OVERLOAD_ALLOWANCE: f64 = 8.0;
-/// A worker without a heartbeat for this many intervals is no longer counted.
+/// A worker that has sent no heartbeat for this many intervals is no longer counted.
 const EXPIRE_AFTER_HEARTBEATS: f64 = 5.0;
 
 /// The controller that receives a worker's heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatReceiver {
-    /// This node, which leads.
+    /// The leader, which is this node.
     Leader,
-    /// Another node, by its index among the peers.
+    /// Another controller, by its index among the peers.
     Peer(usize),
 }
 
+/// A worker that sends heartbeats to one of the controllers.
 #[derive(Debug)]
 struct ReportingWorker {
     receiver: HeartbeatReceiver,
     last_heartbeat_at: f64,
+    /// When the worker was last redirected; negative infinity if it never was.
     redirected_at: f64,
 }
 
-/// Counts workers by receiver and decides which of them are redirected.
+/// Counts workers by receiver and decides which workers are redirected.
 #[derive(Debug)]
 pub struct HeartbeatBalancer {
+    /// The counted workers by machine name.
     workers: HashMap<String, ReportingWorker>,
-    /// Workers of each peer, and last of the leader.
+    /// The number of workers of each peer, followed by that of the leader.
     workers_per_receiver: Vec<usize>,
-    /// Workers whose heartbeats the leader can receive itself.
+    /// The number of workers whose heartbeats the leader can receive without redirecting any.
     max_leader_workers: f64,
     expire_after_s: f64,
     last_expiry_at: f64,
 }
 
 impl HeartbeatBalancer {
-    /// A balancer for a leader with this many peers that has not seen any worker.
+    /// Creates a balancer without workers, for a deployment in which the leader has this many
+    /// peers.
     pub fn new(deployment: &Deployment, peers: usize) -> HeartbeatBalancer {
         let interval_s = deployment.workers.heartbeat_interval_s;
         let capacity = deployment.limits.cpu_share * HEARTBEATS_PER_CORE_PER_S;
@@ -67,8 +72,8 @@
         }
     }
 
-    /// Records a heartbeat that arrived at `receiver`, and returns the receiver to which the
-    /// worker should be redirected, if any. `usable` says of each peer whether it can relay
+    /// Records a heartbeat that `receiver` has received, and returns the receiver to which the
+    /// worker should be redirected, if any. `usable` states for each peer whether it can relay
     /// heartbeats.
     pub fn rebalance(
         &mut self,
@@ -79,7 +84,7 @@
     ) -> Option<HeartbeatReceiver> {
         self.expire_silent(now);
         self.record(now, machine, receiver);
-        if now - self.workers[machine].redirected_at < MIN_STAY_S {
+        if now - self.workers[machine].redirected_at < MIN_REDIRECT_INTERVAL_S {
             return None;
         }
         let target = self.underloaded_receiver(receiver, usable)?;
@@ -90,12 +95,12 @@
         Some(target)
     }
 
-    /// How many workers each peer receives heartbeats of, and last the leader.
+    /// The number of workers whose heartbeats each peer receives, followed by that of the leader.
     pub fn workers_per_receiver(&self) -> &[usize] {
         &self.workers_per_receiver
     }
 
-    /// The receiver that lacks most of its share, if this one is overloaded.
+    /// The receiver with the largest relative deficit to its share, if `receiver` is overloaded.
     fn underloaded_receiver(
         &self,
         receiver: HeartbeatReceiver,
@@ -112,15 +117,15 @@
         if current(own_index) <= targets[own_index] * OVERLOAD_FACTOR + OVERLOAD_ALLOWANCE {
             return None;
         }
-        let lacking_share = |index: &usize| (targets[*index] - current(*index)) / targets[*index];
+        let deficit = |index: &usize| (targets[*index] - current(*index)) / targets[*index];
         (0..targets.len())
             .filter(|index| *index != own_index)
-            .filter(|index| targets[*index] > 0.0 && lacking_share(index) > 0.0)
-            .max_by(|a, b| lacking_share(a).total_cmp(&lacking_share(b)))
+            .filter(|index| targets[*index] > 0.0 && deficit(index) > 0.0)
+            .max_by(|a, b| deficit(a).total_cmp(&deficit(b)))
             .map(|index| self.receiver_at(index))
     }
 
-    /// The index of a receiver in `workers_per_receiver`.
+    /// Returns the index of a receiver in `workers_per_receiver`.
     fn index_of(&self, receiver: HeartbeatReceiver) -> usize {
         match receiver {
             HeartbeatReceiver::Peer(peer) => peer,
@@ -157,7 +162,7 @@
         self.workers_per_receiver[index] += 1;
     }
 
-    /// Removes workers that have stopped sending heartbeats, to any receiver.
+    /// Removes workers from which no receiver receives heartbeats any more.
     fn expire_silent(&mut self, now: f64) {
         if now - self.last_expiry_at < self.expire_after_s {
             return;
@@ -177,11 +182,11 @@
     }
 }
 
-/// Each peer's share of all workers, and last the leader's. The leader has the scheduling to
-/// do, so it takes a share only if a single other controller is left.
+/// Returns each peer's share of all workers, followed by the leader's. The leader is also busy
+/// with scheduling, so it takes a share only if a single peer is usable.
 fn target_shares(usable: &[bool]) -> Vec<f64> {
     let usable_peers = usable.iter().filter(|usable| **usable).count().max(1);
-    let leader_share = if usable_peers == 1 { LEADER_SHARE_OF_TWO } else { 0.0 };
+    let leader_share = if usable_peers == 1 { LEADER_SHARE_WITH_ONE_PEER } else { 0.0 };
     let peer_share = (1.0 - leader_share) / usable_peers as f64;
     let peer_shares = usable.iter().map(|usable| if *usable { peer_share } else { 0.0 });
     peer_shares.chain([leader_share]).collect()
--- a/crates/gladekeel-controller/src/node/heartbeats/mod.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/mod.rs
@@ -1,8 +1,8 @@
-//! Workers' heartbeats: answered here, relayed to the leader, or redirected to another node.
+//! Workers' heartbeats: this node responds, relays them to the leader or redirects the worker.
 //!
-//! Whoever answers a heartbeat renews the worker's lease, so `docs/safety.md`, "Keeping leases
-//! alive", decides who may: the leader, or another node while its last contact with the store is
-//! recent enough that a cancellation it has not seen ends in time.
+//! A response to a heartbeat renews the worker's lease. `docs/safety.md`, "Keeping leases alive",
+//! therefore states which node may respond: the leader, or another node while its last contact
+//! with the store is so recent that a cancellation it has not seen still takes effect in time.
 
 pub mod balancing;
 mod relays;
@@ -22,14 +22,15 @@
 use relays::{HeartbeatRelays, QueuedRelay};
 use routing::{HeartbeatContext, HeartbeatRoute, HeartbeatRouter, LeaderPeer};
 
-/// A peer whose contact with the store is more recent than this knows who leads.
+/// A peer whose last contact with the store is more recent than this knows who leads, so workers
+/// may be redirected to it.
 const MAX_RELAY_CONTACT_AGE_MS: u32 = 2500;
-/// HTTP status of a response to a worker.
+/// HTTP status of a response to a heartbeat.
 const STATUS_OK: u16 = 200;
 /// HTTP status that redirects a worker to another node.
 const STATUS_MISDIRECTED: u16 = 421;
 
-/// What a node remembers of workers' heartbeats.
+/// The state that a node keeps about workers' heartbeats.
 #[derive(Debug)]
 pub(super) struct WorkerHeartbeats {
     router: HeartbeatRouter,
@@ -38,7 +39,8 @@
 }
 
 impl WorkerHeartbeats {
-    /// No heartbeat has arrived yet, at this node or any of its peers.
+    /// Creates the state of a node before the first heartbeat, in a deployment with this many
+    /// peers.
     pub fn new(deployment: &Deployment, peers: usize) -> WorkerHeartbeats {
         WorkerHeartbeats {
             router: HeartbeatRouter::default(),
@@ -49,7 +51,8 @@
 }
 
 impl Node {
-    /// Handles a worker's heartbeat. The reply may have to wait for the leader's response.
+    /// Handles a worker's heartbeat. If the heartbeat is relayed, the reply waits for the leader's
+    /// response.
     pub(super) fn on_heartbeat(&mut self, now: f64, request: RequestId, body: &[u8]) {
         let heartbeat: Heartbeat = match serde_json::from_slice(body) {
             Ok(heartbeat) => heartbeat,
@@ -89,16 +92,17 @@
         self.heartbeats.router.route(&context, self.leadership.leader_mut(), heartbeat)
     }
 
-    /// The peer with this name, if it is reachable.
+    /// Returns the leader as a peer if it is reachable; `name` is the leader's node name.
     fn reachable_peer(&self, now: f64, name: &str) -> Option<LeaderPeer> {
         let index = self.peers.index_of(name)?;
         let peer = self.peers.get(index);
-        let expects_relays = peer.has_level(HEARTBEAT_RELAY_LEVEL);
+        let expects_relays = peer.supports_level(HEARTBEAT_RELAY_LEVEL);
         peer.is_reachable(now).then_some(LeaderPeer { index, expects_relays })
     }
 
-    /// Where a worker should send its heartbeats instead of to `receiver`, if anywhere. Must
-    /// only be called while this node leads.
+    /// Records a heartbeat that `receiver` has received, and returns a redirection if the worker
+    /// should send its heartbeats to another controller. Must only be called while this node
+    /// leads.
     fn rebalance(
         &mut self,
         now: f64,
@@ -109,7 +113,7 @@
             return None;
         }
         let can_relay = |peer: &Peer| {
-            peer.has_level(HEARTBEAT_RELAY_LEVEL)
+            peer.supports_level(HEARTBEAT_RELAY_LEVEL)
                 && peer.is_reachable(now)
                 && peer.store_contact_age_ms < MAX_RELAY_CONTACT_AGE_MS
         };
@@ -122,7 +126,8 @@
         Some(Redirect { report_to: Some(name.clone()) })
     }
 
-    /// Relays a heartbeat to the leader, together with others that arrive within a moment.
+    /// Queues a heartbeat to be relayed to the leader with the next batch, and sends the batch if
+    /// it is due.
     fn relay_heartbeat(
         &mut self,
         now: f64,
@@ -137,7 +142,7 @@
         self.send_heartbeat_relays(now);
     }
 
-    /// Sends the heartbeats that are to be relayed, if the last batch is long enough ago.
+    /// Sends the next batch of relayed heartbeats, if it is due.
     pub(super) fn send_heartbeat_relays(&mut self, now: f64) {
         for QueuedRelay { peer, call, body } in self.heartbeats.relays.take_batch(now) {
             let message = PeerMessage {
@@ -150,7 +155,8 @@
         }
     }
 
-    /// Replies to workers whose heartbeats the leader has not responded to in time.
+    /// Replies to the workers whose relayed heartbeats have timed out: with the fallback if this
+    /// node may still renew leases, else with an error.
     pub(super) fn expire_heartbeat_relays(&mut self, now: f64) {
         while let Some(relay) = self.heartbeats.relays.take_overdue(now) {
             let reply = match relay.fallback.filter(|_| self.may_renew_leases(now)) {
@@ -161,8 +167,8 @@
         }
     }
 
-    /// Handles a heartbeat that a peer has relayed. Without a response the peer renews the
-    /// worker's lease itself, so this node stays silent unless it leads.
+    /// Handles a heartbeat that a peer has relayed. A peer without a response renews the worker's
+    /// lease itself if it may, so this node responds only if it leads.
     pub(super) fn on_relayed_heartbeat(
         &mut self,
         now: f64,
@@ -178,8 +184,8 @@
             return;
         }
         let response = leader.on_heartbeat(now, &heartbeat, has_fresh_contact);
-        // A response that changes something must reach the worker: its next heartbeat is
-        // expected to show the effect.
+        // A response with a new token or commands must reach the worker: the worker's next
+        // heartbeat is expected to show the effect.
         let has_effect = heartbeat.token != response.token || !response.commands.is_empty();
         let redirect = if has_effect {
             None
@@ -199,7 +205,7 @@
         self.send_to_peer(peer, message);
     }
 
-    /// Passes the leader's response to a relayed heartbeat on to the worker.
+    /// Forwards the leader's response to a relayed heartbeat to the worker.
     pub(super) fn on_relayed_response(&mut self, now: f64, header: &FrameHeader, payload: &[u8]) {
         let call = header.correlation_id.get();
         let Some(relay) = self.heartbeats.relays.finish(call) else { return };
--- a/crates/gladekeel-controller/src/node/heartbeats/relays.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/relays.rs
@@ -1,39 +1,43 @@
-//! Workers' heartbeats on their way to the leader and back.
+//! Workers' heartbeats that this node relays to the leader.
 
 use crate::node::{CallId, RequestId};
 use gladekeel_wire::worker::HeartbeatResponse;
 use std::collections::BTreeMap;
 
-/// Heartbeats that arrive within this time are relayed together: each message that arrives on
-/// its own costs the leader more than its contents do.
+/// Minimum time between batches. Heartbeats received in the meantime are relayed together: a
+/// message on its own costs the leader more than the contents of the heartbeat.
 const BATCH_INTERVAL_S: f64 = 0.05;
-/// How long a relayed heartbeat waits for the leader's response.
+/// How long this node waits for the leader's response to a relayed heartbeat.
 const RELAY_TIMEOUT_S: f64 = 1.5;
 
-/// A heartbeat that was relayed to the leader, whose worker waits for the response.
+/// A relayed heartbeat whose worker waits for a response.
 #[derive(Debug)]
 pub(super) struct Relay {
     /// The worker's request.
     pub request: RequestId,
     received_at: f64,
-    /// A response that renews the worker's lease if the leader does not respond.
+    /// The response that renews the worker's lease if the leader does not respond; `None` if this
+    /// node may not renew the lease.
     pub fallback: Option<HeartbeatResponse>,
 }
 
-/// A heartbeat that is to be sent with the next batch.
+/// A heartbeat that is queued for the next batch.
 #[derive(Debug)]
 pub(super) struct QueuedRelay {
     /// The index of the peer that leads.
     pub peer: usize,
+    /// Identifies the heartbeat in the leader's response.
     pub call: CallId,
-    /// The heartbeat as the worker has sent it.
+    /// The heartbeat as received from the worker.
     pub body: Vec<u8>,
 }
 
-/// Heartbeats that are being relayed.
+/// Heartbeats that are queued to be relayed or have been relayed, until the leader responds or
+/// they time out.
 #[derive(Debug)]
 pub(super) struct HeartbeatRelays {
     awaiting_response: BTreeMap<CallId, Relay>,
+    /// The next batch.
     batch: Vec<QueuedRelay>,
     last_batch_at: f64,
 }
@@ -61,7 +65,7 @@
         self.batch.push(queued);
     }
 
-    /// Takes the next batch, if it is due.
+    /// Takes the next batch; empty if none is due.
     pub fn take_batch(&mut self, now: f64) -> Vec<QueuedRelay> {
         if self.batch.is_empty() || now - self.last_batch_at < BATCH_INTERVAL_S {
             return Vec::new();
@@ -70,12 +74,12 @@
         std::mem::take(&mut self.batch)
     }
 
-    /// Takes the relay that the leader has responded to; `None` if it has timed out.
+    /// Takes the relay that the leader has responded to; `None` if the relay has timed out.
     pub fn finish(&mut self, call: CallId) -> Option<Relay> {
         self.awaiting_response.remove(&call)
     }
 
-    /// Takes the oldest relay, if it has timed out.
+    /// Takes the oldest relay if it has timed out.
     pub fn take_overdue(&mut self, now: f64) -> Option<Relay> {
         let oldest = self.awaiting_response.first_entry()?;
         (now - oldest.get().received_at >= RELAY_TIMEOUT_S).then(|| oldest.remove())
--- a/crates/gladekeel-controller/src/node/heartbeats/routing.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/routing.rs
@@ -1,55 +1,59 @@
-//! Where a heartbeat goes: answered by this node, relayed to the leader, or redirected there.
+//! Routing of heartbeats: this node responds, relays to the leader, or redirects the worker to
+//! the leader.
 
 use crate::{leader::Leader, store_view::StoreView};
 use gladekeel_wire::worker::{Command, Heartbeat, HeartbeatResponse, Redirect, TaskState};
 use std::collections::{HashMap, VecDeque};
 
-/// A worker that comes back within this time after it was redirected to the leader could not
-/// reach it.
+/// A worker that returns within this time after a redirection could not reach the leader, so it
+/// is not redirected again.
 const REDIRECT_AGAIN_AFTER_S: f64 = 12.0;
-/// The same while heartbeats can be relayed, so that nothing is lost by waiting longer.
+/// The same time while heartbeats can be relayed to the leader. It is longer because the leader
+/// receives the heartbeats anyway.
 const REDIRECT_AGAIN_WITH_RELAY_AFTER_S: f64 = 45.0;
 /// How long a redirection is remembered.
 const REDIRECTION_TTL_S: f64 = 10.0 * REDIRECT_AGAIN_AFTER_S;
 
-/// What is done with a heartbeat.
+/// How a node handles a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum HeartbeatRoute {
-    /// 200 with this response.
+    /// Reply with status 200 and this response.
     Respond(HeartbeatResponse),
     /// Relay the heartbeat to the leader.
     Relay {
         /// The index of the peer that leads.
         peer: usize,
-        /// Renews the worker's lease if the leader does not respond; without it this node may
-        /// not renew the lease.
+        /// The response that renews the worker's lease if the leader does not respond; `None` if
+        /// this node may not renew the lease.
         fallback: Option<HeartbeatResponse>,
     },
-    /// 421: the worker should send its heartbeats to another node.
+    /// Reply with status 421: the worker should send its heartbeats to another node.
     Redirect(Redirect),
-    /// 503: this node may neither renew the worker's lease nor say who may.
+    /// Reply with status 503: this node may not renew the worker's lease and does not know a node
+    /// that may.
     NotEntitled,
 }
 
-/// The leader as a peer that is reachable.
+/// The leader, if it is a reachable peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct LeaderPeer {
-    /// Its index among the peers.
+    /// The leader's index among the peers.
     pub index: usize,
-    /// Whether it wants other nodes to keep their workers and relay heartbeats.
+    /// Whether the leader expects other nodes to relay their workers' heartbeats instead of
+    /// redirecting the workers.
     pub expects_relays: bool,
 }
 
-/// The state of the node when a heartbeat arrives.
+/// The state of the node when it receives a heartbeat.
 pub(super) struct HeartbeatContext<'a> {
-    /// The time.
+    /// The current time.
     pub now: f64,
     /// The view of the store.
     pub store: &'a StoreView,
-    /// Another node that leads, and is known to do so now.
+    /// The node that leads, if it is known and is not this node.
     pub other_leader: Option<&'a str>,
-    /// Whether leases may be renewed: the last contact with the store is recent enough for a
-    /// cancellation that this node has not seen to end in time.
+    /// Whether this node may renew leases: its last contact with the store is so recent that a
+    /// cancellation it has not seen still takes effect in time.
     pub may_renew_leases: bool,
     /// Whether the view of the store is fresh.
     pub has_fresh_store_contact: bool,
@@ -57,25 +61,25 @@
     pub leader_peer: Option<LeaderPeer>,
 }
 
-/// A worker's redirection to the leader.
+/// A redirection of a worker to the leader.
 #[derive(Debug, Clone, Copy)]
 struct Redirection {
     redirected_at: f64,
-    /// The leader's token.
+    /// The leader's token at that time.
     token: u64,
 }
 
-/// Routes heartbeats, and remembers which workers were redirected to the leader.
+/// Routes heartbeats and remembers which workers were redirected to the leader.
 #[derive(Debug, Default)]
 pub(super) struct HeartbeatRouter {
     /// The last redirection of each machine.
     redirections: HashMap<String, Redirection>,
-    /// All redirections by time, to expire the oldest ones.
+    /// The times and machines of all redirections, oldest first, for expiry.
     by_time: VecDeque<(f64, String)>,
 }
 
 impl HeartbeatRouter {
-    /// Decides what to do with a heartbeat. `leader` is this node's, if it leads.
+    /// Decides how to handle a heartbeat. `leader` is this node's leader state if it leads.
     pub fn route(
         &mut self,
         context: &HeartbeatContext<'_>,
@@ -94,7 +98,7 @@
         {
             return HeartbeatRoute::Redirect(Redirect { report_to: Some(name.to_owned()) });
         }
-        // The worker cannot reach the leader.
+        // Either no leader is known, or the worker could not reach the leader.
         match (lease_renewal(context, heartbeat), context.leader_peer) {
             (None, _) => HeartbeatRoute::NotEntitled,
             (Some(response), None) => HeartbeatRoute::Respond(response),
@@ -102,7 +106,8 @@
         }
     }
 
-    /// Whether a worker should try to reach the leader, and notes that it will.
+    /// Returns whether a worker should be redirected to the leader, and if so records the
+    /// redirection.
     fn should_redirect(&mut self, context: &HeartbeatContext<'_>, machine: &str) -> bool {
         let (now, token) = (context.now, context.store.highest_token);
         self.expire(now);
@@ -111,22 +116,22 @@
         } else {
             REDIRECT_AGAIN_AFTER_S
         };
-        let was_tried = self
+        let was_redirected = self
             .redirections
             .get(machine)
             .is_some_and(|last| now - last.redirected_at < again_after_s && last.token == token);
-        if !was_tried {
+        if !was_redirected {
             let redirection = Redirection { redirected_at: now, token };
             self.redirections.insert(machine.to_owned(), redirection);
             self.by_time.push_back((now, machine.to_owned()));
         }
-        !was_tried
+        !was_redirected
     }
 
     fn expire(&mut self, now: f64) {
         while self.by_time.front().is_some_and(|(time, _)| now - time >= REDIRECTION_TTL_S) {
             let Some((time, machine)) = self.by_time.pop_front() else { return };
-            // The machine may have been redirected once more since.
+            // The machine may have been redirected again since then.
             if self.redirections.get(&machine).is_some_and(|last| last.redirected_at <= time) {
                 self.redirections.remove(&machine);
             }
@@ -147,8 +152,9 @@
     HeartbeatRoute::Respond(leader.on_heartbeat(context.now, heartbeat, has_fresh_contact))
 }
 
-/// The response of a node that does not lead and cannot ask the leader, if it is entitled to
-/// one: it keeps the worker's tasks alive, except those that were cancelled.
+/// The response that renews a worker's lease without the leader; `None` if this node may not
+/// renew the lease. The response keeps the worker's tasks running, except those of cancelled
+/// jobs.
 fn lease_renewal(
     context: &HeartbeatContext<'_>,
     heartbeat: &Heartbeat,
--- a/crates/gladekeel-controller/src/node/peers/heartbeats.rs
+++ b/crates/gladekeel-controller/src/node/peers/heartbeats.rs
@@ -9,7 +9,7 @@
 const HEARTBEAT_INTERVAL_S: f64 = 1.0;
 
 impl Node {
-    /// Sends a heartbeat to all peers, if it is due.
+    /// Sends a heartbeat to all peers if one is due.
     pub(in crate::node) fn send_peer_heartbeats(&mut self, now: f64) {
         if now - self.peers.last_heartbeat_at < HEARTBEAT_INTERVAL_S {
             return;
@@ -25,12 +25,12 @@
             leader_token: leader_token.into(),
         };
         for peer in 0..self.peers.peers.len() {
-            // Versions without a protocol level get no incarnation either.
-            let has_level = self.peers.get(peer).has_level(1);
+            // Versions without a protocol level receive no incarnation either.
+            let sends_incarnation = self.peers.get(peer).supports_level(1);
             let message = PeerMessage {
                 kind: FrameKind::PeerHeartbeat,
                 status: PROTOCOL_LEVEL,
-                correlation_id: if has_level { self.leadership.incarnation() } else { 0 },
+                correlation_id: if sends_incarnation { self.leadership.incarnation() } else { 0 },
                 payload: heartbeat.as_bytes(),
             };
             self.send_to_peer(peer, message);
@@ -38,6 +38,7 @@
         self.expire_pending_cancellations(now);
     }
 
+    /// Records a peer's heartbeat. This node steps down if the peer leads under a higher token.
     pub(super) fn on_peer_heartbeat(
         &mut self,
         now: f64,
--- a/crates/gladekeel-controller/src/node/peers/job_progress.rs
+++ b/crates/gladekeel-controller/src/node/peers/job_progress.rs
@@ -1,4 +1,4 @@
-//! Progress of jobs, which the leader publishes so that every node can show it to users.
+//! Job progress, which the leader publishes so that every node can show it to users.
 
 use super::PeerMessage;
 use crate::{node::Node, store_view::JobProgress};
@@ -11,7 +11,8 @@
 const PROGRESS_INTERVAL_S: f64 = 1.0;
 
 impl Node {
-    /// Sends the progress of jobs to all peers, for display. Only a leader knows it.
+    /// Sends job progress to all peers for display, if this node leads and it is due: all progress
+    /// if a peer has restarted, else the changes. Only the leader knows the progress of jobs.
     pub(in crate::node) fn publish_job_progress(&mut self, now: f64) {
         if now - self.peers.last_progress_at < PROGRESS_INTERVAL_S {
             return;
@@ -39,6 +40,7 @@
         }
     }
 
+    /// Applies job progress from a peer, if the leader key names this peer.
     pub(super) fn on_job_progress(&mut self, sender: usize, payload: &[u8]) {
         let sender = &self.peers.get(sender).name;
         let view = &mut self.store.view;
@@ -47,7 +49,7 @@
         }
         let entries = mesh::decode_job_progress(payload).unwrap_or_default();
         for JobProgressEntry { id, done, running } in entries {
-            // The leader publishes again the progress of jobs that are not in this view yet.
+            // The leader will publish the progress of jobs that are not in this view yet again.
             if view.jobs.contains_key(&id) {
                 view.job_progress.insert(id, JobProgress { done, running });
             }
--- a/crates/gladekeel-controller/src/node/peers/mod.rs
+++ b/crates/gladekeel-controller/src/node/peers/mod.rs
@@ -1,8 +1,8 @@
-//! The other controllers: what is known of them, and the frames that are exchanged with them.
+//! The other controllers: their state as known to this node, and the frames that nodes exchange.
 //!
-//! Peers tell one another about once a second how they are, and pass on what should not wait for
-//! the next read of the store. Everything here is a hint that makes reactions faster; no rule of
-//! `docs/safety.md` depends on that a frame arrives.
+//! Each controller sends its peers a heartbeat about once a second, and forwards what should not
+//! wait for the next read of the store. All frames are hints that make reactions faster; no rule
+//! of `docs/safety.md` depends on the delivery of a frame.
 
 mod cancellations;
 mod heartbeats;
@@ -15,47 +15,49 @@
 };
 use zerocopy::IntoBytes;
 
-/// A peer is reachable for this long after its last heartbeat.
+/// A peer counts as reachable for this long after its last heartbeat was received.
 const REACHABLE_AFTER_HEARTBEAT_S: f64 = 3.0;
-/// The age of a contact with the store that never happened.
+/// The value of `store_contact_age_ms` that means that there was no contact with the store.
 const NO_STORE_CONTACT_MS: u32 = u32::MAX;
 
-/// What this node knows of another controller.
+/// The state of another controller, as known to this node.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peer {
+    /// The controller's node name, from the settings.
     pub name: String,
-    /// The zone of the controller, from the settings.
+    /// The controller's zone, from the settings.
     pub zone: String,
-    /// When its last heartbeat arrived.
+    /// When the last heartbeat was received; `None` if there was none.
     pub last_seen: Option<f64>,
-    /// Age of its last contact with the store at its last heartbeat.
+    /// Age of the peer's last contact with the store when it sent its last heartbeat, in
+    /// milliseconds.
     pub store_contact_age_ms: u32,
-    /// The token under which it leads, or 0.
+    /// The token under which the peer leads; 0 if it does not lead.
     leader_token: u64,
-    /// What its version understands; see [`PROTOCOL_LEVEL`].
+    /// The protocol level that the peer's version supports; see [`PROTOCOL_LEVEL`].
     protocol_level: u16,
-    /// The number that its process drew at its start, or 0 from versions without it.
+    /// The incarnation that the peer's process drew at its start; 0 from versions that send none.
     incarnation: u64,
 }
 
 impl Peer {
-    /// Whether its last heartbeat arrived less than `age_s` ago.
+    /// Whether the last heartbeat was received less than `age_s` ago.
     pub fn was_seen_within(&self, now: f64, age_s: f64) -> bool {
         self.last_seen.is_some_and(|last_seen| now - last_seen < age_s)
     }
 
-    /// Whether it is reachable, as far as heartbeats show.
+    /// Whether the peer is reachable, judged by its last heartbeat.
     pub fn is_reachable(&self, now: f64) -> bool {
         self.was_seen_within(now, REACHABLE_AFTER_HEARTBEAT_S)
     }
 
-    /// Whether its version understands what was introduced with a protocol level.
-    pub fn has_level(&self, level: u16) -> bool {
+    /// Whether the peer's version supports the features of a protocol level.
+    pub fn supports_level(&self, level: u16) -> bool {
         self.protocol_level >= level
     }
 
-    /// Age of its last contact with the store at its last heartbeat, in seconds; `None` if
-    /// there was no contact or no heartbeat.
+    /// Age of the peer's last contact with the store when it sent its last heartbeat, in seconds;
+    /// `None` if there was no contact or no heartbeat.
     pub fn store_contact_age_s(&self) -> Option<f64> {
         let has_contact =
             self.store_contact_age_ms != NO_STORE_CONTACT_MS && self.last_seen.is_some();
@@ -63,22 +65,25 @@
     }
 }
 
-/// All other controllers of the deployment. Peers are numbered as in the settings.
+/// All other controllers of the deployment. Peers have the same indexes as in the settings.
 #[derive(Debug)]
 pub(super) struct Peers {
     peers: Vec<Peer>,
-    /// The names of all nodes, sorted: frames name their sender by its index here.
+    /// The sorted names of all nodes, including this one. A frame identifies its sender by the
+    /// index in this list.
     node_names: Vec<String>,
     /// This node's index in `node_names`.
     node_index: u32,
+    /// When heartbeats were last sent to the peers.
     last_heartbeat_at: f64,
+    /// When job progress was last published.
     last_progress_at: f64,
-    /// A peer has restarted since progress was last published.
+    /// Whether a peer has restarted since job progress was last published.
     has_restarted_peer: bool,
 }
 
 impl Peers {
-    /// The peers of the settings, none of which has been seen yet.
+    /// Creates the peers from the settings. No heartbeat has been received from any of them.
     pub fn new(settings: &Settings) -> Peers {
         let peers = settings.peers.iter().map(|peer| Peer {
             name: peer.node.clone(),
@@ -110,7 +115,7 @@
         self.peers.iter()
     }
 
-    /// A peer by its index.
+    /// The peer with this index.
     pub fn get(&self, peer: usize) -> &Peer {
         &self.peers[peer]
     }
@@ -120,12 +125,13 @@
         self.peers.iter().position(|peer| peer.name == name)
     }
 
-    /// The index of the peer that sent a frame; `None` if the sender is no peer.
+    /// The index of the peer that sent a frame; `None` if the sender is not a peer.
     fn sender_of(&self, header: &FrameHeader) -> Option<usize> {
         self.index_of(self.node_names.get(header.sender.get() as usize)?)
     }
 
-    /// The reachable peer that leads under the highest token above this one, if any does.
+    /// The name of the reachable peer that leads under the highest token; `None` if no reachable
+    /// peer leads under a token above `token`.
     fn leader_above(&self, now: f64, token: u64) -> Option<&str> {
         let leaders = self
             .peers
@@ -150,8 +156,8 @@
     ) {
         let peer = &mut self.peers[peer];
         let incarnation = header.correlation_id.get();
-        // A new process knows no progress, and would show a running job as queued until the
-        // job's next change.
+        // A new process has no job progress: it would show a running job as queued until the
+        // job's progress changes next.
         self.has_restarted_peer |= peer.incarnation != incarnation;
         peer.last_seen = Some(now);
         peer.store_contact_age_ms = heartbeat.store_contact_age_ms.get();
@@ -161,27 +167,29 @@
     }
 }
 
-/// A message to a peer, before it is framed.
+/// A message to a peer, without the frame header.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PeerMessage<'a> {
     pub kind: FrameKind,
-    /// The status of a response, or the protocol level of a heartbeat.
+    /// The HTTP status of a relayed response, or the protocol level in a peer's heartbeat; else 0.
     pub status: u16,
-    /// Pairs a response with its request, or names the incarnation in a heartbeat.
+    /// The id that pairs a relayed response with its heartbeat, or the sender's incarnation in a
+    /// peer's heartbeat; else 0.
     pub correlation_id: u64,
     pub payload: &'a [u8],
 }
 
 impl<'a> PeerMessage<'a> {
-    /// A message that needs no response.
+    /// Creates a message without a response.
     pub fn one_way(kind: FrameKind, payload: &'a [u8]) -> PeerMessage<'a> {
         PeerMessage { kind, status: 0, correlation_id: 0, payload }
     }
 }
 
 impl Node {
-    /// Another node that leads: as the store shows, or, while it is out of reach, as the peers
-    /// report.
+    /// The name of the other node that leads, if one is known: the reachable peer that reports
+    /// leading under a token above the view's, else the node that the leader key names while the
+    /// view of the store is fresh.
     pub(super) fn other_leader(&self, now: f64) -> Option<&str> {
         let view = &self.store.view;
         let reported = self.peers.leader_above(now, view.highest_token);
@@ -207,7 +215,8 @@
         }
     }
 
-    /// Tells the leader, if that is another node, that it should read the store soon.
+    /// Notifies the leader, if another node leads, that the store has changed and should be read
+    /// soon.
     pub(super) fn notify_leader_of_store_change(&mut self) {
         let leader = self.store.view.leader.as_ref();
         if let Some(peer) = leader.and_then(|(record, _)| self.peers.index_of(&record.node)) {
@@ -215,7 +224,7 @@
         }
     }
 
-    /// Applies a frame that another controller has sent.
+    /// Handles a frame received from another controller. A frame from an unknown sender is dropped.
     pub(super) fn on_peer_frame(
         &mut self,
         now: f64,
