--- a/crates/gladekeel-controller/src/node/leadership/mod.rs
+++ b/crates/gladekeel-controller/src/node/leadership/mod.rs
@@ -94,7 +94,7 @@
         self.acquisition_count
     }
 
-    /// The number that this process drew at its start.
+    /// The incarnation number that this process drew at random when it started.
     pub fn incarnation(&self) -> u64 {
         self.record.incarnation
     }
--- a/crates/gladekeel-controller/src/node/user_requests/queue.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/queue.rs
@@ -55,7 +55,7 @@
     Reject {
         /// The HTTP status.
         status: u16,
-        /// The reason.
+        /// The error message of the reply.
         message: String,
     },
     /// Cancel the job unless its state is final.
