--- a/crates/gladekeel-controller/src/node/user_requests/queue.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/queue.rs
@@ -1,4 +1,4 @@
-//! Queues of users' requests to which the node has not replied yet.
+//! Queues of users' requests to which the node has not replied yet, in order of arrival.
 //!
 //! A request waits for a read of the store, or for the transaction that writes its change.
 
