--- a/crates/gladekeel-testkit/src/invariants/invariant.rs
+++ b/crates/gladekeel-testkit/src/invariants/invariant.rs
@@ -44,7 +44,7 @@
 }
 
 impl Invariant {
-    /// The name in `expect broken NAME` of a scenario and in reports.
+    /// The name in `expect violated NAME` of a scenario and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::SingleExecution => "ran_twice",
--- a/crates/gladekeel-testkit/src/invariants/mod.rs
+++ b/crates/gladekeel-testkit/src/invariants/mod.rs
@@ -52,7 +52,7 @@
     /// Starts so far.
     pub starts: u64,
     /// Starts that a machine refused for lack of free resources.
-    pub starts_without_room: u64,
+    pub starts_refused: u64,
     /// Violations in the order in which they were found.
     pub violations: Vec<Violation>,
     specs: BTreeMap<JobId, JobSpec>,
@@ -84,7 +84,7 @@
             run_time_step_s: BTreeMap::new(),
             faults_cleared_at: 0.0,
             starts: 0,
-            starts_without_room: 0,
+            starts_refused: 0,
             violations: Vec::new(),
             specs: BTreeMap::new(),
             observed_jobs: BTreeMap::new(),
@@ -185,7 +185,7 @@
     }
 
     /// When a job's first task began, or all tasks of a gang.
-    pub fn began_at(&self, job: &JobId) -> Option<f64> {
+    pub fn started_at(&self, job: &JobId) -> Option<f64> {
         self.began.get(job).copied()
     }
 
--- a/crates/gladekeel-testkit/src/scenario/error.rs
+++ b/crates/gladekeel-testkit/src/scenario/error.rs
@@ -67,7 +67,7 @@
         /// What was found instead.
         mismatch: Mismatch,
     },
-    /// An invariant that no `expect broken` line names.
+    /// An invariant that no `expect violated` line names.
     Invariant(Violation),
     /// A request to the store or the cloud that no client may send.
     Protocol(String),
@@ -92,7 +92,7 @@
         match &self.check {
             Check::Expectation { line, mismatch } => write!(f, "line {line}: {mismatch}"),
             Check::Invariant(Violation { invariant, details }) => {
-                write!(f, "rule {invariant} broken: {details}")
+                write!(f, "invariant {invariant} violated: {details}")
             }
             Check::Protocol(error) => write!(f, "protocol: {error}"),
         }
--- a/crates/gladekeel-testkit/src/scenario/expectations.rs
+++ b/crates/gladekeel-testkit/src/scenario/expectations.rs
@@ -12,15 +12,15 @@
 pub(super) fn check(sim: &Simulation, text: &str) -> Result<Option<Mismatch>, LineError> {
     let tokens: Vec<&str> = text.split_whitespace().collect();
     match *tokens.as_slice() {
-        ["broken", invariant] => Ok(check_broken(sim, invariant)),
+        ["violated", invariant] => Ok(check_violated(sim, invariant)),
         [jobs, state] => check_state(sim, jobs, state),
         [quantity, operator, bound] => {
             let value = measure(sim, quantity)?;
             let mismatch = compare(quantity, value, operator, bound)?;
             Ok(mismatch.map(|mismatch| with_cause(sim, quantity, mismatch)))
         }
-        ["cpus", team, operator, bound] => {
-            compare("cpus", sim.invariants.cpus_of_team(team), operator, bound)
+        ["team_cpus", team, operator, bound] => {
+            compare("team_cpus", sim.invariants.cpus_of_team(team), operator, bound)
         }
         [job, quantity, operator, bound] => {
             let value = measure_job(sim, &job_id(job)?, quantity)?;
@@ -51,18 +51,18 @@
     }))
 }
 
-/// `broken INVARIANT`: it was violated.
-fn check_broken(sim: &Simulation, invariant: &str) -> Option<Mismatch> {
+/// `violated INVARIANT`: it was violated.
+fn check_violated(sim: &Simulation, invariant: &str) -> Option<Mismatch> {
     let mut violations = sim.invariants.violations.iter();
     let violated = violations.any(|violation| violation.invariant.name() == invariant);
     (!violated).then(|| Mismatch {
         subject: invariant.to_owned(),
-        found: "not broken".to_owned(),
-        expected: "broken".to_owned(),
+        found: "not violated".to_owned(),
+        expected: "violated".to_owned(),
     })
 }
 
-/// `JOBS done|cancelled|refused|open`, as last observed by their users.
+/// `JOBS done|cancelled|unfinished|not_accepted`, as last observed by their users.
 fn check_state(
     sim: &Simulation,
     jobs: &str,
@@ -71,8 +71,8 @@
     let is_expected: fn(Option<JobState>) -> bool = match expected {
         "done" => |state| state == Some(JobState::Done),
         "cancelled" => |state| state == Some(JobState::Cancelled),
-        "refused" => |state| state.is_none(),
-        "open" => |state| state.is_some_and(|state| !state.is_final()),
+        "not_accepted" => |state| state.is_none(),
+        "unfinished" => |state| state.is_some_and(|state| !state.is_final()),
         other => return Err(LineError::unexpected("the state of a job", other)),
     };
     for name in names(jobs) {
@@ -87,29 +87,29 @@
 
 /// A quantity of the whole simulation.
 fn measure(sim: &Simulation, quantity: &str) -> Result<f64, LineError> {
-    let counter = |count: fn(LeaderCounters) -> u64| sim.leader_counts().map_or(0, count) as f64;
+    let counter = |count: fn(LeaderCounters) -> u64| sim.leader_counters().map_or(0, count) as f64;
     Ok(match quantity {
-        "starts" => sim.invariants.starts as f64,
-        "starts_without_room" => sim.invariants.starts_without_room as f64,
-        "confirmed" => sim.invariants.cancelled_jobs() as f64,
-        "cancelled_running" => sim.invariants.cancelled_tasks_on_machines() as f64,
-        "answers_lost" => sim.message_faults.responses_lost as f64,
-        "commands_late" => sim.message_faults.commands_delayed as f64,
+        "task_starts" => sim.invariants.starts as f64,
+        "starts_refused" => sim.invariants.starts_refused as f64,
+        "cancellations_confirmed" => sim.invariants.cancelled_jobs() as f64,
+        "cancelled_tasks_on_machines" => sim.invariants.cancelled_tasks_on_machines() as f64,
+        "commit_responses_dropped" => sim.message_faults.commit_responses_dropped as f64,
+        "commands_delayed" => sim.message_faults.commands_delayed as f64,
         "commands_refused" => sim.message_faults.commands_refused as f64,
-        "reports_released" => sim.message_faults.heartbeats_released as f64,
-        "close_looks" => sim.read_your_writes.queries as f64,
-        "given_up" => sim.abandoned_submissions as f64,
-        "heard_by_leader" => sim.workers_at_leader() as f64,
+        "heartbeats_replayed" => sim.message_faults.heartbeats_replayed as f64,
+        "read_your_writes_queries" => sim.read_your_writes.queries as f64,
+        "submissions_abandoned" => sim.abandoned_submissions as f64,
+        "workers_at_leader" => sim.workers_at_leader() as f64,
         "leaders" => sim.leaders.len() as f64,
         "machines" => sim.cloud.present().len() as f64,
-        "rented" => sim.cloud.machines.len() as f64,
-        "written" => sim.store.committed_writes as f64,
-        "bytes" => sim.store.committed_bytes as f64,
-        "busy" => sim.store.rate_limited as f64,
-        "too_large" => sim.store.too_large.len() as f64,
-        "segments" => sim.log_segments() as f64,
-        "age" => sim.oldest_job_s().unwrap_or(0.0),
-        "looked" => counter(|counters| counters.machines_examined),
+        "machines_rented" => sim.cloud.machines.len() as f64,
+        "writes_committed" => sim.store.committed_writes as f64,
+        "bytes_committed" => sim.store.committed_bytes as f64,
+        "requests_rate_limited" => sim.store.rate_limited as f64,
+        "transactions_too_large" => sim.store.too_large.len() as f64,
+        "log_segments" => sim.log_segments() as f64,
+        "oldest_job_s" => sim.oldest_job_s().unwrap_or(0.0),
+        "machines_examined" => counter(|counters| counters.machines_examined),
         "attempt_lookups" => counter(|counters| counters.attempt_lookups),
         "restarts" => counter(|counters| counters.restarts),
         "preemptions" => counter(|counters| counters.preemptions),
@@ -120,11 +120,11 @@
 /// A quantity of one job.
 fn measure_job(sim: &Simulation, job: &JobId, quantity: &str) -> Result<f64, LineError> {
     Ok(match quantity {
-        "began" => sim.invariants.began_at(job).unwrap_or(f64::MAX),
-        "on" => sim.invariants.tasks_on_machines(job) as f64,
+        "started_at" => sim.invariants.started_at(job).unwrap_or(f64::MAX),
+        "tasks_on_machines" => sim.invariants.tasks_on_machines(job) as f64,
         "runs" => f64::from(sim.gangs.record(job).runs),
-        "saves" => f64::from(sim.gangs.record(job).saves),
-        "lost" => sim.gangs.record(job).lost_s,
+        "stop_checkpoints" => f64::from(sim.gangs.record(job).stop_checkpoints),
+        "lost_progress_s" => sim.gangs.record(job).lost_progress_s,
         "attempts" => sim.gangs.record(job).attempts.len() as f64,
         other => return Err(LineError::unexpected("a quantity of a job", other)),
     })
@@ -133,7 +133,7 @@
 /// Adds the first transaction that was too large to what was found.
 fn with_cause(sim: &Simulation, quantity: &str, mismatch: Mismatch) -> Mismatch {
     match sim.store.too_large.first() {
-        Some(first) if quantity == "too_large" => {
+        Some(first) if quantity == "transactions_too_large" => {
             Mismatch { found: format!("{} (first: {first})", mismatch.found), ..mismatch }
         }
         _ => mismatch,
--- a/crates/gladekeel-testkit/src/scenario/job.rs
+++ b/crates/gladekeel-testkit/src/scenario/job.rs
@@ -24,25 +24,25 @@
     match key {
         "tasks" => spec.tasks = number(value)? as u32,
         "cpus" => spec.cpus = number(value)?,
-        "memory" => spec.memory_gb = number(value)?,
-        "run" => spec.estimate_s = number(value)?,
+        "memory_gb" => spec.memory_gb = number(value)?,
+        "run_s" => spec.estimate_s = number(value)?,
         "image_gb" => spec.image_gb = number(value)?,
         "image" => spec.image = value.into(),
         "team" => spec.team = value.into(),
         "class" => spec.class = value.into(),
-        "saves" => {
+        "checkpoint_interval_s" => {
             spec.checkpoint_interval_s = number(value)?;
             spec.checkpoint_write_s = CHECKPOINT_WRITE_S;
         }
         "zone" => spec.zone = Some(value.into()),
-        "type" => spec.machine_types = Some(vec![value.into()]),
-        "one_zone" => spec.single_zone = value == "yes",
-        "scatter" => spec.spread = value == "yes",
+        "machine_type" => spec.machine_types = Some(vec![value.into()]),
+        "single_zone" => spec.single_zone = value == "yes",
+        "spread" => spec.spread = value == "yes",
         "spot" => spec.spot = value == "yes",
         "kind" => spec.kind = job_kind(value)?,
         "priority" => spec.priority = priority(value)?,
         // Not of the job, but of its tasks and submission; see `steps::users`.
-        "apart" | "every" | "cancelled" => {}
+        "run_step_s" | "interval_s" | "cancelled_share" => {}
         other => return Err(LineError::unexpected("a property of a job", other)),
     }
     Ok(())
--- a/crates/gladekeel-testkit/src/scenario/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/mod.rs
@@ -1,86 +1,127 @@
-//! Scenarios: files that describe a simulation, what happens in it and what must come of it.
+//! Scenario files: each describes a simulation, the events in it and the state that it must reach.
 //!
 //! ```text
 //! # Comment.
-//! world zones=a,b ordinary=4 spot=2 boot=20 lag=4 late_copies=0.01
-//! at 5 submit job-1 tasks=8 cpus=8 run=20
+//! world zones=a,b on_demand=4 spot=2 boot_s=20 list_lag_s=4 duplicated_request_share=0.01
+//! at 5 submit job-1 tasks=8 cpus=8 run_s=20
 //! at 30 crash leader for 5
 //! until 200
 //! expect job-1 done
 //! ```
 //!
-//! A world with `seeds=1..4` is run once with each seed. A fault with several parts takes
-//! several lines: a node that loses the store and the other nodes is cut twice.
+//! A scenario whose `world` line has `seeds=1..4` is run once with each of these seeds. A fault
+//! with several parts takes several lines: to partition a node from both the store and the other
+//! nodes, write two `partition` lines.
 //!
-//! Every scenario also expects that no invariant is violated, unless it says
-//! `expect broken INVARIANT` with a name of [`Invariant`](crate::invariants::Invariant).
+//! Every scenario also expects that no invariant is violated, except those that it names in
+//! `expect violated INVARIANT`. The name is that of [`Invariant::name`].
 //!
 //! # Lines
 //!
 //! | line | meaning |
 //! | --- | --- |
-//! | `world KEY=VALUE ...` | Builds the simulation; the first line. |
-//! | `at SECONDS STEP` | Schedules a step. |
+//! | `world KEY=VALUE ...` | Builds the simulation; must be the first line. |
+//! | `at SECONDS STEP` | Schedules a step at this time. |
 //! | `until SECONDS` | Runs the simulation up to this time. |
-//! | `expect EXPECTATION` | Checks the state that the simulation has by then. |
+//! | `expect EXPECTATION` | Checks the state that the simulation has reached. |
 //!
 //! # Keys of `world`
 //!
-//! | key | meaning, and the default |
+//! A key that ends in `_s` is a duration in seconds.
+//!
+//! | key | meaning and default |
 //! | --- | --- |
 //! | `nodes` | Number of nodes; 3. |
 //! | `zones` | Names of the zones; `a,b`. |
-//! | `ordinary`, `spot` | Machines of the cloud in each zone; 4 and 0. |
-//! | `types` | Number of machine types, of which one has machines; 1. |
-//! | `boot`, `lag` | Seconds that a machine boots, and by which the cloud's list is behind; 20, 4. |
-//! | `teams` | Factor of the teams' shares and limits; 1. |
-//! | `report` | Seconds between heartbeats of a worker. |
-//! | `gang_wait`, `gang_peer` | Times of [`GangTimes`]. |
-//! | `value_kb`, `write_rps`, `txn_ops` | Limits of the store. |
-//! | `next` | Limits that the store has announced, like `value_kb:2,txn_ops:4`. |
-//! | `seed`, `seeds` | Seed of the random numbers, or a range of them; 1. |
-//! | `step` | Seconds between steps of a worker. |
-//! | `late_copies` | Share of the requests to store and cloud that arrive again, later. |
-//! | `late_reports` | Share of the heartbeats that arrive again, later, at any node. |
-//! | `start_twice`, `gang_alone` | Seeded faults that an invariant must detect. |
+//! | `on_demand`, `spot` | Machines of each kind that the cloud has in each zone; 4 and 0. |
+//! | `machine_types` | Number of machine types, of which only one is available; 1. |
+//! | `boot_s` | How long a machine boots; 20. |
+//! | `list_lag_s` | How far the cloud's list of machines lags behind; 4. |
+//! | `team_quota_factor` | Factor by which the teams' guaranteed CPUs and limits are multiplied; 1. |
+//! | `heartbeat_interval_s` | Time between heartbeats of a worker; as in the example settings. |
+//! | `worker_step_s` | Time between steps of a simulated worker; 0.1. |
+//! | `gang_wait_s`, `gang_peer_s` | The fields of [`GangTimes`]; 30 and 4. |
+//! | `value_kb`, `write_rps`, `txn_ops` | Limits of the store; as in the example settings. |
+//! | `announced_limits` | Lower limits that the store has announced, like `value_kb:2,txn_ops:4`; none. |
+//! | `seed`, `seeds` | Seed of the random numbers, or a range of seeds; 1. |
+//! | `duplicated_request_share` | Share of the requests to store and cloud that arrive a second time, later; 0. |
+//! | `duplicated_heartbeat_share` | Share of the heartbeats that arrive a second time, later, at any node; 0. |
+//! | `start_tasks_twice`, `run_partial_gangs` | Seeded faults that an invariant must detect; off. |
 //!
 //! # Steps
 //!
-//! `WHO` is `leader`, `others`, `all` or the index of a node; `JOBS` is a name or a range like
-//! `job-1..3`; `for S` is the duration in seconds.
+//! In the table below:
+//!
+//! - `WHO` is `leader`, `followers`, `all` or the index of a node. `followers` are all nodes but
+//!   the leader.
+//! - `JOBS` is the name of a job, or a range like `job-1..3`.
+//! - `MACHINES` is a number of machines, those with tasks first; or `JOBS`, for all machines that
+//!   host a task of these jobs; or `zone:NAME`, for all machines of a zone.
+//! - `host_of:JOB` is one machine that hosts a task of the job, and `zone_of:JOB` is all machines
+//!   in the zone of such a machine.
+//! - `SHARE` is the share of the messages or jobs that are affected, from 0 to 1.
+//! - `for S` is the duration in seconds.
 //!
 //! | step | meaning |
 //! | --- | --- |
-//! | `submit JOBS KEY=VALUE ...` | Users submit jobs: `tasks`, `cpus`, `memory`, `run`, `image`, `image_gb`, `team`, `class`, `saves`, `zone`, `type`, `one_zone`, `scatter`, `kind`, `spot`, `priority`; `apart`: each task runs so much longer than the one before; `every`: seconds between jobs, of which a share is `cancelled`. |
-//! | `again JOBS` | Users submit known jobs once more. |
+//! | `submit JOBS KEY=VALUE ...` | Users submit jobs; see below for the keys. |
+//! | `resubmit JOBS` | Users submit jobs a second time. |
 //! | `poll JOBS times=N` | Users query jobs. |
-//! | `cancel JOBS through=WHO` | Users cancel jobs. |
-//! | `cancel_now COUNT hang=S through=WHO` | Users cancel the jobs that run longest, all at once; some of their machines hang. |
-//! | `cancel_at_end SHARE for S` | Users cancel this share of the jobs the moment they end. |
-//! | `close_looks for S` | Read-your-writes probe: users query all nodes as soon as they learn something new. |
-//! | `odd for S` | Users send malformed and repeated requests. |
-//! | `http METHOD PATH BODY = STATUS` | The leader must answer a request with this status. |
-//! | `ask WHO METHOD PATH = STATUS` | The same for a node. |
-//! | `junk` | Every node gets bytes that are no request. |
-//! | `crash WHO for S`, `crash leader commits=N for S` | A node crashes and starts again; with `commits`, right after the leader's Nth transaction. |
-//! | `freeze WHO for S` | A node's process is paused while its clock runs on. |
-//! | `cut WHO from all\|workers\|state\|cloud\|mesh\|users for S hold` | A node is partitioned; with `hold` messages arrive afterwards. |
-//! | `cut zone A from B for S hold` | Two zones are partitioned. |
-//! | `links slow FACTOR for S` | All messages are slow. |
-//! | `state down\|mute\|spoils for S` | The store refuses all requests, executes them without an answer, or its assignment log cannot be read. |
-//! | `state slow FACTOR for S`, `state refuses WHO for S` | The store is slow, or refuses some nodes. |
-//! | `state forgets`, `state limits KEY=N ...` | The store compacts its history, or lowers its limits. |
-//! | `cloud down for S`, `cloud duds COUNT`, `cloud empty` | The cloud is out; the next machines never boot; it has no free machine. |
-//! | `take COUNT notice=S`, `take done\|zone\|holder JOB` | The cloud takes machines back: some, all but one of a gang as it completes, all of a job's zone, or one that holds a task. |
-//! | `drain holder JOB` | A machine that holds a task is drained. |
-//! | `reboot COUNT`, `reboot holder JOB` | Machines restart within an instant. |
-//! | `hang WHICH for S`, `hang zone\|holder JOB for S` | Machines hang. `WHICH` is a number, `JOBS` or `zone:NAME`. |
-//! | `sick WHICH for S`, `slow WHICH for S` | Machines fail all tasks, or are slow. |
-//! | `deaf WHICH for S`, `mute WHICH for S` | Machines have an inbound, or an outbound partition. |
-//! | `late_writes SHARE for S` | Transactions get no answer and are executed later. |
-//! | `lost_answers SHARE for S` | Transactions are committed and their answers lost. |
-//! | `late_commands SHARE for S` | Direct commands get no answer and are executed later. |
-//! | `reports_for_next_leader SHARE for S` | Copies of heartbeats reach every node when the next leader begins. |
+//! | `cancel JOBS via=WHO` | Users cancel jobs, through any node without `via`. |
+//! | `cancel_longest_remaining COUNT hang_s=S via=WHO` | Users cancel the running jobs that would end last, all at once; with `hang_s`, some of their machines hang. |
+//! | `cancel_at_completion SHARE for S` | Users cancel this share of the jobs the moment they complete. |
+//! | `probe_read_your_writes for S` | Users query all nodes as soon as a response reports a new state. |
+//! | `send_malformed_requests for S` | Users send malformed and repeated requests. |
+//! | `send_invalid_bytes` | Users send bytes that are not a valid request to every node. |
+//! | `http METHOD PATH BODY = STATUS` | The leader must respond to a request with this status. |
+//! | `http_to WHO METHOD PATH = STATUS` | The same for these nodes. |
+//! | `crash WHO for S` | Nodes crash and start again. |
+//! | `crash leader after_commits=N for S` | The leader crashes right after its Nth transaction from now on is committed. |
+//! | `pause WHO for S` | The processes of nodes are paused while their clocks run on. |
+//! | `partition WHO from all\|workers\|store\|cloud\|peers\|users for S buffered` | Nodes are partitioned; with `buffered`, the messages arrive when the partition ends, otherwise they are lost. |
+//! | `partition zone:A from zone:B for S buffered` | Two zones are partitioned. |
+//! | `slow network FACTOR for S` | All messages take longer. |
+//! | `slow store FACTOR for S` | Requests to the store take longer. |
+//! | `outage store for S` | The store refuses all requests. |
+//! | `outage cloud for S` | The cloud refuses all requests. |
+//! | `drop_responses store for S` | The store executes requests, and its responses are lost. |
+//! | `deny_store WHO for S` | The store refuses the requests of these nodes. |
+//! | `corrupt assignment_log for S` | The assignment log in the store cannot be read. |
+//! | `compact store` | The store compacts its history. |
+//! | `lower_limits store KEY=N ...` | The store lowers its limits: `value_kb`, `txn_ops`, `write_rps`, `rps`. |
+//! | `fail_next_boots COUNT` | The next machines that are rented never boot. |
+//! | `exhaust cloud` | The cloud has no free machine from now on. |
+//! | `reclaim COUNT notice_s=S`, `reclaim host_of:JOB notice_s=S` | The cloud reclaims machines. |
+//! | `reclaim zone_of:JOB` | The cloud reclaims all machines of a zone, which has no free machine from then on. |
+//! | `reclaim_at_completion JOB` | The cloud reclaims all machines of a gang but one as the gang completes. |
+//! | `drain host_of:JOB` | A machine is drained. |
+//! | `reboot COUNT`, `reboot host_of:JOB` | Machines reboot within an instant. |
+//! | `hang MACHINES for S`, `hang zone_of:JOB for S`, `hang host_of:JOB for S` | Machines hang. With `zone_of`, the zone has no free machine from then on. |
+//! | `fail_tasks MACHINES for S` | Every task that runs on these machines fails. |
+//! | `slow MACHINES for S` | Tasks take longer on these machines. |
+//! | `partition_inbound MACHINES for S` | Machines receive nothing; what they send arrives. |
+//! | `partition_outbound MACHINES for S` | Nothing that machines send arrives. |
+//! | `delay_commits SHARE for S` | Transactions get no response and are executed later. |
+//! | `drop_commit_responses SHARE for S` | Transactions are committed, and their responses are lost. |
+//! | `delay_commands SHARE for S` | Direct commands get no response and are executed later. |
+//! | `replay_heartbeats SHARE for S` | Copies of heartbeats reach every node when the next leader begins. |
+//!
+//! # Keys of `submit`
+//!
+//! Keys that are left out have the value of [`example_job`].
+//!
+//! | key | meaning |
+//! | --- | --- |
+//! | `tasks`, `cpus`, `memory_gb` | Number of tasks, and resources of each task. |
+//! | `run_s` | How long a task runs. |
+//! | `run_step_s` | How much longer each task of a job runs than the task before it. |
+//! | `checkpoint_interval_s` | Time between checkpoints. |
+//! | `image`, `image_gb` | The image and its size. |
+//! | `team`, `class`, `priority`, `kind` | `priority` is `low`, `normal`, `high` or `production`; `kind` is `gang` or `service`. |
+//! | `zone`, `machine_type` | The zone or machine type that the job requires. |
+//! | `single_zone`, `spread`, `spot` | `yes` or `no`. |
+//! | `interval_s` | Time between the submissions; without it all jobs are submitted at once. |
+//! | `cancelled_share` | Share of the jobs that users cancel soon after their submission; needs `interval_s`. |
 //!
 //! # Expectations
 //!
@@ -88,21 +129,34 @@
 //!
 //! | expectation | meaning |
 //! | --- | --- |
-//! | `JOBS done\|cancelled\|open\|refused` | The state that users observed last; `refused` means nothing. |
-//! | `JOB began\|on OP N` | When the job began; how many of its tasks are on machines. |
-//! | `JOB runs\|saves\|lost\|attempts OP N` | Of a gang: how often it ran and saved, seconds of lost progress, attempts. |
-//! | `broken INVARIANT` | The invariant was violated, and may be. |
-//! | `cpus TEAM OP N` | CPUs that a team uses. |
-//! | `starts`, `starts_without_room` | Started tasks; starts refused for lack of resources. |
-//! | `confirmed`, `cancelled_running` | Cancelled jobs; their tasks that are still on machines. |
-//! | `leaders`, `heard_by_leader` | Leaderships so far; workers whose heartbeats go to the leader. |
-//! | `machines`, `rented` | Machines now; machines ever rented. |
-//! | `written`, `bytes`, `segments` | Writes and bytes committed; segments of the assignment log. |
-//! | `busy`, `too_large` | Requests that the store refused as beyond a rate, or as too large. |
-//! | `looked`, `attempt_lookups`, `restarts`, `preemptions` | Counters of the leader. |
-//! | `age` | Seconds that the oldest open job is old, as the leader knows it. |
-//! | `given_up`, `close_looks` | Submissions that users gave up; queries of the probe. |
-//! | `answers_lost`, `commands_late`, `commands_refused`, `reports_released` | How many messages met their fault. |
+//! | `JOBS done\|cancelled\|unfinished\|not_accepted` | The state that users last observed; `not_accepted` if they observed none. |
+//! | `JOB started_at OP N` | Time at which the job started. |
+//! | `JOB tasks_on_machines OP N` | Tasks of the job that are on machines. |
+//! | `JOB runs OP N` | How often all tasks of a gang began to run. |
+//! | `JOB stop_checkpoints OP N` | How often a gang wrote a checkpoint when it was stopped. |
+//! | `JOB lost_progress_s OP N` | Progress that a gang lost, in seconds. |
+//! | `JOB attempts OP N` | Attempts of a gang that were on machines. |
+//! | `violated INVARIANT` | The invariant was violated, and the violation is not a failure. |
+//! | `team_cpus TEAM OP N` | CPUs that a team uses. |
+//! | `task_starts OP N`, `starts_refused OP N` | Tasks started; starts that a machine refused for lack of resources. |
+//! | `cancellations_confirmed OP N` | Jobs of which users observed that they are cancelled. |
+//! | `cancelled_tasks_on_machines OP N` | Tasks of these jobs that are still on machines. |
+//! | `leaders OP N` | Leaders so far, each with its own token. |
+//! | `workers_at_leader OP N` | Workers that send their heartbeats to the leader. |
+//! | `machines OP N`, `machines_rented OP N` | Machines that exist; machines ever rented. |
+//! | `writes_committed OP N`, `bytes_committed OP N` | Writes and bytes of all committed transactions. |
+//! | `log_segments OP N` | Segments of the assignment log in use. |
+//! | `requests_rate_limited OP N` | Requests that the store refused because they exceeded a rate limit. |
+//! | `transactions_too_large OP N` | Transactions that the store refused as too large. |
+//! | `machines_examined`, `attempt_lookups`, `restarts`, `preemptions`, each with `OP N` | Counters of the leader. |
+//! | `oldest_job_s OP N` | Age of the oldest unfinished job, as the leader knows it. |
+//! | `submissions_abandoned OP N` | Submissions that users abandoned before they were accepted. |
+//! | `read_your_writes_queries OP N` | Queries of the read-your-writes probe. |
+//! | `commit_responses_dropped OP N` | Responses to transactions that were lost. |
+//! | `commands_delayed OP N`, `commands_refused OP N` | Delayed direct commands that workers executed; those that they refused. |
+//! | `heartbeats_replayed OP N` | Copies of heartbeats that were sent when a leader began. |
+//!
+//! [`Invariant::name`]: crate::invariants::Invariant::name
 
 mod error;
 mod examples;
--- a/crates/gladekeel-testkit/src/scenario/runner.rs
+++ b/crates/gladekeel-testkit/src/scenario/runner.rs
@@ -60,7 +60,7 @@
     /// None until the `world` line.
     sim: Option<Simulation>,
     failed: Vec<Check>,
-    /// Names of the invariants that `expect broken` lines allow to be violated.
+    /// Names of the invariants that `expect violated` lines allow to be violated.
     may_be_violated: Vec<String>,
 }
 
@@ -90,7 +90,7 @@
     }
 
     fn expect(&mut self, line: usize, expectation: &str) -> Result<(), LineError> {
-        if let Some(invariant) = expectation.strip_prefix("broken ") {
+        if let Some(invariant) = expectation.strip_prefix("violated ") {
             self.may_be_violated.push(invariant.to_owned());
         }
         let Some(sim) = &self.sim else { return Ok(()) };
--- a/crates/gladekeel-testkit/src/scenario/steps/line.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/line.rs
@@ -39,6 +39,22 @@
         self.tokens.get(index) == Some(&token)
     }
 
+    /// Whether the token at an index starts with this prefix.
+    pub fn has_prefix(&self, index: usize, prefix: &str) -> bool {
+        self.tokens.get(index).is_some_and(|token| token.starts_with(prefix))
+    }
+
+    /// What follows the prefix of the token at an index.
+    pub fn after_prefix(
+        &self,
+        index: usize,
+        prefix: &str,
+        expected: &'static str,
+    ) -> Result<&'a str, LineError> {
+        let token = self.token(index, expected)?;
+        token.strip_prefix(prefix).ok_or_else(|| LineError::unexpected(expected, token))
+    }
+
     /// The number at an index.
     pub fn number(&self, index: usize, expected: &'static str) -> Result<f64, LineError> {
         number(self.token(index, expected)?)
--- a/crates/gladekeel-testkit/src/scenario/steps/machines.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/machines.rs
@@ -5,7 +5,7 @@
     invariants::Invariant,
     scenario::{
         LineError,
-        targets::{MachineSelector, busiest_workers, holder, terminate_holders_once_done},
+        targets::{MachineSelector, busiest_workers, host, reclaim_hosts_at_completion},
     },
     simulation::Simulation,
     stand_ins::worker::FakeWorker,
@@ -14,23 +14,28 @@
 /// What a step does to a machine with this name.
 type MachineStep = Box<dyn FnOnce(&mut Simulation, String)>;
 
+/// Prefix of a target that is the zone of a job's tasks, like `zone_of:job-1`.
+pub(super) const ZONE_OF: &str = "zone_of:";
+/// Prefix of a target that is one machine with a task of a job, like `host_of:job-1`.
+pub(super) const HOST_OF: &str = "host_of:";
+
 /// By which factor tasks run longer on a slow machine.
 const SLOWDOWN: f64 = 20.0;
 
-/// `take done JOB`: all machines of a gang but one are gone the moment it has completed,
-/// before any of them can report it.
-pub(super) fn take_done(line: &Line) -> Result<Step, LineError> {
-    let job = line.token(2, "the name of a job")?.to_owned();
-    Ok(Box::new(move |sim| terminate_holders_once_done(sim, job)))
+/// `reclaim_at_completion JOB`: all machines of a gang but one are gone the moment it has
+/// completed, before any of them can report it.
+pub(super) fn reclaim_at_completion(line: &Line) -> Result<Step, LineError> {
+    let job = line.token(1, "the name of a job")?.to_owned();
+    Ok(Box::new(move |sim| reclaim_hosts_at_completion(sim, job)))
 }
 
-/// `take COUNT notice=S`.
-pub(super) fn take(line: &Line) -> Result<Step, LineError> {
+/// `reclaim COUNT notice_s=S`.
+pub(super) fn reclaim(line: &Line) -> Result<Step, LineError> {
     let count = line.number(1, "how many machines")? as usize;
-    let notice_s = line.options.number_or("notice", 0.0)?;
+    let notice_s = line.options.number_or("notice_s", 0.0)?;
     Ok(Box::new(move |sim| {
         for name in busiest_workers(sim, count) {
-            sim.terminate_machine(name, notice_s);
+            sim.reclaim_machine(name, notice_s);
         }
     }))
 }
@@ -45,23 +50,24 @@
     }))
 }
 
-/// `take zone JOB` or `hang zone JOB for S`: all machines of the zone of a job's tasks.
+/// `reclaim zone_of:JOB` or `hang zone_of:JOB for S`: all machines of the zone of a job's tasks.
 pub(super) fn zone_of_job(line: &Line) -> Result<Step, LineError> {
-    let takes = line.has(0, "take");
-    let (job, duration_s) = (line.token(2, "the name of a job")?.to_owned(), line.duration_s);
+    let reclaims = line.has(0, "reclaim");
+    let job = line.after_prefix(1, ZONE_OF, "zone_of:JOB")?.to_owned();
+    let duration_s = line.duration_s;
     Ok(Box::new(move |sim| {
-        let zone = holder(sim, &job).map(|name| sim.workers[&name].machine.zone.clone());
+        let zone = host(sim, &job).map(|name| sim.workers[&name].machine.zone.clone());
         let Some(zone) = zone else {
             return sim
                 .invariants
-                .report(Invariant::ScenarioTarget, format!("no machine holds {job}"));
+                .report(Invariant::ScenarioTarget, format!("no machine hosts a task of {job}"));
         };
         let there = sim.workers.values().filter(|worker| worker.machine.zone == zone);
         let names: Vec<String> = there.map(|worker| worker.machine.name.clone()).collect();
         sim.fault_lasts(duration_s);
         for name in names {
-            if takes {
-                sim.terminate_machine(name, 0.0);
+            if reclaims {
+                sim.reclaim_machine(name, 0.0);
             } else {
                 hang_for(sim, name, duration_s);
             }
@@ -74,25 +80,26 @@
     }))
 }
 
-/// `take|drain|hang|reboot holder JOB notice=S for S`: one machine that holds a task of a job.
-pub(super) fn holder_of_job(line: &Line) -> Result<Step, LineError> {
-    let job = line.token(2, "the name of a job")?.to_owned();
-    let notice_s = line.options.number_or("notice", 0.0)?;
+/// `reclaim|drain|hang|reboot host_of:JOB notice_s=S for S`: one machine that hosts a task of a
+/// job.
+pub(super) fn host_of_job(line: &Line) -> Result<Step, LineError> {
+    let job = line.after_prefix(1, HOST_OF, "host_of:JOB")?.to_owned();
+    let notice_s = line.options.number_or("notice_s", 0.0)?;
     let duration_s = line.duration_s;
     let act: MachineStep = match line.token(0, "a verb")? {
-        "take" => Box::new(move |sim, name| sim.terminate_machine(name, notice_s)),
+        "reclaim" => Box::new(move |sim, name| sim.reclaim_machine(name, notice_s)),
         "drain" => Box::new(|sim, name| drain(sim, &name)),
         "reboot" => Box::new(|sim, name| sim.reboot(&name)),
         "hang" => Box::new(move |sim, name| {
             sim.fault_lasts(duration_s);
             hang_for(sim, name, duration_s);
         }),
-        other => return Err(LineError::unexpected("take, drain, hang or reboot", other)),
+        other => return Err(LineError::unexpected("reclaim, drain, hang or reboot", other)),
     };
-    Ok(Box::new(move |sim| match holder(sim, &job) {
+    Ok(Box::new(move |sim| match host(sim, &job) {
         Some(name) => act(sim, name),
         None => {
-            let details = format!("no machine holds {job}");
+            let details = format!("no machine hosts a task of {job}");
             sim.invariants.report(Invariant::ScenarioTarget, details);
         }
     }))
@@ -116,7 +123,7 @@
     sim.after(duration_s, move |sim| set_hung(sim, false));
 }
 
-/// What `hang`, `sick`, `slow`, `deaf` and `mute` do to a machine.
+/// What `hang`, `fail_tasks`, `slow`, `partition_inbound` and `partition_outbound` do to a machine.
 #[derive(Debug, Clone, Copy)]
 enum MachineFault {
     Hung,
@@ -130,11 +137,11 @@
     fn parse(verb: &str) -> Result<MachineFault, LineError> {
         match verb {
             "hang" => Ok(MachineFault::Hung),
-            "sick" => Ok(MachineFault::FailsTasks),
+            "fail_tasks" => Ok(MachineFault::FailsTasks),
             "slow" => Ok(MachineFault::Slow),
-            "deaf" => Ok(MachineFault::InboundPartition),
-            "mute" => Ok(MachineFault::OutboundPartition),
-            other => Err(LineError::unexpected("hang, sick, slow, deaf or mute", other)),
+            "partition_inbound" => Ok(MachineFault::InboundPartition),
+            "partition_outbound" => Ok(MachineFault::OutboundPartition),
+            other => Err(LineError::unexpected("a fault of a machine", other)),
         }
     }
 
@@ -149,8 +156,8 @@
     }
 }
 
-/// `hang|sick|slow|deaf|mute WHO for S`: so many machines, those that hold tasks of jobs, or
-/// those of `zone:NAME`.
+/// `hang|fail_tasks|slow|partition_inbound|partition_outbound WHO for S`: so many machines,
+/// those that hold tasks of jobs, or those of `zone:NAME`.
 pub(super) fn degrade(line: &Line) -> Result<Step, LineError> {
     let fault = MachineFault::parse(line.token(0, "a verb")?)?;
     let select = MachineSelector::parse(line.token(1, "which machines")?)?;
--- a/crates/gladekeel-testkit/src/scenario/steps/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/mod.rs
@@ -10,6 +10,7 @@
 use super::LineError;
 use crate::simulation::Simulation;
 use line::Line;
+use machines::{HOST_OF, ZONE_OF};
 
 /// What is executed at the time of an `at` line.
 pub(super) type Step = Box<dyn FnOnce(&mut Simulation)>;
@@ -19,34 +20,43 @@
     let line = &Line::parse(text)?;
     match line.token(0, "a step")? {
         "submit" => users::submit(line),
-        "again" => users::submit_again(line),
+        "resubmit" => users::resubmit(line),
         "poll" => users::poll(line),
         "cancel" => users::cancel(line),
-        "cancel_now" => users::cancel_now(line),
-        "cancel_at_end" => users::cancel_at_end(line),
-        "close_looks" => Ok(users::read_your_writes(line)),
-        "odd" => Ok(users::malformed_requests(line)),
+        "cancel_longest_remaining" => users::cancel_longest_remaining(line),
+        "cancel_at_completion" => users::cancel_at_completion(line),
+        "probe_read_your_writes" => Ok(users::probe_read_your_writes(line)),
+        "send_malformed_requests" => Ok(users::send_malformed_requests(line)),
         "http" => users::http(line),
-        "ask" => users::ask(line),
-        "junk" => Ok(users::junk()),
-        "late_writes" => messages::late_writes(line),
-        "lost_answers" => messages::lost_answers(line),
-        "late_commands" => messages::late_commands(line),
-        "reports_for_next_leader" => messages::reports_for_next_leader(line),
+        "http_to" => users::http_to(line),
+        "send_invalid_bytes" => Ok(users::send_invalid_bytes()),
+        "delay_commits" => messages::delay_commits(line),
+        "drop_commit_responses" => messages::drop_commit_responses(line),
+        "delay_commands" => messages::delay_commands(line),
+        "replay_heartbeats" => messages::replay_heartbeats(line),
         "crash" => nodes::crash(line),
-        "freeze" => nodes::freeze(line),
-        "cut" => nodes::cut(line),
-        "links" => nodes::links(line),
-        "state" => services::state(line),
-        "cloud" => services::cloud(line),
-        "take" if line.has(1, "done") => machines::take_done(line),
-        "take" | "hang" if line.has(1, "zone") => machines::zone_of_job(line),
-        "take" | "drain" | "hang" | "reboot" if line.has(1, "holder") => {
-            machines::holder_of_job(line)
+        "pause" => nodes::pause(line),
+        "partition" => nodes::partition(line),
+        "slow" if line.has(1, "network") => nodes::slow_network(line),
+        "slow" if line.has(1, "store") => services::slow_store(line),
+        "outage" => services::outage(line),
+        "drop_responses" => services::drop_responses(line),
+        "deny_store" => services::deny_store(line),
+        "corrupt" => services::corrupt(line),
+        "compact" => services::compact(line),
+        "lower_limits" => services::lower_limits(line),
+        "exhaust" => services::exhaust(line),
+        "fail_next_boots" => services::fail_next_boots(line),
+        "reclaim_at_completion" => machines::reclaim_at_completion(line),
+        "reclaim" | "hang" if line.has_prefix(1, ZONE_OF) => machines::zone_of_job(line),
+        "reclaim" | "drain" | "hang" | "reboot" if line.has_prefix(1, HOST_OF) => {
+            machines::host_of_job(line)
         }
-        "take" => machines::take(line),
+        "reclaim" => machines::reclaim(line),
         "reboot" => machines::reboot(line),
-        "hang" | "sick" | "slow" | "deaf" | "mute" => machines::degrade(line),
+        "hang" | "fail_tasks" | "slow" | "partition_inbound" | "partition_outbound" => {
+            machines::degrade(line)
+        }
         other => Err(LineError::unexpected("a step", other)),
     }
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/nodes.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/nodes.rs
@@ -2,14 +2,17 @@
 
 use super::{Step, fault_for, line::Line};
 use crate::{
-    scenario::{LineError, targets::node_indices},
-    simulation::{Cut, CutScope, Simulation},
+    scenario::{
+        LineError,
+        targets::{ZONE, node_indices},
+    },
+    simulation::{Partition, PartitionScope, Simulation},
 };
 
-/// `crash WHO for S`, or `crash leader commits=N for S` between two transactions.
+/// `crash WHO for S`, or `crash leader after_commits=N for S` between two transactions.
 pub(super) fn crash(line: &Line) -> Result<Step, LineError> {
     let duration_s = line.duration_s;
-    if let Some(left) = line.options.number("commits")? {
+    if let Some(left) = line.options.number("after_commits")? {
         return Ok(Box::new(move |sim| sim.crash_after_commits = Some((left as u32, duration_s))));
     }
     let who = line.token(1, "a target")?.to_owned();
@@ -20,8 +23,8 @@
     }))
 }
 
-/// `freeze WHO for S`.
-pub(super) fn freeze(line: &Line) -> Result<Step, LineError> {
+/// `pause WHO for S`.
+pub(super) fn pause(line: &Line) -> Result<Step, LineError> {
     let (who, duration_s) = (line.token(1, "a target")?.to_owned(), line.duration_s);
     Ok(Box::new(move |sim| {
         for node in node_indices(sim, &who) {
@@ -30,33 +33,36 @@
     }))
 }
 
-/// `cut zone A from B for S hold` or `cut WHO from WHAT for S hold`; with `hold` what was
-/// sent meanwhile arrives after it.
-pub(super) fn cut(line: &Line) -> Result<Step, LineError> {
-    let (duration_s, hold) = (line.duration_s, line.tokens.last() == Some(&"hold"));
-    if line.has(1, "zone") {
-        let cut = Cut::Zones(line.token(2, "a target")?.into(), line.token(4, "a zone")?.into());
-        return Ok(Box::new(move |sim| sim.cut(cut, duration_s, hold)));
+/// `partition zone:A from zone:B for S buffered` or `partition WHO from PEERS for S buffered`.
+/// With `buffered`, messages that are sent during the partition arrive when it ends.
+pub(super) fn partition(line: &Line) -> Result<Step, LineError> {
+    let (duration_s, buffered) = (line.duration_s, line.tokens.last() == Some(&"buffered"));
+    if line.has_prefix(1, ZONE) {
+        let partition = Partition::Zones(
+            line.after_prefix(1, ZONE, "a zone")?.into(),
+            line.after_prefix(3, ZONE, "a zone")?.into(),
+        );
+        return Ok(Box::new(move |sim| sim.partition(partition, duration_s, buffered)));
     }
     let who = line.token(1, "a target")?.to_owned();
     let from = match line.token(3, "a target")? {
-        "all" => CutScope::All,
-        "workers" => CutScope::Workers,
-        "state" => CutScope::Store,
-        "cloud" => CutScope::Cloud,
-        "mesh" => CutScope::Mesh,
-        "users" => CutScope::Users,
-        other => return Err(LineError::unexpected("what to cut from", other)),
+        "all" => PartitionScope::All,
+        "workers" => PartitionScope::Workers,
+        "store" => PartitionScope::Store,
+        "cloud" => PartitionScope::Cloud,
+        "peers" => PartitionScope::Peers,
+        "users" => PartitionScope::Users,
+        other => return Err(LineError::unexpected("what to partition from", other)),
     };
     Ok(Box::new(move |sim| {
         for node in node_indices(sim, &who) {
-            sim.cut(Cut::Node(node, from), duration_s, hold);
+            sim.partition(Partition::Node(node, from), duration_s, buffered);
         }
     }))
 }
 
-/// `links slow FACTOR for S`.
-pub(super) fn links(line: &Line) -> Result<Step, LineError> {
+/// `slow network FACTOR for S`.
+pub(super) fn slow_network(line: &Line) -> Result<Step, LineError> {
     let (factor, duration_s) = (line.number(2, "a factor")?, line.duration_s);
     let slow_down = move |sim: &mut Simulation| sim.network_slowdown = factor;
     Ok(fault_for(duration_s, slow_down, |sim| sim.network_slowdown = 1.0))
--- a/crates/gladekeel-testkit/src/scenario/steps/services.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/services.rs
@@ -7,36 +7,16 @@
     stand_ins::store::StoreLimits,
 };
 
-/// `state down|slow FACTOR|mute|refuses WHO|spoils|forgets|limits KEY=N for S`.
-pub(super) fn state(line: &Line) -> Result<Step, LineError> {
+/// `outage store|cloud for S`.
+pub(super) fn outage(line: &Line) -> Result<Step, LineError> {
     let duration_s = line.duration_s;
-    Ok(match line.token(1, "a fault of the store")? {
-        "down" => fault_for(duration_s, |sim| set_outage(sim, true), |sim| set_outage(sim, false)),
-        "slow" => {
-            let factor = line.number(2, "a factor")?;
-            let slow_down = move |sim: &mut Simulation| sim.store_slowdown = factor;
-            fault_for(duration_s, slow_down, |sim| sim.store_slowdown = 1.0)
-        }
-        "mute" => fault_for(
-            duration_s,
-            |sim| sim.store_responses_lost = true,
-            |sim| sim.store_responses_lost = false,
-        ),
-        "refuses" => {
-            let who = line.token(2, "a node")?.to_owned();
-            let refuse = move |sim: &mut Simulation| {
-                sim.store.refused_nodes = node_indices(sim, &who);
-            };
-            fault_for(duration_s, refuse, |sim| sim.store.refused_nodes.clear())
-        }
-        "spoils" => fault_for(
-            duration_s,
-            |sim| sim.store.corrupt_assignment_log(true),
-            |sim| sim.store.corrupt_assignment_log(false),
-        ),
-        "forgets" => Box::new(|sim| sim.store.compact_history()),
-        "limits" => return limits(line),
-        other => return Err(LineError::unexpected("a fault of the store", other)),
+    Ok(match line.token(1, "store or cloud")? {
+        "store" => fault_for(duration_s, |sim| set_outage(sim, true), |sim| set_outage(sim, false)),
+        "cloud" => Box::new(move |sim| {
+            sim.cloud.down = true;
+            sim.after(duration_s, |sim| sim.cloud.down = false);
+        }),
+        other => return Err(LineError::unexpected("store or cloud", other)),
     })
 }
 
@@ -45,8 +25,51 @@
     sim.store.set_outage(now, down);
 }
 
-/// `state limits value_kb=N txn_ops=N write_rps=N rps=N`; what is not named stays.
-fn limits(line: &Line) -> Result<Step, LineError> {
+/// `slow store FACTOR for S`.
+pub(super) fn slow_store(line: &Line) -> Result<Step, LineError> {
+    let (factor, duration_s) = (line.number(2, "a factor")?, line.duration_s);
+    let slow_down = move |sim: &mut Simulation| sim.store_slowdown = factor;
+    Ok(fault_for(duration_s, slow_down, |sim| sim.store_slowdown = 1.0))
+}
+
+/// `drop_responses store for S`.
+pub(super) fn drop_responses(line: &Line) -> Result<Step, LineError> {
+    expect_target(line, "store")?;
+    Ok(fault_for(
+        line.duration_s,
+        |sim| sim.store_responses_dropped = true,
+        |sim| sim.store_responses_dropped = false,
+    ))
+}
+
+/// `deny_store WHO for S`: the store refuses the requests of these nodes.
+pub(super) fn deny_store(line: &Line) -> Result<Step, LineError> {
+    let who = line.token(1, "a node")?.to_owned();
+    let refuse = move |sim: &mut Simulation| {
+        sim.store.refused_nodes = node_indices(sim, &who);
+    };
+    Ok(fault_for(line.duration_s, refuse, |sim| sim.store.refused_nodes.clear()))
+}
+
+/// `corrupt assignment_log for S`.
+pub(super) fn corrupt(line: &Line) -> Result<Step, LineError> {
+    expect_target(line, "assignment_log")?;
+    Ok(fault_for(
+        line.duration_s,
+        |sim| sim.store.corrupt_assignment_log(true),
+        |sim| sim.store.corrupt_assignment_log(false),
+    ))
+}
+
+/// `compact store`.
+pub(super) fn compact(line: &Line) -> Result<Step, LineError> {
+    expect_target(line, "store")?;
+    Ok(Box::new(|sim| sim.store.compact_history()))
+}
+
+/// `lower_limits store value_kb=N txn_ops=N write_rps=N rps=N`; what is not named stays.
+pub(super) fn lower_limits(line: &Line) -> Result<Step, LineError> {
+    expect_target(line, "store")?;
     let (value, ops) = (line.options.number("value_kb")?, line.options.number("txn_ops")?);
     let (writes, rps) = (line.options.number("write_rps")?, line.options.number("rps")?);
     Ok(Box::new(move |sim| {
@@ -60,19 +83,22 @@
     }))
 }
 
-/// `cloud down|machines_not_booting COUNT|empty for S`.
-pub(super) fn cloud(line: &Line) -> Result<Step, LineError> {
-    let duration_s = line.duration_s;
-    Ok(match line.token(1, "a target")? {
-        "down" => Box::new(move |sim| {
-            sim.cloud.down = true;
-            sim.after(duration_s, |sim| sim.cloud.down = false);
-        }),
-        "duds" => {
-            let count = line.number(2, "a number")? as u32;
-            Box::new(move |sim| sim.cloud.machines_not_booting = count)
-        }
-        "empty" => Box::new(|sim| sim.cloud.capacity.values_mut().for_each(|n| *n = 0)),
-        other => return Err(LineError::unexpected("a fault of the cloud", other)),
-    })
+/// `exhaust cloud`: the cloud has no free machine from now on.
+pub(super) fn exhaust(line: &Line) -> Result<Step, LineError> {
+    expect_target(line, "cloud")?;
+    Ok(Box::new(|sim| sim.cloud.capacity.values_mut().for_each(|n| *n = 0)))
+}
+
+/// `fail_next_boots COUNT`: this many machines that are rented next never boot.
+pub(super) fn fail_next_boots(line: &Line) -> Result<Step, LineError> {
+    let count = line.number(1, "how many machines")? as u32;
+    Ok(Box::new(move |sim| sim.cloud.machines_not_booting = count))
+}
+
+/// Returns an error unless the step's target is this one, the only one that it can have.
+fn expect_target(line: &Line, target: &'static str) -> Result<(), LineError> {
+    match line.token(1, target)? {
+        token if token == target => Ok(()),
+        other => Err(LineError::unexpected(target, other)),
+    }
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/users.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/users.rs
@@ -12,15 +12,16 @@
 };
 use gladekeel_wire::job::JobSpec;
 
-/// `submit JOBS tasks=N ...`; with `every=S` one after the other, a part of them `cancelled`.
+/// `submit JOBS tasks=N ...`; with `interval_s=S` one after the other, of which `cancelled_share`
+/// are cancelled.
 pub(super) fn submit(line: &Line) -> Result<Step, LineError> {
     let specs: Vec<JobSpec> = names(line.token(1, "a target")?)
         .iter()
         .map(|name| build_job(name, &line.options))
         .collect::<Result<_, _>>()?;
-    let run_time_step_s = line.options.number_or("apart", 0.0)?;
-    let interval_s = line.options.number_or("every", 0.0)?;
-    let cancelled_share = line.options.number_or("cancelled", 0.0)?;
+    let run_time_step_s = line.options.number_or("run_step_s", 0.0)?;
+    let interval_s = line.options.number_or("interval_s", 0.0)?;
+    let cancelled_share = line.options.number_or("cancelled_share", 0.0)?;
     Ok(Box::new(move |sim| {
         for (index, spec) in specs.into_iter().enumerate() {
             sim.invariants.run_time_step_s.insert(spec.id.clone(), run_time_step_s);
@@ -33,10 +34,10 @@
     }))
 }
 
-/// `again JOBS`: the same submissions once more.
-pub(super) fn submit_again(line: &Line) -> Result<Step, LineError> {
+/// `resubmit JOBS`: the same submissions once more.
+pub(super) fn resubmit(line: &Line) -> Result<Step, LineError> {
     let ids = line.jobs(1)?;
-    Ok(Box::new(move |sim| ids.into_iter().for_each(|id| sim.submit_again(id))))
+    Ok(Box::new(move |sim| ids.into_iter().for_each(|id| sim.resubmit(id))))
 }
 
 /// `poll JOBS times=N`.
@@ -50,35 +51,35 @@
     }))
 }
 
-/// The nodes that `through=WHO` names; none if it is not said.
-fn through(line: &Line) -> impl FnOnce(&Simulation) -> Vec<usize> + 'static {
-    let who = line.options.text("through").map(str::to_owned);
+/// The nodes that `via=WHO` names; none if it is not said.
+fn via(line: &Line) -> impl FnOnce(&Simulation) -> Vec<usize> + 'static {
+    let who = line.options.text("via").map(str::to_owned);
     move |sim| who.map_or_else(Vec::new, |who| node_indices(sim, &who))
 }
 
-/// `cancel JOBS through=WHO`.
+/// `cancel JOBS via=WHO`.
 pub(super) fn cancel(line: &Line) -> Result<Step, LineError> {
     let ids = line.jobs(1)?;
-    let through = through(line);
+    let via = via(line);
     Ok(Box::new(move |sim| {
-        let nodes = through(sim);
-        ids.into_iter().for_each(|id| sim.cancel_through(id, nodes.clone()));
+        let nodes = via(sim);
+        ids.into_iter().for_each(|id| sim.cancel_via(id, nodes.clone()));
     }))
 }
 
-/// `cancel_now COUNT hang=S through=WHO`: the longest running jobs, all at once.
-pub(super) fn cancel_now(line: &Line) -> Result<Step, LineError> {
+/// `cancel_longest_remaining COUNT hang_s=S via=WHO`: the longest running jobs, all at once.
+pub(super) fn cancel_longest_remaining(line: &Line) -> Result<Step, LineError> {
     let count = line.number(1, "a number")? as usize;
-    let hang_s = line.options.number_or("hang", 0.0)?;
-    let through = through(line);
+    let hang_s = line.options.number_or("hang_s", 0.0)?;
+    let via = via(line);
     Ok(Box::new(move |sim| {
-        let nodes = through(sim);
-        sim.cancel_now(count, nodes, hang_s);
+        let nodes = via(sim);
+        sim.cancel_longest_remaining(count, nodes, hang_s);
     }))
 }
 
-/// `cancel_at_end SHARE for S`: this share of the jobs that end, at that moment.
-pub(super) fn cancel_at_end(line: &Line) -> Result<Step, LineError> {
+/// `cancel_at_completion SHARE for S`: this share of the jobs that end, at that moment.
+pub(super) fn cancel_at_completion(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a number")?, line.duration_s);
     Ok(Box::new(move |sim| {
         sim.cancel_at_completion_share = share;
@@ -86,15 +87,16 @@
     }))
 }
 
-/// `close_looks for S`: users ask at all nodes at once when a job is accepted, over or
+/// `probe_read_your_writes for S`: users ask at all nodes at once when a job is accepted, over or
 /// cancelled.
-pub(super) fn read_your_writes(line: &Line) -> Step {
+pub(super) fn probe_read_your_writes(line: &Line) -> Step {
     let duration_s = line.duration_s;
     Box::new(move |sim| sim.read_your_writes.until = sim.now + duration_s)
 }
 
-/// `odd for S`: repeats, cancellations of jobs that are done, jobs that cannot run.
-pub(super) fn malformed_requests(line: &Line) -> Step {
+/// `send_malformed_requests for S`: repeats, cancellations of jobs that are done, jobs that
+/// cannot run.
+pub(super) fn send_malformed_requests(line: &Line) -> Step {
     let duration_s = line.duration_s;
     Box::new(move |sim| {
         let until = sim.now + duration_s;
@@ -122,8 +124,8 @@
     }))
 }
 
-/// `ask NODE METHOD PATH = STATUS`: the same of a certain node.
-pub(super) fn ask(line: &Line) -> Result<Step, LineError> {
+/// `http_to WHO METHOD PATH = STATUS`: the same of a certain node.
+pub(super) fn http_to(line: &Line) -> Result<Step, LineError> {
     let (node, path) =
         (line.token(1, "a target")?.to_owned(), line.token(3, "a target")?.to_owned());
     let method = if line.token(2, "a target")? == "POST" { "POST" } else { "GET" };
@@ -136,7 +138,7 @@
     }))
 }
 
-/// `junk`: bytes that are not HTTP, to every node.
-pub(super) fn junk() -> Step {
-    Box::new(move |sim| (0..sim.nodes()).for_each(|node| sim.send_junk(node)))
+/// `send_invalid_bytes`: bytes that are not HTTP, to every node.
+pub(super) fn send_invalid_bytes() -> Step {
+    Box::new(move |sim| (0..sim.nodes()).for_each(|node| sim.send_invalid_bytes(node)))
 }
--- a/crates/gladekeel-testkit/src/scenario/targets.rs
+++ b/crates/gladekeel-testkit/src/scenario/targets.rs
@@ -10,6 +10,9 @@
 };
 use gladekeel_wire::worker::TaskState;
 
+/// Prefix of a target that is a zone, like `zone:a`.
+pub(super) const ZONE: &str = "zone:";
+
 /// Workers that hold tasks first, in the order of their names.
 pub(super) fn busiest_workers(sim: &Simulation, count: usize) -> Vec<String> {
     let mut names: Vec<(bool, String)> =
@@ -19,21 +22,21 @@
 }
 
 /// Takes all machines of a gang but one as soon as it has completed.
-pub(super) fn terminate_holders_once_done(sim: &mut Simulation, job: String) {
+pub(super) fn reclaim_hosts_at_completion(sim: &mut Simulation, job: String) {
     let done = job_id(&job).is_ok_and(|id| sim.gangs.record(&id).done);
     if !done {
-        return sim.after(0.01, move |sim| terminate_holders_once_done(sim, job));
+        return sim.after(0.01, move |sim| reclaim_hosts_at_completion(sim, job));
     }
     let holds = |w: &&FakeWorker| w.tasks.iter().any(|t| t.task.job.as_str() == job);
     let names: Vec<String> =
         sim.workers.values().filter(holds).map(|worker| worker.machine.name.clone()).collect();
     for name in names.into_iter().skip(1) {
-        sim.terminate_machine(name, 0.0);
+        sim.reclaim_machine(name, 0.0);
     }
 }
 
 /// A machine with a task of a job that has not ended, one that waits if there is any.
-pub(super) fn holder(sim: &Simulation, job: &str) -> Option<String> {
+pub(super) fn host(sim: &Simulation, job: &str) -> Option<String> {
     let holds = |worker: &&FakeWorker| {
         let there = |t: &FakeTask| t.task.job.as_str() == job && t.state != TaskState::Exited;
         worker.tasks.iter().any(there)
@@ -46,7 +49,7 @@
     found.map(|worker| worker.machine.name.clone())
 }
 
-/// The machines that `WHO` of `hang|sick|slow|deaf|mute WHO` names.
+/// The machines that `MACHINES` of a step like `slow MACHINES` names.
 #[derive(Debug)]
 pub(super) enum MachineSelector {
     /// So many, those with tasks first.
@@ -54,17 +57,17 @@
     /// All of a zone.
     Zone(String),
     /// Those that hold a task of one of the jobs.
-    HoldersOf(Vec<String>),
+    HostsOf(Vec<String>),
 }
 
 impl MachineSelector {
     /// Reads `COUNT`, `zone:NAME` or the names of jobs.
     pub fn parse(text: &str) -> Result<MachineSelector, LineError> {
-        if let Some(zone) = text.strip_prefix("zone:") {
+        if let Some(zone) = text.strip_prefix(ZONE) {
             return Ok(MachineSelector::Zone(zone.to_owned()));
         }
         if text.starts_with("job-") {
-            return Ok(MachineSelector::HoldersOf(names(text)));
+            return Ok(MachineSelector::HostsOf(names(text)));
         }
         Ok(MachineSelector::Count(number(text)? as usize))
     }
@@ -74,7 +77,7 @@
         let is_selected = |worker: &&FakeWorker| match self {
             MachineSelector::Count(_) => false,
             MachineSelector::Zone(zone) => *zone == worker.machine.zone,
-            MachineSelector::HoldersOf(jobs) => {
+            MachineSelector::HostsOf(jobs) => {
                 worker.tasks.iter().any(|t| jobs.iter().any(|job| job == t.task.job.as_str()))
             }
         };
@@ -86,12 +89,12 @@
     }
 }
 
-/// The indices of the nodes that `leader`, `others`, `all` or a number means now.
+/// The indices of the nodes that `leader`, `followers`, `all` or a number means now.
 pub(super) fn node_indices(sim: &Simulation, who: &str) -> Vec<usize> {
     match who {
         "leader" => sim.leading().into_iter().collect(),
         "all" => (0..sim.nodes()).collect(),
-        "others" => (0..sim.nodes()).filter(|node| Some(*node) != sim.leading()).collect(),
+        "followers" => (0..sim.nodes()).filter(|node| Some(*node) != sim.leading()).collect(),
         number => number.parse().into_iter().filter(|node| *node < sim.nodes()).collect(),
     }
 }
--- a/crates/gladekeel-testkit/src/scenario/world.rs
+++ b/crates/gladekeel-testkit/src/scenario/world.rs
@@ -20,28 +20,28 @@
 
 const DEFAULT_NODES: f64 = 3.0;
 const DEFAULT_ZONES: &str = "a,b";
-const DEFAULT_ORDINARY_MACHINES: f64 = 4.0;
+const DEFAULT_ON_DEMAND_MACHINES: f64 = 4.0;
 const DEFAULT_BOOT_S: f64 = 20.0;
 const DEFAULT_LIST_LAG_S: f64 = 4.0;
 
 /// Builds a simulation from the `key=value` tokens of the `world` line.
 pub(super) fn build_simulation(options: &KeyValues<'_>) -> Result<Simulation, LineError> {
     let gang_times = GangTimes {
-        wait_s: options.number_or("gang_wait", GangTimes::default().wait_s)?,
-        peer_s: options.number_or("gang_peer", GangTimes::default().peer_s)?,
+        wait_s: options.number_or("gang_wait_s", GangTimes::default().wait_s)?,
+        peer_s: options.number_or("gang_peer_s", GangTimes::default().peer_s)?,
     };
     let settings = node_settings(options, gang_times)?;
     let store = FakeStore::new(store_limits(&settings[0].deployment));
     let cloud = build_cloud(options)?;
     let seed = options.number_or("seed", 1.0)? as u64;
     let mut sim = Simulation::new(settings, store, cloud, seed);
-    sim.duplicated_request_share = options.number_or("late_copies", 0.0)?;
-    sim.duplicated_heartbeat_share = options.number_or("late_reports", 0.0)?;
-    sim.step_s = options.number_or("step", sim.step_s)?;
-    sim.start_tasks_twice = options.contains("start_twice");
+    sim.duplicated_request_share = options.number_or("duplicated_request_share", 0.0)?;
+    sim.duplicated_heartbeat_share = options.number_or("duplicated_heartbeat_share", 0.0)?;
+    sim.step_s = options.number_or("worker_step_s", sim.step_s)?;
+    sim.start_tasks_twice = options.contains("start_tasks_twice");
     sim.gang_wait_s = gang_times.wait_s;
     sim.gangs.peer_s = gang_times.peer_s;
-    sim.gangs.run_alone = options.contains("gang_alone");
+    sim.gangs.run_partial_gangs = options.contains("run_partial_gangs");
     Ok(sim)
 }
 
@@ -60,9 +60,10 @@
     (0..nodes).map(node_settings).collect()
 }
 
-/// `next=value_kb:2,txn_ops:4` is the table `state.next`.
+/// `announced_limits=value_kb:2,txn_ops:4` is the table `state.next`.
 fn announced_limits(options: &KeyValues<'_>) -> String {
-    let pairs = options.text("next").map_or(Vec::new(), |text| text.split(',').collect());
+    let pairs =
+        options.text("announced_limits").map_or(Vec::new(), |text| text.split(',').collect());
     pairs.iter().map(|pair| pair.replace(':', " = ") + "\n").collect()
 }
 
@@ -71,12 +72,13 @@
     options: &KeyValues<'_>,
 ) -> Result<(), LineError> {
     let workers = &mut deployment.workers;
-    workers.heartbeat_interval_s = options.number_or("report", workers.heartbeat_interval_s)?;
+    workers.heartbeat_interval_s =
+        options.number_or("heartbeat_interval_s", workers.heartbeat_interval_s)?;
     let store = &mut deployment.store;
     store.value_kb = options.number_or("value_kb", store.value_kb)?;
     store.write_rps = options.number_or("write_rps", store.write_rps)?;
     store.txn_ops = options.number_or("txn_ops", store.txn_ops as f64)? as usize;
-    let team_factor = options.number_or("teams", 1.0)?;
+    let team_factor = options.number_or("team_quota_factor", 1.0)?;
     for team in &mut deployment.teams {
         team.cpus *= team_factor;
         team.cpus_max *= team_factor;
@@ -96,15 +98,19 @@
 fn build_cloud(options: &KeyValues<'_>) -> Result<FakeCloud, LineError> {
     let zones = options.text("zones").unwrap_or(DEFAULT_ZONES);
     let zones: Vec<String> = zones.split(',').map(str::to_owned).collect();
-    let ordinary = options.number_or("ordinary", DEFAULT_ORDINARY_MACHINES)? as u32;
+    let on_demand = options.number_or("on_demand", DEFAULT_ON_DEMAND_MACHINES)? as u32;
     let spot = options.number_or("spot", 0.0)? as u32;
     let mut capacity = BTreeMap::new();
     for zone in &zones {
-        capacity.insert((zone.clone(), false), ordinary);
+        capacity.insert((zone.clone(), false), on_demand);
         capacity.insert((zone.clone(), true), spot);
     }
     let machine_types = machine_types(options, zones)?;
-    Ok(FakeCloud::new(machine_types, capacity, options.number_or("lag", DEFAULT_LIST_LAG_S)?))
+    Ok(FakeCloud::new(
+        machine_types,
+        capacity,
+        options.number_or("list_lag_s", DEFAULT_LIST_LAG_S)?,
+    ))
 }
 
 /// The machine type of all machines, behind further ones of which the cloud has none.
@@ -112,11 +118,11 @@
     options: &KeyValues<'_>,
     zones: Vec<String>,
 ) -> Result<Vec<MachineType>, LineError> {
-    let count = options.number_or("types", 1.0)? as u32;
+    let count = options.number_or("machine_types", 1.0)? as u32;
     let further = (2..=count)
         .map(|number| MachineType { name: format!("m32-{number}"), ..example_type(zones.clone()) });
     let mut machine_types: Vec<MachineType> = further.collect();
-    let boot_s = options.number_or("boot", DEFAULT_BOOT_S)?;
+    let boot_s = options.number_or("boot_s", DEFAULT_BOOT_S)?;
     machine_types.push(MachineType { boot_s, ..example_type(zones) });
     Ok(machine_types)
 }
--- a/crates/gladekeel-testkit/src/simulation/machines.rs
+++ b/crates/gladekeel-testkit/src/simulation/machines.rs
@@ -61,7 +61,7 @@
     }
 
     /// The cloud takes a machine back, with a notice or without.
-    pub fn terminate_machine(&mut self, name: String, notice_s: f64) {
+    pub fn reclaim_machine(&mut self, name: String, notice_s: f64) {
         if let Some(worker) = self.workers.get_mut(&name)
             && notice_s > 0.0
         {
@@ -69,7 +69,7 @@
             worker.changed = true;
         }
         self.after(notice_s, move |sim| {
-            sim.cloud.take(sim.now, &name);
+            sim.cloud.remove_machine(sim.now, &name);
             sim.remove_worker(&name);
         });
     }
@@ -120,7 +120,7 @@
                 WorkerEvent::TaskStarted(task) => {
                     self.invariants.on_task_started(self.now, &task, machine);
                 }
-                WorkerEvent::StartRefused(_) => self.invariants.starts_without_room += 1,
+                WorkerEvent::StartRefused(_) => self.invariants.starts_refused += 1,
                 WorkerEvent::GangTaskRunning { task, attempt } => {
                     self.invariants.on_gang_task_running(self.now, &task, attempt);
                 }
--- a/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
+++ b/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
@@ -65,7 +65,7 @@
         let unfinished = self.nth_job(turn, |state| !state.is_final());
         let done = self.nth_job(turn, |state| state == JobState::Done);
         if let Some(id) = unfinished {
-            self.submit_again(id);
+            self.resubmit(id);
         }
         if let Some(id) = done {
             self.cancel(id);
@@ -97,14 +97,14 @@
     }
 
     /// Sends bytes that are no request to a node, on every path.
-    pub fn send_junk(&mut self, node: usize) {
+    pub fn send_invalid_bytes(&mut self, node: usize) {
         let bodies: [&[u8]; 5] = [b"", b"{", b"[1,2]", b"\xff\xfe\x00", b"{\"name_id\":7}"];
         for path in ["/api/jobs", "/checkin", "/api/jobs/job-%/cancel", "/api/jobs//", "/"] {
             for body in bodies {
                 let request = HttpRequest::post(path, body.to_vec());
                 self.request(Endpoint::Users, node, request, TIMEOUT_S, |sim, reply| {
                     let status = reply.map_or(0, |reply| reply.status);
-                    sim.invariants.check_junk_status(status);
+                    sim.invariants.check_invalid_bytes_status(status);
                 });
             }
         }
--- a/crates/gladekeel-testkit/src/simulation/message_faults.rs
+++ b/crates/gladekeel-testkit/src/simulation/message_faults.rs
@@ -24,20 +24,20 @@
 #[derive(Debug, Default)]
 pub struct MessageFaults {
     /// Share of the transactions that are committed at once and whose response is lost.
-    pub lost_response_share: f64,
+    pub dropped_commit_response_share: f64,
     /// Share of the direct commands that get no response and are executed once, later, if
     /// token and incarnation still match then.
     pub delayed_command_share: f64,
     /// Share of the heartbeats of which a copy reaches every node when the next leader begins.
-    pub retained_heartbeat_share: f64,
+    pub replayed_heartbeat_share: f64,
     /// Transactions whose response was lost.
-    pub responses_lost: u64,
+    pub commit_responses_dropped: u64,
     /// Delayed direct commands that were executed.
     pub commands_delayed: u64,
     /// Delayed direct commands of an old token or for an earlier incarnation.
     pub commands_refused: u64,
     /// Copies of heartbeats that were sent when a leader began.
-    pub heartbeats_released: u64,
+    pub heartbeats_replayed: u64,
     retained_heartbeats: Vec<RetainedHeartbeat>,
 }
 
@@ -71,19 +71,19 @@
 
     /// Retains a copy of a heartbeat for the next leader, if it is one of that share.
     pub(super) fn maybe_retain_heartbeat(&mut self, from: Endpoint, heartbeat: &Heartbeat) {
-        if self.occurs(self.message_faults.retained_heartbeat_share) {
+        if self.occurs(self.message_faults.replayed_heartbeat_share) {
             let request = HttpRequest::heartbeat(heartbeat);
             self.message_faults.retained_heartbeats.push(RetainedHeartbeat { from, request });
         }
     }
 
     /// A new leader begins: the retained heartbeats arrive at every node, as old as they are.
-    pub(super) fn release_retained_heartbeats(&mut self) {
+    pub(super) fn replay_retained_heartbeats(&mut self) {
         for RetainedHeartbeat { from, request } in
             std::mem::take(&mut self.message_faults.retained_heartbeats)
         {
             for node in 0..self.nodes.len() {
-                self.message_faults.heartbeats_released += 1;
+                self.message_faults.heartbeats_replayed += 1;
                 let (from, request) = (from.clone(), request.clone());
                 let delay_s = self.rng.random_range(RETAINED_HEARTBEAT_DELAY_S);
                 self.after(delay_s, move |sim| {
--- a/crates/gladekeel-testkit/src/simulation/mod.rs
+++ b/crates/gladekeel-testkit/src/simulation/mod.rs
@@ -17,7 +17,7 @@
 
 pub use decision_trace::TraceDigest;
 pub use message_faults::MessageFaults;
-pub use network::{Cut, CutScope, Endpoint};
+pub use network::{Endpoint, Partition, PartitionScope};
 pub use read_your_writes::ReadYourWritesProbe;
 
 use crate::{
@@ -30,7 +30,7 @@
     node::{Node, RequestId},
 };
 use gladekeel_wire::{JobId, settings::Settings};
-use network::ActiveCut;
+use network::ActivePartition;
 use rand::{SeedableRng, rngs::StdRng};
 use std::collections::BTreeMap;
 
@@ -87,7 +87,7 @@
     /// The store.
     pub store: FakeStore,
     /// While set, the store executes requests and does not answer.
-    pub store_responses_lost: bool,
+    pub store_responses_dropped: bool,
     /// The leader ends once so many more of its transactions have been made, before it
     /// learns of the last one, and comes back after so many seconds.
     pub crash_after_commits: Option<(u32, f64)>,
@@ -114,7 +114,7 @@
     gangs_stepping: bool,
     /// Checks the invariants.
     pub invariants: InvariantChecker,
-    cuts: Vec<ActiveCut>,
+    partitions: Vec<ActivePartition>,
     /// Share of the requests to store and cloud that arrive a second time, later.
     pub duplicated_request_share: f64,
     /// Share of the heartbeats that arrive again, at any node, up to three leases later.
@@ -152,7 +152,7 @@
             rng: StdRng::seed_from_u64(seed),
             nodes: settings.into_iter().map(SimulatedNode::new).collect(),
             store,
-            store_responses_lost: false,
+            store_responses_dropped: false,
             crash_after_commits: None,
             delayed_commit_share: 0.0,
             store_slowdown: 1.0,
@@ -169,7 +169,7 @@
             heartbeat_interval_s: params.workers.heartbeat_interval_s,
             invariants: InvariantChecker::new(params),
             malformed_requests: 0,
-            cuts: Vec::new(),
+            partitions: Vec::new(),
             duplicated_request_share: 0.0,
             duplicated_heartbeat_share: 0.0,
             step_s: STEP_S,
--- a/crates/gladekeel-testkit/src/simulation/network.rs
+++ b/crates/gladekeel-testkit/src/simulation/network.rs
@@ -20,16 +20,16 @@
 
 /// What a cut separates.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Cut {
+pub enum Partition {
     /// A node from one kind of participant, or from all.
-    Node(usize, CutScope),
+    Node(usize, PartitionScope),
     /// Two zones from one another.
     Zones(String, String),
 }
 
 /// From whom a node is cut off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CutScope {
+pub enum PartitionScope {
     /// Everything.
     All,
     /// Workers.
@@ -39,24 +39,24 @@
     /// The cloud.
     Cloud,
     /// Other nodes.
-    Mesh,
+    Peers,
     /// Users.
     Users,
 }
 
-/// A cut that lasts until a time; with `hold`, messages arrive then.
+/// A cut that lasts until a time; with `buffered`, messages arrive then.
 #[derive(Debug, Clone)]
-pub(super) struct ActiveCut {
-    cut: Cut,
+pub(super) struct ActivePartition {
+    partition: Partition,
     until: f64,
-    hold: bool,
+    buffered: bool,
 }
 
 /// What becomes of a message.
 enum Delivery {
-    Open,
+    Unaffected,
     Lost,
-    HeldUntil(f64),
+    BufferedUntil(f64),
 }
 
 impl Simulation {
@@ -69,9 +69,9 @@
     }
 
     fn delivery(&self, a: &Endpoint, b: &Endpoint) -> Delivery {
-        for active in self.cuts.iter().filter(|active| self.now < active.until) {
-            let hit = match &active.cut {
-                Cut::Node(node, from) => {
+        for active in self.partitions.iter().filter(|active| self.now < active.until) {
+            let hit = match &active.partition {
+                Partition::Node(node, from) => {
                     let other = match (a, b) {
                         (Endpoint::Node(n), other) | (other, Endpoint::Node(n)) if n == node => {
                             other
@@ -79,35 +79,35 @@
                         _ => continue,
                     };
                     match from {
-                        CutScope::All => true,
-                        CutScope::Workers => matches!(other, Endpoint::Worker(_)),
-                        CutScope::Store => *other == Endpoint::Store,
-                        CutScope::Cloud => *other == Endpoint::Cloud,
-                        CutScope::Mesh => matches!(other, Endpoint::Node(_)),
-                        CutScope::Users => *other == Endpoint::Users,
+                        PartitionScope::All => true,
+                        PartitionScope::Workers => matches!(other, Endpoint::Worker(_)),
+                        PartitionScope::Store => *other == Endpoint::Store,
+                        PartitionScope::Cloud => *other == Endpoint::Cloud,
+                        PartitionScope::Peers => matches!(other, Endpoint::Node(_)),
+                        PartitionScope::Users => *other == Endpoint::Users,
                     }
                 }
-                Cut::Zones(x, y) => {
+                Partition::Zones(x, y) => {
                     let (a, b) = (self.zone_of(a), self.zone_of(b));
                     let is = |p: &Option<String>, q: &str| p.as_deref() == Some(q);
                     (is(&a, x) && is(&b, y)) || (is(&a, y) && is(&b, x))
                 }
             };
             if hit {
-                return if active.hold {
-                    Delivery::HeldUntil(active.until)
+                return if active.buffered {
+                    Delivery::BufferedUntil(active.until)
                 } else {
                     Delivery::Lost
                 };
             }
         }
-        Delivery::Open
+        Delivery::Unaffected
     }
 
-    /// Cuts connections for a while; with `hold`, messages arrive afterwards.
-    pub fn cut(&mut self, cut: Cut, duration_s: f64, hold: bool) {
+    /// Cuts connections for a while; with `buffered`, messages arrive afterwards.
+    pub fn partition(&mut self, partition: Partition, duration_s: f64, buffered: bool) {
         self.fault_lasts(duration_s);
-        self.cuts.push(ActiveCut { cut, until: self.now + duration_s, hold });
+        self.partitions.push(ActivePartition { partition, until: self.now + duration_s, buffered });
     }
 
     /// Notes that a fault is active for so long: liveness is not checked meanwhile.
@@ -129,8 +129,8 @@
     ) {
         let delay = self.delay();
         match self.delivery(from, to) {
-            Delivery::Open => self.after(delay, receive),
-            Delivery::HeldUntil(until) => self.after(until - self.now + delay, receive),
+            Delivery::Unaffected => self.after(delay, receive),
+            Delivery::BufferedUntil(until) => self.after(until - self.now + delay, receive),
             Delivery::Lost => {}
         }
     }
--- a/crates/gladekeel-testkit/src/simulation/nodes.rs
+++ b/crates/gladekeel-testkit/src/simulation/nodes.rs
@@ -58,7 +58,7 @@
     }
 
     /// The leader's counters.
-    pub fn leader_counts(&self) -> Option<gladekeel_controller::leader::LeaderCounters> {
+    pub fn leader_counters(&self) -> Option<gladekeel_controller::leader::LeaderCounters> {
         let node = self.leading()?;
         Some(self.nodes[node].process.as_ref()?.leader()?.counters().clone())
     }
@@ -89,7 +89,7 @@
             self.invariants.on_leadership(self.now, seen.0, leader.since());
             if !self.leaders.contains(&seen) {
                 self.leaders.push(seen);
-                self.release_retained_heartbeats();
+                self.replay_retained_heartbeats();
             }
         }
         self.after(STEP_S, move |sim| sim.tick(node, incarnation));
--- a/crates/gladekeel-testkit/src/simulation/read_your_writes.rs
+++ b/crates/gladekeel-testkit/src/simulation/read_your_writes.rs
@@ -55,6 +55,6 @@
             self.after(after_s, move |sim| sim.poll_node(node, id));
         }
         let (id, after_s) = (id.clone(), self.rng.random_range(PROBE_WITHIN_S));
-        self.after(after_s, move |sim| sim.submit_again_at(node, id));
+        self.after(after_s, move |sim| sim.resubmit_at(node, id));
     }
 }
--- a/crates/gladekeel-testkit/src/simulation/services.rs
+++ b/crates/gladekeel-testkit/src/simulation/services.rs
@@ -25,7 +25,7 @@
     request: StoreRequest,
     /// A copy that arrives later; nobody waits for its response.
     is_duplicate: bool,
-    response_lost: bool,
+    response_dropped: bool,
 }
 
 impl Simulation {
@@ -48,12 +48,14 @@
                 sim.after(delay_s, move |sim| sim.execute_late(request));
             });
         }
-        let response_lost = is_commit && self.occurs(self.message_faults.lost_response_share);
+        let response_dropped =
+            is_commit && self.occurs(self.message_faults.dropped_commit_response_share);
         for &is_duplicate in self.draw_copies() {
             let delay_s = if is_duplicate { self.rng.random_range(DUPLICATE_DELAY_S) } else { 0.0 };
             let delay_s = delay_s + self.store_delay();
             let request = request.clone();
-            let call = StoreCall { node, incarnation, call, request, is_duplicate, response_lost };
+            let call =
+                StoreCall { node, incarnation, call, request, is_duplicate, response_dropped };
             self.after(delay_s, move |sim| {
                 sim.deliver(&Endpoint::Node(node), &Endpoint::Store, move |sim| {
                     sim.execute_store_call(call);
@@ -77,14 +79,14 @@
 
     /// The store executes a request and responds.
     fn execute_store_call(&mut self, store_call: StoreCall) {
-        let StoreCall { node, incarnation, call, request, is_duplicate, response_lost } =
+        let StoreCall { node, incarnation, call, request, is_duplicate, response_dropped } =
             store_call;
         let outcome = self.store.call(self.now, node, &request);
         if !is_duplicate && matches!(outcome, StoreOutcome::Committed(_)) {
-            self.message_faults.responses_lost += u64::from(response_lost);
+            self.message_faults.commit_responses_dropped += u64::from(response_dropped);
             self.committed(node);
         }
-        if self.store_responses_lost || response_lost || is_duplicate {
+        if self.store_responses_dropped || response_dropped || is_duplicate {
             return;
         }
         let delay_s = self.store_delay();
--- a/crates/gladekeel-testkit/src/simulation/users.rs
+++ b/crates/gladekeel-testkit/src/simulation/users.rs
@@ -25,8 +25,8 @@
 const POLL_INTERVAL_S: f64 = 5.0;
 /// For how long a user repeats a request.
 const GIVES_UP_AFTER_S: f64 = 60.0;
-/// Within this time the cancellations of `cancel_now` are sent.
-const CANCEL_NOW_WITHIN_S: Range<f64> = 0.0..0.2;
+/// Within this time the cancellations of `cancel_longest_remaining` are sent.
+const CANCEL_LONGEST_REMAINING_WITHIN_S: Range<f64> = 0.0..0.2;
 /// How many machines of cancelled jobs hang at most.
 const MAX_HUNG_MACHINES: usize = 8;
 /// Within this time of a job's completion its user cancels, queries and submits it.
@@ -153,35 +153,35 @@
 
     /// A user cancels a job and repeats until that is answered.
     pub fn cancel(&mut self, id: JobId) {
-        self.cancel_through(id, Vec::new());
+        self.cancel_via(id, Vec::new());
     }
 
     /// A user cancels a job through one of these nodes, or any if there are none.
-    pub fn cancel_through(&mut self, id: JobId, through: Vec<usize>) {
+    pub fn cancel_via(&mut self, id: JobId, via: Vec<usize>) {
         self.invariants.on_cancel_request(&id);
-        self.try_cancel(id, through, self.now);
+        self.try_cancel(id, via, self.now);
     }
 
-    fn try_cancel(&mut self, id: JobId, through: Vec<usize>, since: f64) {
+    fn try_cancel(&mut self, id: JobId, via: Vec<usize>, since: f64) {
         let request = HttpRequest::cancel(&id);
         let job = id.clone();
-        let nodes = through.clone();
+        let nodes = via.clone();
         let retry = move |sim: &mut Simulation, answer: Answer| {
             if answer.status != 200 && sim.now - since < GIVES_UP_AFTER_S {
                 sim.after(RETRY_PAUSE_S, move |sim| sim.try_cancel(job, nodes, since));
             }
         };
-        if through.is_empty() {
+        if via.is_empty() {
             return self.ask(id, request, CHANGE_TIMEOUT_S, retry);
         }
-        let node = through[self.rng.random_range(0..through.len())];
+        let node = via[self.rng.random_range(0..via.len())];
         self.ask_node(node, id, request, CHANGE_TIMEOUT_S, retry);
     }
 
     /// Users cancel the running jobs that have longest to go, all at once and through one of
     /// these nodes; some machines of these jobs hang for so long.
-    pub fn cancel_now(&mut self, count: usize, through: Vec<usize>, hang_s: f64) {
-        let jobs = self.longest_running_jobs(count);
+    pub fn cancel_longest_remaining(&mut self, count: usize, via: Vec<usize>, hang_s: f64) {
+        let jobs = self.longest_remaining_jobs(count);
         if hang_s > 0.0 {
             let holds = |worker: &&FakeWorker| {
                 worker.tasks.iter().any(|task| jobs.contains(&task.task.job))
@@ -191,14 +191,14 @@
             self.hang(names, hang_s);
         }
         for id in jobs {
-            let after_s = self.rng.random_range(CANCEL_NOW_WITHIN_S);
-            let through = through.clone();
-            self.after(after_s, move |sim| sim.cancel_through(id, through));
+            let after_s = self.rng.random_range(CANCEL_LONGEST_REMAINING_WITHIN_S);
+            let via = via.clone();
+            self.after(after_s, move |sim| sim.cancel_via(id, via));
         }
     }
 
     /// Running jobs that no user knows to be over, those with longest to go first.
-    fn longest_running_jobs(&self, count: usize) -> Vec<JobId> {
+    fn longest_remaining_jobs(&self, count: usize) -> Vec<JobId> {
         let mut ends_at: BTreeMap<JobId, f64> = BTreeMap::new();
         let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
         for task in tasks.filter(|task| task.state == TaskState::Running) {
@@ -227,18 +227,18 @@
         let (queried, submitted) = (id.clone(), id.clone());
         self.after(cancel_s, move |sim| sim.cancel(id));
         self.after(query_s, move |sim| sim.poll_once(queried));
-        self.after(submit_s, move |sim| sim.submit_again(submitted));
+        self.after(submit_s, move |sim| sim.resubmit(submitted));
     }
 
     /// A user submits a job once more: it is known, so 200 is the answer.
-    pub fn submit_again(&mut self, id: JobId) {
+    pub fn resubmit(&mut self, id: JobId) {
         if let Some(node) = self.any_node() {
-            self.submit_again_at(node, id);
+            self.resubmit_at(node, id);
         }
     }
 
     /// The same at this node.
-    pub fn submit_again_at(&mut self, node: usize, id: JobId) {
+    pub fn resubmit_at(&mut self, node: usize, id: JobId) {
         let Some(spec) = self.invariants.spec(&id) else { return };
         let known = self.invariants.last_state(&id).is_some();
         let request = HttpRequest::submit(&spec);
--- a/crates/gladekeel-testkit/src/stand_ins/cloud.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/cloud.rs
@@ -170,7 +170,7 @@
     }
 
     fn delete(&mut self, now: f64, names: &[String]) -> CloudResponse {
-        let deleted = names.iter().filter(|name| self.take(now, name)).cloned().collect();
+        let deleted = names.iter().filter(|name| self.remove_machine(now, name)).cloned().collect();
         CloudResponse { outcome: CloudOutcome::Deleted, rented: Vec::new(), deleted }
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// A machine goes; returns whether it was there.
-    pub fn take(&mut self, now: f64, name: &str) -> bool {
+    pub fn remove_machine(&mut self, now: f64, name: &str) -> bool {
         let machine = self.machines.get_mut(name).filter(|machine| machine.gone_at.is_none());
         let Some(machine) = machine else { return false };
         machine.gone_at = Some(now);
--- a/crates/gladekeel-testkit/src/stand_ins/gang.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/gang.rs
@@ -23,11 +23,11 @@
     /// How often all its tasks began to run.
     pub runs: u32,
     /// How often an orderly stop saved its progress.
-    pub saves: u32,
+    pub stop_checkpoints: u32,
     /// Saved progress, from which the next attempt continues, in seconds.
     pub checkpointed_s: f64,
     /// Progress that was lost, in seconds.
-    pub lost_s: f64,
+    pub lost_progress_s: f64,
     /// Whether it has completed.
     pub done: bool,
 }
@@ -53,7 +53,7 @@
     /// Within this time the tasks of a gang notice what befell another one.
     pub peer_s: f64,
     /// Seeded fault: tasks run without waiting for the others.
-    pub run_alone: bool,
+    pub run_partial_gangs: bool,
     runs: BTreeMap<(JobId, u64), GangRun>,
     jobs: BTreeMap<JobId, GangRecord>,
 }
@@ -99,7 +99,12 @@
 impl GangRuntime {
     /// No gangs yet.
     pub fn new(peer_s: f64) -> GangRuntime {
-        GangRuntime { peer_s, run_alone: false, runs: BTreeMap::new(), jobs: BTreeMap::new() }
+        GangRuntime {
+            peer_s,
+            run_partial_gangs: false,
+            runs: BTreeMap::new(),
+            jobs: BTreeMap::new(),
+        }
     }
 
     /// What a job has achieved so far.
@@ -123,7 +128,7 @@
             if self.runs.contains_key(&key) {
                 self.advance(now, &key, &running, workers, &mut events);
             }
-            if !self.runs.contains_key(&key) || self.run_alone {
+            if !self.runs.contains_key(&key) || self.run_partial_gangs {
                 self.start_if_complete(now, &key, &waiting, workers, &mut events);
             }
         }
@@ -184,7 +189,7 @@
             return;
         }
         let indices: BTreeSet<u32> = responsive.iter().map(|member| member.index).collect();
-        if indices.len() < spec.tasks as usize && !self.run_alone {
+        if indices.len() < spec.tasks as usize && !self.run_partial_gangs {
             return;
         }
         job.runs += 1;
@@ -228,7 +233,7 @@
                 && !run.saved
                 && run.failed_at.is_none()
             {
-                job.lost_s += run.progress_s - job.checkpointed_s;
+                job.lost_progress_s += run.progress_s - job.checkpointed_s;
             }
             return;
         };
@@ -283,7 +288,7 @@
     /// The gang falls back to its last checkpoint.
     fn fail(&mut self, now: f64, job: &mut GangRecord) {
         self.failed_at = Some(now);
-        job.lost_s += self.progress_s - job.checkpointed_s;
+        job.lost_progress_s += self.progress_s - job.checkpointed_s;
     }
 
     /// Lets an attempt whose first task was told to stop save and exit; the save fails if a task
@@ -322,7 +327,7 @@
             self.fail(now, job);
         } else if !leave.is_empty() && !self.saved {
             self.saved = true;
-            job.saves += 1;
+            job.stop_checkpoints += 1;
             job.checkpointed_s = self.progress_s;
         }
         for (member, cause, saved) in leave {
--- a/crates/gladekeel-testkit/tests/decision_trace.rs
+++ b/crates/gladekeel-testkit/tests/decision_trace.rs
@@ -43,10 +43,10 @@
 /// The digest tells one run from another, and a run from itself played anew does not differ.
 #[test]
 fn digests_depend_on_what_happens() {
-    let world = "world seed=7 ordinary=2\n";
+    let world = "world seed=7 on_demand=2\n";
     let digests = |text: &str| scenario::run(&format!("{world}{text}")).unwrap();
-    let one = digests("at 3 submit job-1 tasks=2 run=20\nuntil 30\n");
-    assert_eq!(one, digests("at 3 submit job-1 tasks=2 run=20\nuntil 30\n"));
-    assert_ne!(one, digests("at 3 submit job-1 tasks=3 run=20\nuntil 30\n"));
-    assert_ne!(one, digests("at 3.5 submit job-1 tasks=2 run=20\nuntil 30\n"));
+    let one = digests("at 3 submit job-1 tasks=2 run_s=20\nuntil 30\n");
+    assert_eq!(one, digests("at 3 submit job-1 tasks=2 run_s=20\nuntil 30\n"));
+    assert_ne!(one, digests("at 3 submit job-1 tasks=3 run_s=20\nuntil 30\n"));
+    assert_ne!(one, digests("at 3.5 submit job-1 tasks=2 run_s=20\nuntil 30\n"));
 }
--- a/crates/gladekeel-testkit/tests/gangs/orderly_stop.rs
+++ b/crates/gladekeel-testkit/tests/gangs/orderly_stop.rs
@@ -20,7 +20,7 @@
         "progress ends with the first halt: {}",
         gang.checkpointed_s()
     );
-    assert_eq!(gang.gangs.record(&gang.spec.id.clone()).saves, 1);
+    assert_eq!(gang.gangs.record(&gang.spec.id.clone()).stop_checkpoints, 1);
 }
 
 #[test]
@@ -32,7 +32,7 @@
     assert_eq!(gang.exit_of(0), Some((ExitCause::Stopped, Some(false))));
     assert_eq!(gang.exit_of(1), Some((ExitCause::GangMemberLost, None)));
     assert!(is_near(gang.checkpointed_s(), 10.0), "{}", gang.checkpointed_s());
-    assert_eq!(gang.gangs.record(&gang.spec.id.clone()).saves, 0);
+    assert_eq!(gang.gangs.record(&gang.spec.id.clone()).stop_checkpoints, 0);
 }
 
 #[test]
--- a/crates/gladekeel-testkit/tests/gangs/running.rs
+++ b/crates/gladekeel-testkit/tests/gangs/running.rs
@@ -28,8 +28,8 @@
     assert_eq!(gang.exit_of(0), Some((ExitCause::GangMemberLost, None)));
     assert_eq!(gang.exit_of(2), Some((ExitCause::GangMemberLost, None)));
     assert!(is_near(gang.checkpointed_s(), 20.0), "checkpoints are at 10 and 20 s");
-    let lost_s = gang.gangs.record(&gang.spec.id.clone()).lost_s;
-    assert!(is_near(lost_s, 4.0), "{lost_s}");
+    let lost_progress_s = gang.gangs.record(&gang.spec.id.clone()).lost_progress_s;
+    assert!(is_near(lost_progress_s, 4.0), "{lost_progress_s}");
 
     // The next attempt goes on from there, and its checkpoints are the job's.
     (0..3).for_each(|n| gang.start(n, n, 2));
--- a/crates/gladekeel-testkit/tests/invariants/gang_start.rs
+++ b/crates/gladekeel-testkit/tests/invariants/gang_start.rs
@@ -12,10 +12,10 @@
     checker.on_task_started(1.0, &task(0), &machine("n-1", "a", false));
     checker.on_task_started(2.0, &task(1), &machine("n-2", "a", false));
     checker.check_gang_starts(2.0);
-    assert_eq!(checker.began_at(&job_id()), None, "both wait");
+    assert_eq!(checker.started_at(&job_id()), None, "both wait");
     (0..2).for_each(|n| checker.on_gang_task_running(3.0, &task(n), 1));
     checker.check_gang_starts(3.0);
-    assert_eq!(checker.began_at(&job_id()), Some(3.0));
+    assert_eq!(checker.started_at(&job_id()), Some(3.0));
     assert!(violated(&checker).is_empty());
 }
 
--- a/crates/gladekeel-testkit/tests/invariants/response_status.rs
+++ b/crates/gladekeel-testkit/tests/invariants/response_status.rs
@@ -24,12 +24,12 @@
 fn junk_that_is_not_refused_is_a_violation() {
     for status in [400, 404, 405, 413, 429, 503] {
         let mut checker = checker();
-        checker.check_junk_status(status);
+        checker.check_invalid_bytes_status(status);
         assert!(violated(&checker).is_empty(), "{status} refuses it or puts it off");
     }
     for status in [0, 200, 201, 302, 500, 502] {
         let mut checker = checker();
-        checker.check_junk_status(status);
+        checker.check_invalid_bytes_status(status);
         assert_eq!(violated(&checker), ["junk"], "{status}");
     }
 }
--- a/crates/gladekeel-testkit/tests/invariants/seeded_faults.rs
+++ b/crates/gladekeel-testkit/tests/invariants/seeded_faults.rs
@@ -5,32 +5,35 @@
 /// A scenario line that is executed against a node, whose answer is another than it says.
 #[test]
 fn a_response_that_differs_from_the_scenario_is_a_violation() {
-    let text = "world ordinary=1\nat 5 http GET /admin/settings = 201\nuntil 10\n";
+    let text = "world on_demand=1\nat 5 http GET /admin/settings = 201\nuntil 10\n";
     let failure = run(text).unwrap_err().to_string();
-    assert!(failure.contains("rule http broken: GET /admin/settings: 200"), "{failure}");
-    run(&format!("{text}expect broken http\n")).unwrap();
+    assert!(failure.contains("invariant http violated: GET /admin/settings: 200"), "{failure}");
+    run(&format!("{text}expect violated http\n")).unwrap();
 }
 
 /// A line that refers to a machine of a job that has none.
 #[test]
 fn a_target_that_does_not_exist_is_a_violation() {
-    let text = "world ordinary=1\nat 5 reboot holder job-1\nuntil 10\n";
+    let text = "world on_demand=1\nat 5 reboot host_of:job-1\nuntil 10\n";
     let failure = run(text).unwrap_err().to_string();
-    assert!(failure.contains("rule nobody broken: no machine holds job-1"), "{failure}");
+    assert!(
+        failure.contains("invariant nobody violated: no machine hosts a task of job-1"),
+        "{failure}"
+    );
 }
 
 /// A simulation in which tasks do not wait for their gang: one machine has the image when the
 /// gang comes, the other has yet to boot.
 #[test]
 fn a_simulation_whose_gangs_run_in_part_violates_the_gang_start() {
-    let text = "world ordinary=4 gang_alone=yes\n\
-                at 3 submit job-2 tasks=1 cpus=8 run=60\n\
-                at 30 submit job-1 tasks=2 cpus=20 run=20 kind=gang\n\
+    let text = "world on_demand=4 run_partial_gangs=yes\n\
+                at 3 submit job-2 tasks=1 cpus=8 run_s=60\n\
+                at 30 submit job-1 tasks=2 cpus=20 run_s=20 kind=gang\n\
                 until 100\n\
-                expect broken ran_alone\n";
+                expect violated ran_alone\n";
     run(text).unwrap();
-    let failure = run(&text.replace("expect broken ran_alone\n", "")).unwrap_err();
-    assert!(failure.to_string().contains("rule ran_alone broken"), "{failure}");
-    let failure = run(&text.replace("gang_alone=yes", "")).unwrap_err();
-    assert!(failure.to_string().contains("ran_alone is not broken"), "{failure}");
+    let failure = run(&text.replace("expect violated ran_alone\n", "")).unwrap_err();
+    assert!(failure.to_string().contains("invariant ran_alone violated"), "{failure}");
+    let failure = run(&text.replace("run_partial_gangs=yes", "")).unwrap_err();
+    assert!(failure.to_string().contains("ran_alone is not violated"), "{failure}");
 }
--- a/crates/gladekeel-testkit/tests/scenario_runner.rs
+++ b/crates/gladekeel-testkit/tests/scenario_runner.rs
@@ -19,13 +19,13 @@
     for (line, expected) in [
         ("at 5 crash", "line 2: expected a target, found the end of the line"),
         ("at 5 fly", "line 2: expected a step, found \"fly\""),
-        ("at soon junk", "line 2: expected a number, found \"soon\""),
+        ("at soon send_invalid_bytes", "line 2: expected a number, found \"soon\""),
         ("expect job-1 happy", "line 2: expected the state of a job, found \"happy\""),
         ("expect leaders < 2", "line 2: expected one of >=, <= and =, found \"<\""),
         ("expect heroes >= 2", "line 2: expected a quantity, found \"heroes\""),
         ("wait 5", "line 2: expected one of world, at, until and expect, found \"wait\""),
     ] {
-        let error = scenario::run(&format!("world ordinary=1\n{line}\n")).unwrap_err();
+        let error = scenario::run(&format!("world on_demand=1\n{line}\n")).unwrap_err();
         assert_eq!(error.to_string(), expected, "{line}");
     }
     let error = scenario::run("until 5\n").unwrap_err().to_string();
