--- a/crates/gladekeel-testkit/src/invariants/gang_start.rs
+++ b/crates/gladekeel-testkit/src/invariants/gang_start.rs
@@ -26,7 +26,7 @@
         for ((job, attempt), tasks) in std::mem::take(&mut self.gang_starts.0) {
             let expected = self.specs.get(&job).map_or(0, |spec| spec.tasks as usize);
             if tasks.len() == expected {
-                self.began.entry(job).or_insert(now);
+                self.started_at.entry(job).or_insert(now);
             } else {
                 let started = tasks.len();
                 let details =
--- a/crates/gladekeel-testkit/src/invariants/mod.rs
+++ b/crates/gladekeel-testkit/src/invariants/mod.rs
@@ -46,7 +46,7 @@
     /// Machine types of the cloud; while there are none, no job counts as impossible to run.
     pub machine_types: Vec<MachineType>,
     /// How much longer than the one before it each task of a job runs, in seconds.
-    pub run_time_step_s: BTreeMap<JobId, f64>,
+    pub run_step_s: BTreeMap<JobId, f64>,
     /// When the last injected fault is over. Liveness is only checked after that.
     pub faults_cleared_at: f64,
     /// Starts so far.
@@ -61,7 +61,7 @@
     completed: BTreeSet<TaskId>,
     completed_per_job: BTreeMap<JobId, usize>,
     /// When each job's first task began.
-    began: BTreeMap<JobId, f64>,
+    started_at: BTreeMap<JobId, f64>,
     gang_starts: GangStarts,
     /// Jobs whose cancellation a client has observed.
     cancelled: BTreeSet<JobId>,
@@ -81,7 +81,7 @@
         InvariantChecker {
             deployment,
             machine_types: Vec::new(),
-            run_time_step_s: BTreeMap::new(),
+            run_step_s: BTreeMap::new(),
             faults_cleared_at: 0.0,
             starts: 0,
             starts_refused: 0,
@@ -91,7 +91,7 @@
             running: RunningTasks::default(),
             completed: BTreeSet::new(),
             completed_per_job: BTreeMap::new(),
-            began: BTreeMap::new(),
+            started_at: BTreeMap::new(),
             gang_starts: GangStarts::default(),
             cancelled: BTreeSet::new(),
             reported_after_cancellation: BTreeSet::new(),
@@ -144,7 +144,7 @@
         self.check_start_after_cancellation(now, task, &spec, machine);
         // A gang has begun when all its tasks run, not when one waits for the others.
         if spec.kind != JobKind::Gang {
-            self.began.entry(task.job.clone()).or_insert(now);
+            self.started_at.entry(task.job.clone()).or_insert(now);
         }
         self.check_placement(now, task, &spec, machine);
         self.running.add(task, &spec, machine);
@@ -169,7 +169,7 @@
     /// such task.
     pub fn task_spec(&self, task: &TaskId) -> Option<JobSpec> {
         let mut spec = self.spec(&task.job).filter(|spec| task.index < spec.tasks)?;
-        let step_s = self.run_time_step_s.get(&task.job).copied().unwrap_or_default();
+        let step_s = self.run_step_s.get(&task.job).copied().unwrap_or_default();
         spec.estimate_s += step_s * f64::from(task.index);
         Some(spec)
     }
@@ -186,7 +186,7 @@
 
     /// When a job's first task began, or all tasks of a gang.
     pub fn started_at(&self, job: &JobId) -> Option<f64> {
-        self.began.get(job).copied()
+        self.started_at.get(job).copied()
     }
 
     /// CPUs that a team's tasks on machines use.
--- a/crates/gladekeel-testkit/src/scenario/steps/machines.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/machines.rs
@@ -64,7 +64,7 @@
         };
         let there = sim.workers.values().filter(|worker| worker.machine.zone == zone);
         let names: Vec<String> = there.map(|worker| worker.machine.name.clone()).collect();
-        sim.fault_lasts(duration_s);
+        sim.mark_fault_active(duration_s);
         for name in names {
             if reclaims {
                 sim.reclaim_machine(name, 0.0);
@@ -91,7 +91,7 @@
         "drain" => Box::new(|sim, name| drain(sim, &name)),
         "reboot" => Box::new(|sim, name| sim.reboot(&name)),
         "hang" => Box::new(move |sim, name| {
-            sim.fault_lasts(duration_s);
+            sim.mark_fault_active(duration_s);
             hang_for(sim, name, duration_s);
         }),
         other => return Err(LineError::unexpected("reclaim, drain, hang or reboot", other)),
@@ -107,7 +107,7 @@
 
 /// Drains a machine by way of the leader's admin API.
 fn drain(sim: &mut Simulation, name: &str) {
-    let node = sim.leading().unwrap_or(0);
+    let node = sim.leader_node().unwrap_or(0);
     let path = format!("/admin/machines/{name}/drain");
     sim.expect_status(node, "POST", path, Vec::new(), 200);
 }
@@ -173,7 +173,7 @@
             }
         };
         set(sim, true);
-        sim.fault_lasts(duration_s);
+        sim.mark_fault_active(duration_s);
         sim.after(duration_s, move |sim| set(sim, false));
     }))
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/messages.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/messages.rs
@@ -13,7 +13,7 @@
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
         sim.delayed_commit_share = share;
-        sim.fault_lasts(duration_s + MAX_COMMIT_DELAY_S);
+        sim.mark_fault_active(duration_s + MAX_COMMIT_DELAY_S);
         sim.after(duration_s, |sim| sim.delayed_commit_share = 0.0);
     }))
 }
@@ -23,7 +23,7 @@
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
         sim.message_faults.dropped_commit_response_share = share;
-        sim.fault_lasts(duration_s);
+        sim.mark_fault_active(duration_s);
         sim.after(duration_s, |sim| sim.message_faults.dropped_commit_response_share = 0.0);
     }))
 }
@@ -33,7 +33,7 @@
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
         sim.message_faults.delayed_command_share = share;
-        sim.fault_lasts(duration_s + MAX_COMMAND_DELAY_S);
+        sim.mark_fault_active(duration_s + MAX_COMMAND_DELAY_S);
         sim.after(duration_s, |sim| sim.message_faults.delayed_command_share = 0.0);
     }))
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/mod.rs
@@ -69,7 +69,7 @@
 ) -> Step {
     Box::new(move |sim| {
         begin(sim);
-        sim.fault_lasts(duration_s);
+        sim.mark_fault_active(duration_s);
         sim.after(duration_s, clear);
     })
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/users.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/users.rs
@@ -19,12 +19,12 @@
         .iter()
         .map(|name| build_job(name, &line.options))
         .collect::<Result<_, _>>()?;
-    let run_time_step_s = line.options.number_or("run_step_s", 0.0)?;
+    let run_step_s = line.options.number_or("run_step_s", 0.0)?;
     let interval_s = line.options.number_or("interval_s", 0.0)?;
     let cancelled_share = line.options.number_or("cancelled_share", 0.0)?;
     Ok(Box::new(move |sim| {
         for (index, spec) in specs.into_iter().enumerate() {
-            sim.invariants.run_time_step_s.insert(spec.id.clone(), run_time_step_s);
+            sim.invariants.run_step_s.insert(spec.id.clone(), run_step_s);
             if interval_s > 0.0 {
                 sim.submit_in_stream(spec, index as f64 * interval_s, cancelled_share);
             } else {
@@ -119,7 +119,7 @@
     let body = parts.next().unwrap_or("").to_owned();
     let status = number(status)? as u16;
     Ok(Box::new(move |sim| {
-        let node = sim.leading().unwrap_or(0);
+        let node = sim.leader_node().unwrap_or(0);
         sim.expect_status(node, method, path, body.into_bytes(), status);
     }))
 }
--- a/crates/gladekeel-testkit/src/scenario/targets.rs
+++ b/crates/gladekeel-testkit/src/scenario/targets.rs
@@ -92,9 +92,9 @@
 /// The indices of the nodes that `leader`, `followers`, `all` or a number means now.
 pub(super) fn node_indices(sim: &Simulation, who: &str) -> Vec<usize> {
     match who {
-        "leader" => sim.leading().into_iter().collect(),
+        "leader" => sim.leader_node().into_iter().collect(),
         "all" => (0..sim.nodes()).collect(),
-        "followers" => (0..sim.nodes()).filter(|node| Some(*node) != sim.leading()).collect(),
+        "followers" => (0..sim.nodes()).filter(|node| Some(*node) != sim.leader_node()).collect(),
         number => number.parse().into_iter().filter(|node| *node < sim.nodes()).collect(),
     }
 }
--- a/crates/gladekeel-testkit/src/scenario/world.rs
+++ b/crates/gladekeel-testkit/src/scenario/world.rs
@@ -37,7 +37,7 @@
     let mut sim = Simulation::new(settings, store, cloud, seed);
     sim.duplicated_request_share = options.number_or("duplicated_request_share", 0.0)?;
     sim.duplicated_heartbeat_share = options.number_or("duplicated_heartbeat_share", 0.0)?;
-    sim.step_s = options.number_or("worker_step_s", sim.step_s)?;
+    sim.worker_step_s = options.number_or("worker_step_s", sim.worker_step_s)?;
     sim.start_tasks_twice = options.contains("start_tasks_twice");
     sim.gang_wait_s = gang_times.wait_s;
     sim.gangs.peer_s = gang_times.peer_s;
--- a/crates/gladekeel-testkit/src/simulation/machines.rs
+++ b/crates/gladekeel-testkit/src/simulation/machines.rs
@@ -40,7 +40,7 @@
 
     /// How many workers send their heartbeats to the leader itself.
     pub fn workers_at_leader(&self) -> usize {
-        let leading = self.leading();
+        let leading = self.leader_node();
         self.workers.values().filter(|worker| Some(worker.node) == leading).count()
     }
 
@@ -76,7 +76,7 @@
 
     /// Machines hang for a while.
     pub fn hang(&mut self, names: Vec<String>, duration_s: f64) {
-        self.fault_lasts(duration_s);
+        self.mark_fault_active(duration_s);
         let set_hung = move |sim: &mut Simulation, hung: bool| {
             let now = sim.now;
             for name in &names {
@@ -100,7 +100,7 @@
         let machine = worker.machine.clone();
         let next_heartbeat_at = self.send_due_heartbeat(&name, heartbeat_at);
         self.record_events(&machine, events);
-        self.after(self.step_s, move |sim| sim.step_worker(name, next_heartbeat_at));
+        self.after(self.worker_step_s, move |sim| sim.step_worker(name, next_heartbeat_at));
     }
 
     /// Lets all gangs go on. Only scheduled in simulations that have one.
@@ -110,7 +110,7 @@
             let machine = worker.machine.clone();
             self.record_events(&machine, vec![event]);
         }
-        self.after(self.step_s, Simulation::step_gangs);
+        self.after(self.worker_step_s, Simulation::step_gangs);
     }
 
     /// Tells the invariant checker what happened on a machine.
@@ -127,7 +127,7 @@
                 WorkerEvent::TaskEnded { task, completed } => {
                     self.invariants.on_task_ended(&task, &machine.name, completed);
                     if completed && self.invariants.all_tasks_completed(&task.job) {
-                        self.at_completion(task.job);
+                        self.on_job_completed(task.job);
                     }
                 }
             }
--- a/crates/gladekeel-testkit/src/simulation/mod.rs
+++ b/crates/gladekeel-testkit/src/simulation/mod.rs
@@ -120,7 +120,7 @@
     /// Share of the heartbeats that arrive again, at any node, up to three leases later.
     pub duplicated_heartbeat_share: f64,
     /// Time between steps of a worker.
-    pub step_s: f64,
+    pub worker_step_s: f64,
     /// Seeded fault: every task is started on a second machine as well.
     pub start_tasks_twice: bool,
     /// Token and node of every leader seen.
@@ -172,7 +172,7 @@
             partitions: Vec::new(),
             duplicated_request_share: 0.0,
             duplicated_heartbeat_share: 0.0,
-            step_s: STEP_S,
+            worker_step_s: STEP_S,
             start_tasks_twice: false,
             leaders: Vec::new(),
             abandoned_submissions: 0,
--- a/crates/gladekeel-testkit/src/simulation/network.rs
+++ b/crates/gladekeel-testkit/src/simulation/network.rs
@@ -106,12 +106,12 @@
 
     /// Cuts connections for a while; with `buffered`, messages arrive afterwards.
     pub fn partition(&mut self, partition: Partition, duration_s: f64, buffered: bool) {
-        self.fault_lasts(duration_s);
+        self.mark_fault_active(duration_s);
         self.partitions.push(ActivePartition { partition, until: self.now + duration_s, buffered });
     }
 
     /// Notes that a fault is active for so long: liveness is not checked meanwhile.
-    pub fn fault_lasts(&mut self, duration_s: f64) {
+    pub fn mark_fault_active(&mut self, duration_s: f64) {
         self.invariants.faults_cleared_at =
             self.invariants.faults_cleared_at.max(self.now + duration_s);
     }
--- a/crates/gladekeel-testkit/src/simulation/nodes.rs
+++ b/crates/gladekeel-testkit/src/simulation/nodes.rs
@@ -21,7 +21,7 @@
 
     /// Pauses a node; what reaches it meanwhile waits.
     pub fn pause(&mut self, node: usize, duration_s: f64) {
-        self.fault_lasts(duration_s);
+        self.mark_fault_active(duration_s);
         self.nodes[node].paused_until = self.now + duration_s;
     }
 
@@ -39,7 +39,7 @@
     /// Crashes a node and starts it again after a while.
     pub fn restart(&mut self, node: usize, after_s: f64) {
         self.crash(node);
-        self.fault_lasts(after_s);
+        self.mark_fault_active(after_s);
         self.after(after_s, move |sim| {
             if sim.nodes[node].process.is_none() {
                 sim.start(node);
@@ -48,7 +48,7 @@
     }
 
     /// The node that leads: of those that believe so, the one with the highest token.
-    pub fn leading(&self) -> Option<usize> {
+    pub fn leader_node(&self) -> Option<usize> {
         let leads =
             |host: &SimulatedNode| host.process.as_ref().and_then(|n| n.leader()).map(|l| l.token);
         (0..self.nodes.len())
@@ -59,19 +59,19 @@
 
     /// The leader's counters.
     pub fn leader_counters(&self) -> Option<gladekeel_controller::leader::LeaderCounters> {
-        let node = self.leading()?;
+        let node = self.leader_node()?;
         Some(self.nodes[node].process.as_ref()?.leader()?.counters().clone())
     }
 
     /// Segments of the assignment log in use.
     pub fn log_segments(&self) -> usize {
-        let node = self.leading().and_then(|node| self.nodes[node].process.as_ref());
+        let node = self.leader_node().and_then(|node| self.nodes[node].process.as_ref());
         node.and_then(|node| node.leader()).map_or(0, |leader| leader.log_segments())
     }
 
     /// Age of the oldest open job, as the leader knows it.
     pub fn oldest_job_s(&self) -> Option<f64> {
-        let host = &self.nodes[self.leading()?];
+        let host = &self.nodes[self.leader_node()?];
         host.process.as_ref()?.leader()?.oldest_job_s(self.now - host.started_at)
     }
 
--- a/crates/gladekeel-testkit/src/simulation/read_your_writes.rs
+++ b/crates/gladekeel-testkit/src/simulation/read_your_writes.rs
@@ -27,7 +27,7 @@
 
 impl Simulation {
     /// A user got a response about a job: if it brings news, all nodes are queried.
-    pub(super) fn probe_after_news(&mut self, id: &JobId, answer: Answer) {
+    pub(super) fn probe_after_new_state(&mut self, id: &JobId, answer: Answer) {
         if !matches!(answer.status, 200 | 201) {
             return;
         }
--- a/crates/gladekeel-testkit/src/simulation/services.rs
+++ b/crates/gladekeel-testkit/src/simulation/services.rs
@@ -45,7 +45,7 @@
         if is_commit && self.draws_delayed_commit(node) {
             let delay_s = self.rng.random_range(COMMIT_DELAY_S);
             return self.deliver(&Endpoint::Node(node), &Endpoint::Store, move |sim| {
-                sim.after(delay_s, move |sim| sim.execute_late(request));
+                sim.after(delay_s, move |sim| sim.execute_delayed_commit(request));
             });
         }
         let response_dropped =
@@ -100,7 +100,7 @@
     /// A transaction of a node was committed.
     fn committed(&mut self, node: usize) {
         let Some((left, downtime_s)) = self.crash_after_commits else { return };
-        if self.leading() != Some(node) {
+        if self.leader_node() != Some(node) {
             return;
         }
         self.crash_after_commits = (left > 1).then_some((left - 1, downtime_s));
@@ -116,9 +116,9 @@
 
     /// Executes a transaction that the store received long ago: its node may be refused by now,
     /// and an outage only delays it.
-    fn execute_late(&mut self, request: StoreRequest) {
+    fn execute_delayed_commit(&mut self, request: StoreRequest) {
         if self.store.down {
-            return self.after(1.0, move |sim| sim.execute_late(request));
+            return self.after(1.0, move |sim| sim.execute_delayed_commit(request));
         }
         // Nobody waits for the answer.
         self.store.call(self.now, usize::MAX, &request);
--- a/crates/gladekeel-testkit/src/simulation/users.rs
+++ b/crates/gladekeel-testkit/src/simulation/users.rs
@@ -24,7 +24,7 @@
 /// Time between two queries of a user.
 const POLL_INTERVAL_S: f64 = 5.0;
 /// For how long a user repeats a request.
-const GIVES_UP_AFTER_S: f64 = 60.0;
+const RETRY_FOR_S: f64 = 60.0;
 /// Within this time the cancellations of `cancel_longest_remaining` are sent.
 const CANCEL_LONGEST_REMAINING_WITHIN_S: Range<f64> = 0.0..0.2;
 /// How many machines of cancelled jobs hang at most.
@@ -50,7 +50,7 @@
     }
 
     /// Sends a request about a job to any node.
-    fn ask(
+    fn send_job_request(
         &mut self,
         job: JobId,
         request: HttpRequest,
@@ -61,11 +61,11 @@
             let no_answer = Answer { status: 0, state: None };
             return self.after(RETRY_PAUSE_S, move |sim| handler(sim, no_answer));
         };
-        self.ask_node(node, job, request, timeout_s, handler);
+        self.send_job_request_to(node, job, request, timeout_s, handler);
     }
 
     /// Sends a request about a job to a node.
-    fn ask_node(
+    fn send_job_request_to(
         &mut self,
         node: usize,
         job: JobId,
@@ -90,7 +90,7 @@
                 state: answer.state,
             };
             sim.invariants.on_response(&job, &response);
-            sim.probe_after_news(&job, answer);
+            sim.probe_after_new_state(&job, answer);
             handler(sim, answer);
         });
     }
@@ -119,18 +119,23 @@
     fn try_submit(&mut self, spec: JobSpec, since: f64) {
         let request = HttpRequest::submit(&spec);
         let id = spec.id.clone();
-        self.ask(id.clone(), request, CHANGE_TIMEOUT_S, move |sim, answer| match answer.status {
-            200 | 201 => sim.after(RETRY_PAUSE_S, move |sim| sim.poll(id)),
-            400 | 422 => {}
-            _ if sim.now - since > GIVES_UP_AFTER_S => sim.abandoned_submissions += 1,
-            _ => sim.after(RETRY_PAUSE_S, move |sim| sim.try_submit(spec, since)),
-        });
+        self.send_job_request(
+            id.clone(),
+            request,
+            CHANGE_TIMEOUT_S,
+            move |sim, answer| match answer.status {
+                200 | 201 => sim.after(RETRY_PAUSE_S, move |sim| sim.poll(id)),
+                400 | 422 => {}
+                _ if sim.now - since > RETRY_FOR_S => sim.abandoned_submissions += 1,
+                _ => sim.after(RETRY_PAUSE_S, move |sim| sim.try_submit(spec, since)),
+            },
+        );
     }
 
     /// A user queries a job until it is over.
     pub fn poll(&mut self, id: JobId) {
         let request = HttpRequest::query(&id);
-        self.ask(id.clone(), request, QUERY_TIMEOUT_S, move |sim, answer| {
+        self.send_job_request(id.clone(), request, QUERY_TIMEOUT_S, move |sim, answer| {
             let over = answer.state.is_some_and(JobState::is_final) || answer.status == 404;
             if !over {
                 sim.after(POLL_INTERVAL_S, move |sim| sim.poll(id));
@@ -148,7 +153,7 @@
     /// A user queries a job once, at this node.
     pub fn poll_node(&mut self, node: usize, id: JobId) {
         let request = HttpRequest::query(&id);
-        self.ask_node(node, id, request, QUERY_TIMEOUT_S, |_, _| {});
+        self.send_job_request_to(node, id, request, QUERY_TIMEOUT_S, |_, _| {});
     }
 
     /// A user cancels a job and repeats until that is answered.
@@ -167,15 +172,15 @@
         let job = id.clone();
         let nodes = via.clone();
         let retry = move |sim: &mut Simulation, answer: Answer| {
-            if answer.status != 200 && sim.now - since < GIVES_UP_AFTER_S {
+            if answer.status != 200 && sim.now - since < RETRY_FOR_S {
                 sim.after(RETRY_PAUSE_S, move |sim| sim.try_cancel(job, nodes, since));
             }
         };
         if via.is_empty() {
-            return self.ask(id, request, CHANGE_TIMEOUT_S, retry);
+            return self.send_job_request(id, request, CHANGE_TIMEOUT_S, retry);
         }
         let node = via[self.rng.random_range(0..via.len())];
-        self.ask_node(node, id, request, CHANGE_TIMEOUT_S, retry);
+        self.send_job_request_to(node, id, request, CHANGE_TIMEOUT_S, retry);
     }
 
     /// Users cancel the running jobs that have longest to go, all at once and through one of
@@ -215,7 +220,7 @@
 
     /// The last task of a job ends: at that moment its user cancels it, queries it and submits
     /// it again, at any node each.
-    pub(super) fn at_completion(&mut self, id: JobId) {
+    pub(super) fn on_job_completed(&mut self, id: JobId) {
         let share = self.cancel_at_completion_share;
         if share <= 0.0 || self.rng.random::<f64>() >= share {
             return;
@@ -242,10 +247,16 @@
         let Some(spec) = self.invariants.spec(&id) else { return };
         let known = self.invariants.last_state(&id).is_some();
         let request = HttpRequest::submit(&spec);
-        self.ask_node(node, id.clone(), request, CHANGE_TIMEOUT_S, move |sim, answer| {
-            let expected = if known { 200 } else { answer.status };
-            let description = format!("repeat of {id}");
-            sim.invariants.check_status(sim.now, expected, answer.status, &description);
-        });
+        self.send_job_request_to(
+            node,
+            id.clone(),
+            request,
+            CHANGE_TIMEOUT_S,
+            move |sim, answer| {
+                let expected = if known { 200 } else { answer.status };
+                let description = format!("repeat of {id}");
+                sim.invariants.check_status(sim.now, expected, answer.status, &description);
+            },
+        );
     }
 }
