--- a/crates/gladekeel-testkit/src/lib.rs
+++ b/crates/gladekeel-testkit/src/lib.rs
@@ -1,10 +1,11 @@
-//! Fakes of everything that a controller talks to, a simulation that connects them in
-//! virtual time, an invariant checker, and a runner for scenario files.
+//! Test support for the controller: fakes of the store, the cloud and the workers, a simulation
+//! that connects them to controller nodes in virtual time, an invariant checker, and a runner for
+//! scenario files.
 //!
-//! The simulation plays real [`Node`](gladekeel_controller::node::Node)s against a store, a
-//! cloud, workers and users that behave as the protocol says. It delays, loses, holds back
-//! and repeats their messages as a scenario asks, and checks every invariant after every
-//! event. Nothing here reads a clock: a scenario gives the same result every time.
+//! The simulation runs real [`Node`](gladekeel_controller::node::Node)s against a fake store, a
+//! fake cloud, fake workers and users, which all follow the protocol. It delays, loses, buffers and
+//! duplicates their messages as a scenario describes, and checks every invariant after every event.
+//! Nothing here reads a real clock, so a scenario gives the same result in every run.
 
 pub mod invariants;
 pub mod scenario;
--- a/crates/gladekeel-testkit/src/scenario/error.rs
+++ b/crates/gladekeel-testkit/src/scenario/error.rs
@@ -1,48 +1,48 @@
-//! Why a scenario cannot be run, or did not pass.
+//! Errors of scenarios: lines that cannot be parsed and checks that failed.
 
 use crate::invariants::Violation;
 use std::fmt;
 
-/// Why a scenario did not pass.
+/// The reason why a scenario did not pass.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// A line cannot be read.
+    /// A line cannot be parsed or executed.
     #[error("line {line}: {error}")]
     Line {
-        /// Number of the line, from 1.
+        /// Number of the line, starting at 1.
         line: usize,
-        /// What is wrong with it.
+        /// The error in the line.
         error: LineError,
     },
-    /// The scenario was run, and some checks failed.
+    /// The scenario ran to its end, and these checks failed.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     FailedChecks(Vec<FailedCheck>),
 }
 
-/// What is wrong with a line.
+/// An error in a line of a scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
     /// The line ends too early.
     #[error("expected {expected}, found the end of the line")]
     Missing {
-        /// What should have followed.
+        /// The token that is missing.
         expected: &'static str,
     },
-    /// A token is none of those that may stand in its place.
+    /// A token is not one of those that are allowed at its position.
     #[error("expected {expected}, found {found:?}")]
     Unexpected {
-        /// What should stand there.
+        /// The tokens that are allowed at the position.
         expected: &'static str,
-        /// The token.
+        /// The token that was found.
         found: String,
     },
-    /// The settings that the `world` line asks for are not valid.
+    /// The settings that the `world` line describes are not valid.
     #[error("invalid settings: {0}")]
     Settings(#[from] toml::de::Error),
 }
 
 impl LineError {
-    /// A token that is none of those that may stand in its place.
+    /// Returns the error for a token that is not allowed at its position.
     pub(super) fn unexpected(expected: &'static str, found: &str) -> LineError {
         LineError::Unexpected { expected, found: found.to_owned() }
     }
@@ -51,36 +51,36 @@
 /// A check that failed in one run of the scenario.
 #[derive(Debug)]
 pub struct FailedCheck {
-    /// The seed of the run, if the scenario is run with several.
+    /// The seed of the run; `None` if the scenario does not have a range of seeds.
     pub seed: Option<u64>,
-    /// The check.
+    /// The check and its result.
     pub check: Check,
 }
 
-/// What is checked.
+/// A kind of check, with what it found.
 #[derive(Debug)]
 pub enum Check {
-    /// An `expect` line.
+    /// An `expect` line that does not hold.
     Expectation {
-        /// Number of the line, from 1.
+        /// Number of the line, starting at 1.
         line: usize,
-        /// What was found instead.
+        /// The difference between the expectation and the simulation.
         mismatch: Mismatch,
     },
-    /// An invariant that no `expect violated` line names.
+    /// A violation of an invariant that no `expect violated` line names.
     Invariant(Violation),
-    /// A request to the store or the cloud that no client may send.
+    /// A request to the store or the cloud that violates the protocol.
     Protocol(String),
 }
 
-/// The difference between what a line expects and what was found.
+/// The difference between the value that a line expects and the value that was found.
 #[derive(Debug)]
 pub struct Mismatch {
-    /// What was looked at.
+    /// The job, quantity or invariant that was checked.
     pub subject: String,
-    /// What was found.
+    /// The value that was found.
     pub found: String,
-    /// What was expected.
+    /// The value or the bound that was expected.
     pub expected: String,
 }
 
--- a/crates/gladekeel-testkit/src/scenario/examples.rs
+++ b/crates/gladekeel-testkit/src/scenario/examples.rs
@@ -1,4 +1,4 @@
-//! Settings, jobs and machine types like the ones of the examples.
+//! Example settings, jobs and machine types, which scenarios and tests build on.
 
 use gladekeel_wire::{
     cloud::MachineType,
@@ -6,12 +6,12 @@
     settings::Settings,
 };
 
-/// How long the tasks of a gang wait for one another, in seconds.
+/// Timeouts of the tasks of a gang, in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct GangTimes {
-    /// How long a task waits for the others to start.
+    /// How long a task waits for the other tasks of its gang to start.
     pub wait_s: f64,
-    /// Within this time the tasks notice what happened to another one.
+    /// Longest time until a task notices that another task of its gang failed or stopped.
     pub peer_s: f64,
 }
 
@@ -21,17 +21,17 @@
     }
 }
 
-/// The settings of one node of the examples.
+/// Returns the example settings of one node, in a cluster with this number of nodes.
 pub fn example_settings(node: usize, nodes: usize) -> Settings {
     settings_with(node, nodes, GangTimes::default(), "").expect("the example settings are valid")
 }
 
-/// The example settings with these times of gangs, and these lines in the table `state.next`
-/// of announced limits.
+/// Returns the example settings of one node, with these timeouts of gangs. `announced_limits` holds
+/// the lines of the table `state.next`, in TOML; the table is absent if the text is empty.
 ///
 /// # Errors
 ///
-/// If the announced limits are not valid TOML or no limits.
+/// Returns an error if the announced limits are not valid TOML, or not valid limits.
 pub fn settings_with(
     node: usize,
     nodes: usize,
@@ -93,7 +93,7 @@
     toml::from_str(&text)
 }
 
-/// A job like the ones of the examples.
+/// Returns the example job: an array job of one task with normal priority, for the team `red`.
 pub fn example_job(id: &str) -> JobSpec {
     JobSpec {
         id: id.parse().expect("the example's id is valid"),
@@ -119,7 +119,7 @@
     }
 }
 
-/// A machine type like the ones of the examples.
+/// Returns the example machine type, which is available in these zones.
 pub fn example_type(zones: Vec<String>) -> MachineType {
     MachineType {
         name: "m32".into(),
--- a/crates/gladekeel-testkit/src/scenario/expectations.rs
+++ b/crates/gladekeel-testkit/src/scenario/expectations.rs
@@ -1,14 +1,14 @@
-//! `expect` lines: what must come of a scenario.
+//! Checks of `expect` lines against the state of the simulation.
 
 use super::{
     LineError, Mismatch,
-    tokens::{job_id, names, number},
+    tokens::{expand_names, job_id, number},
 };
 use crate::simulation::Simulation;
 use gladekeel_controller::leader::LeaderCounters;
 use gladekeel_wire::{JobId, job::JobState};
 
-/// Checks an expectation; returns what was found instead.
+/// Checks an expectation. Returns the mismatch, or `None` if the expectation holds.
 pub(super) fn check(sim: &Simulation, text: &str) -> Result<Option<Mismatch>, LineError> {
     let tokens: Vec<&str> = text.split_whitespace().collect();
     match *tokens.as_slice() {
@@ -17,7 +17,7 @@
         [quantity, operator, bound] => {
             let value = measure(sim, quantity)?;
             let mismatch = compare(quantity, value, operator, bound)?;
-            Ok(mismatch.map(|mismatch| with_cause(sim, quantity, mismatch)))
+            Ok(mismatch.map(|mismatch| with_first_too_large(sim, quantity, mismatch)))
         }
         ["team_cpus", team, operator, bound] => {
             compare("team_cpus", sim.invariants.cpus_of_team(team), operator, bound)
@@ -30,7 +30,8 @@
     }
 }
 
-/// Compares a number with `>= N`, `<= N` or `= N`.
+/// Checks a value against `>= N`, `<= N` or `= N`. Returns the mismatch, or `None` if the
+/// comparison holds.
 fn compare(
     quantity: &str,
     value: f64,
@@ -51,7 +52,7 @@
     }))
 }
 
-/// `violated INVARIANT`: it was violated.
+/// Checks `violated INVARIANT`: the invariant was violated at least once.
 fn check_violated(sim: &Simulation, invariant: &str) -> Option<Mismatch> {
     let mut violations = sim.invariants.violations.iter();
     let violated = violations.any(|violation| violation.invariant.name() == invariant);
@@ -62,7 +63,8 @@
     })
 }
 
-/// `JOBS done|cancelled|unfinished|not_accepted`, as last observed by their users.
+/// Checks `JOBS done|cancelled|unfinished|not_accepted` against the states that users last
+/// observed. Returns the first job in another state.
 fn check_state(
     sim: &Simulation,
     jobs: &str,
@@ -75,7 +77,7 @@
         "unfinished" => |state| state.is_some_and(|state| !state.is_final()),
         other => return Err(LineError::unexpected("the state of a job", other)),
     };
-    for name in names(jobs) {
+    for name in expand_names(jobs) {
         let state = sim.invariants.last_state(&job_id(&name)?);
         if !is_expected(state) {
             let found = format!("{state:?}");
@@ -85,7 +87,7 @@
     Ok(None)
 }
 
-/// A quantity of the whole simulation.
+/// Returns the value of a quantity of the whole simulation.
 fn measure(sim: &Simulation, quantity: &str) -> Result<f64, LineError> {
     let counter = |count: fn(LeaderCounters) -> u64| sim.leader_counters().map_or(0, count) as f64;
     Ok(match quantity {
@@ -117,7 +119,8 @@
     })
 }
 
-/// A quantity of one job.
+/// Returns the value of a quantity of one job. The start of a job that has not started is later
+/// than any bound.
 fn measure_job(sim: &Simulation, job: &JobId, quantity: &str) -> Result<f64, LineError> {
     Ok(match quantity {
         "started_at" => sim.invariants.started_at(job).unwrap_or(f64::MAX),
@@ -130,8 +133,8 @@
     })
 }
 
-/// Adds the first transaction that was too large to what was found.
-fn with_cause(sim: &Simulation, quantity: &str, mismatch: Mismatch) -> Mismatch {
+/// For `transactions_too_large`, adds the first such transaction to the value that was found.
+fn with_first_too_large(sim: &Simulation, quantity: &str, mismatch: Mismatch) -> Mismatch {
     match sim.store.too_large.first() {
         Some(first) if quantity == "transactions_too_large" => {
             Mismatch { found: format!("{} (first: {first})", mismatch.found), ..mismatch }
--- a/crates/gladekeel-testkit/src/scenario/files.rs
+++ b/crates/gladekeel-testkit/src/scenario/files.rs
@@ -1,4 +1,4 @@
-//! Running scenario files side by side.
+//! Finds scenario files and runs them in parallel.
 
 use super::{ScenarioError, run};
 use crate::simulation::TraceDigest;
@@ -8,12 +8,13 @@
     thread,
 };
 
-/// The directory of all scenario files, in directories by the kind of fault.
+/// Returns the directory of all scenario files. It has a subdirectory for each kind of fault.
 pub fn scenario_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios")
 }
 
-/// The name of a scenario: its path below the directory `scenarios`, without the extension.
+/// Returns the name of a scenario: the path of its file below the directory `scenarios`, without
+/// the extension.
 pub fn scenario_name(path: &Path) -> String {
     let mut names: Vec<_> = path
         .with_extension("")
@@ -26,11 +27,11 @@
     names.join("/")
 }
 
-/// The files in a directory and the directories below it, in no order.
+/// Returns the paths of all files in a directory and its subdirectories, in no particular order.
 ///
 /// # Errors
 ///
-/// If a directory cannot be read.
+/// Returns an error if a directory cannot be read.
 pub fn files_below(directory: &Path) -> io::Result<Vec<PathBuf>> {
     let mut files = Vec::new();
     for entry in fs::read_dir(directory)? {
@@ -44,26 +45,27 @@
     Ok(files)
 }
 
-/// What came of one scenario file.
+/// The result of running a scenario file.
 #[derive(Debug)]
 pub struct FileResult {
     /// The scenario's name; see [`scenario_name`].
     pub name: String,
-    /// The digest of each seed's run, or why the scenario did not pass.
+    /// The digest of each seed's run, or the reason why the scenario did not pass.
     pub outcome: Result<Vec<TraceDigest>, ScenarioError>,
 }
 
-/// Runs scenario files, each in a thread of its own, and returns the results in their order.
+/// Runs scenario files, each in its own thread, and returns the results in the order of the files.
 ///
 /// # Panics
 ///
-/// If a file cannot be read, or a scenario panics.
+/// Panics if a file cannot be read, or if a scenario panics.
 pub fn run_files(files: Vec<PathBuf>) -> Vec<FileResult> {
     let threads: Vec<_> = files.into_iter().map(|path| thread::spawn(|| run_file(path))).collect();
     let results = threads.into_iter();
     results.map(|thread| thread.join().expect("a scenario does not panic")).collect()
 }
 
+/// Reads and runs one scenario file.
 fn run_file(path: PathBuf) -> FileResult {
     let name = scenario_name(&path);
     let text = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}: {error}"));
--- a/crates/gladekeel-testkit/src/scenario/job.rs
+++ b/crates/gladekeel-testkit/src/scenario/job.rs
@@ -1,4 +1,4 @@
-//! The job that a `submit` step describes.
+//! Builds the job that a `submit` step describes.
 
 use super::{
     LineError,
@@ -7,20 +7,21 @@
 };
 use gladekeel_wire::job::{JobKind, JobSpec, Priority};
 
-/// How long a task takes to save, in jobs that save.
+/// How long a task takes to write a checkpoint, in jobs with checkpoints.
 const CHECKPOINT_WRITE_S: f64 = 2.0;
 
-/// The example job with this name and these changes.
-pub(super) fn build_job(name: &str, changes: &KeyValues<'_>) -> Result<JobSpec, LineError> {
+/// Returns the example job with this name, changed by the keys of a `submit` step.
+pub(super) fn build_job(name: &str, fields: &KeyValues<'_>) -> Result<JobSpec, LineError> {
     job_id(name)?;
     let mut spec = example_job(name);
-    for (key, value) in changes.iter() {
-        change(&mut spec, key, value)?;
+    for (key, value) in fields.iter() {
+        set_field(&mut spec, key, value)?;
     }
     Ok(spec)
 }
 
-fn change(spec: &mut JobSpec, key: &str, value: &str) -> Result<(), LineError> {
+/// Sets the field that a key of a `submit` step stands for.
+fn set_field(spec: &mut JobSpec, key: &str, value: &str) -> Result<(), LineError> {
     match key {
         "tasks" => spec.tasks = number(value)? as u32,
         "cpus" => spec.cpus = number(value)?,
@@ -41,9 +42,9 @@
         "spot" => spec.spot = value == "yes",
         "kind" => spec.kind = job_kind(value)?,
         "priority" => spec.priority = priority(value)?,
-        // Not of the job, but of its tasks and submission; see `steps::users`.
+        // These keys are about the run times and the submission; see `steps::users::submit`.
         "run_step_s" | "interval_s" | "cancelled_share" => {}
-        other => return Err(LineError::unexpected("a property of a job", other)),
+        other => return Err(LineError::unexpected("a key of submit", other)),
     }
     Ok(())
 }
@@ -62,6 +63,6 @@
         "normal" => Ok(Priority::Normal),
         "high" => Ok(Priority::High),
         "production" => Ok(Priority::Production),
-        other => Err(LineError::unexpected("a priority", other)),
+        other => Err(LineError::unexpected("low, normal, high or production", other)),
     }
 }
--- a/crates/gladekeel-testkit/src/scenario/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/mod.rs
@@ -34,8 +34,8 @@
 //! | `nodes` | Number of nodes; 3. |
 //! | `zones` | Names of the zones; `a,b`. |
 //! | `on_demand`, `spot` | Machines of each kind that the cloud has in each zone; 4 and 0. |
-//! | `machine_types` | Number of machine types, of which only one is available; 1. |
-//! | `boot_s` | How long a machine boots; 20. |
+//! | `machine_types` | Number of machine types, which share the free machines of a zone: `m32`, `m32-2` and so on; 1. |
+//! | `boot_s` | How long a machine of type `m32` boots; 20. |
 //! | `list_lag_s` | How far the cloud's list of machines lags behind; 4. |
 //! | `team_quota_factor` | Factor by which the teams' guaranteed CPUs and limits are multiplied; 1. |
 //! | `heartbeat_interval_s` | Time between heartbeats of a worker; as in the example settings. |
@@ -76,7 +76,7 @@
 //! | `http METHOD PATH BODY = STATUS` | The leader must respond to a request with this status. |
 //! | `http_to WHO METHOD PATH = STATUS` | The same for these nodes. |
 //! | `crash WHO for S` | Nodes crash and start again. |
-//! | `crash leader after_commits=N for S` | The leader crashes right after its Nth transaction from now on is committed. |
+//! | `crash leader after_commits=N for S` | The leader crashes when its Nth transaction from now on is committed, before it receives the response. |
 //! | `pause WHO for S` | The processes of nodes are paused while their clocks run on. |
 //! | `partition WHO from all\|workers\|store\|cloud\|peers\|users for S buffered` | Nodes are partitioned; with `buffered`, the messages arrive when the partition ends, otherwise they are lost. |
 //! | `partition zone:A from zone:B for S buffered` | Two zones are partitioned. |
@@ -96,7 +96,7 @@
 //! | `reclaim_at_completion JOB` | The cloud reclaims all machines of a gang but one as the gang completes. |
 //! | `drain host_of:JOB` | A machine is drained. |
 //! | `reboot COUNT`, `reboot host_of:JOB` | Machines reboot within an instant. |
-//! | `hang MACHINES for S`, `hang zone_of:JOB for S`, `hang host_of:JOB for S` | Machines hang. With `zone_of`, the zone has no free machine from then on. |
+//! | `hang MACHINES for S`, `hang zone_of:JOB for S`, `hang host_of:JOB for S` | Machines hang. With `zone_of`, the zone has no free machine from then on. With `zone_of` and `host_of`, the heartbeats that were due when the machines hung are not sent later. |
 //! | `fail_tasks MACHINES for S` | Every task that runs on these machines fails. |
 //! | `slow MACHINES for S` | Tasks take longer on these machines. |
 //! | `partition_inbound MACHINES for S` | Machines receive nothing; what they send arrives. |
--- a/crates/gladekeel-testkit/src/scenario/runner.rs
+++ b/crates/gladekeel-testkit/src/scenario/runner.rs
@@ -10,12 +10,12 @@
 use crate::simulation::{Simulation, TraceDigest};
 use std::ops::RangeInclusive;
 
-/// Runs a scenario; one whose world names `seeds=1..4` runs with each of them. Returns the
-/// digest of what the nodes did in each run.
+/// Runs a scenario and returns the digest of the nodes' actions in each run. A scenario whose
+/// `world` line has `seeds=1..4` is run once with each of these seeds.
 ///
 /// # Errors
 ///
-/// If a line cannot be read, or a check fails in some run.
+/// Returns an error if a line cannot be parsed, or if a check fails in any of the runs.
 pub fn run(text: &str) -> Result<Vec<TraceDigest>, ScenarioError> {
     let Some(seeds) = seeds_token(text) else { return Ok(vec![run_once(text, None)?]) };
     let range = parse_seeds(seeds).ok_or_else(|| ScenarioError::Line {
@@ -25,8 +25,8 @@
     let mut digests = Vec::new();
     let mut failed = Vec::new();
     for seed in range {
-        let one = text.replacen(&format!("seeds={seeds}"), &format!("seed={seed}"), 1);
-        match run_once(&one, Some(seed)) {
+        let with_seed = text.replacen(&format!("seeds={seeds}"), &format!("seed={seed}"), 1);
+        match run_once(&with_seed, Some(seed)) {
             Err(ScenarioError::FailedChecks(checks)) => failed.extend(checks),
             other => digests.push(other?),
         }
@@ -34,7 +34,7 @@
     if failed.is_empty() { Ok(digests) } else { Err(ScenarioError::FailedChecks(failed)) }
 }
 
-/// The `FIRST..LAST` of the world's `seeds=FIRST..LAST`.
+/// Returns the `FIRST..LAST` of `seeds=FIRST..LAST` in the `world` line, if the line has it.
 fn seeds_token(text: &str) -> Option<&str> {
     let world = text.lines().find(|line| line.starts_with("world "))?;
     world.split_whitespace().find_map(|token| token.strip_prefix("seeds="))
@@ -57,68 +57,72 @@
 /// One run of a scenario.
 #[derive(Default)]
 struct Run {
-    /// None until the `world` line.
+    /// The simulation; `None` before the `world` line.
     sim: Option<Simulation>,
-    failed: Vec<Check>,
-    /// Names of the invariants that `expect violated` lines allow to be violated.
-    may_be_violated: Vec<String>,
+    failed_checks: Vec<Check>,
+    /// Names of the invariants in `expect violated` lines, whose violation is not a failure.
+    expected_violations: Vec<String>,
 }
 
 impl Run {
-    /// Executes a line.
-    fn execute(&mut self, number_of_line: usize, line: &str) -> Result<(), LineError> {
+    /// Executes a line. Comments and empty lines do nothing.
+    fn execute(&mut self, line_number: usize, line: &str) -> Result<(), LineError> {
         let line = line.split('#').next().unwrap_or("").trim();
         if line.is_empty() {
             return Ok(());
         }
-        let (verb, rest) =
+        let (keyword, rest) =
             line.split_once(' ').ok_or(LineError::Missing { expected: "a second word" })?;
-        if verb == "world" {
+        if keyword == "world" {
             self.sim = Some(build_simulation(&split(rest).1)?);
             return Ok(());
         }
-        let sim = self.sim.as_mut().ok_or_else(|| LineError::unexpected("`world` first", verb))?;
-        match verb {
+        let sim =
+            self.sim.as_mut().ok_or_else(|| LineError::unexpected("`world` first", keyword))?;
+        match keyword {
             "at" => schedule(sim, rest),
             "until" => {
                 sim.run(number(rest)?);
                 Ok(())
             }
-            "expect" => self.expect(number_of_line, rest),
+            "expect" => self.expect(line_number, rest),
             other => Err(LineError::unexpected("one of world, at, until and expect", other)),
         }
     }
 
+    /// Checks the expectation of an `expect` line.
     fn expect(&mut self, line: usize, expectation: &str) -> Result<(), LineError> {
         if let Some(invariant) = expectation.strip_prefix("violated ") {
-            self.may_be_violated.push(invariant.to_owned());
+            self.expected_violations.push(invariant.to_owned());
         }
         let Some(sim) = &self.sim else { return Ok(()) };
         let mismatch = check(sim, expectation)?;
-        self.failed.extend(mismatch.map(|mismatch| Check::Expectation { line, mismatch }));
+        self.failed_checks.extend(mismatch.map(|mismatch| Check::Expectation { line, mismatch }));
         Ok(())
     }
 
-    /// Adds the violated invariants and protocol errors to the failed checks.
+    /// Adds the unexpected violations of invariants and the protocol errors to the failed checks.
+    /// Returns the digest of the run if there are none.
     fn finish(mut self, seed: Option<u64>) -> Result<TraceDigest, ScenarioError> {
         let no_world = LineError::Missing { expected: "`world`" };
         let sim = self.sim.ok_or(ScenarioError::Line { line: 1, error: no_world })?;
-        let is_allowed = |name: &str| self.may_be_violated.iter().any(|allowed| allowed == name);
+        let is_expected =
+            |name: &str| self.expected_violations.iter().any(|expected| expected == name);
         let violations = sim.invariants.violations.iter();
-        let violations = violations.filter(|violation| !is_allowed(violation.invariant.name()));
-        self.failed.extend(violations.cloned().map(Check::Invariant));
+        let violations = violations.filter(|violation| !is_expected(violation.invariant.name()));
+        self.failed_checks.extend(violations.cloned().map(Check::Invariant));
         let errors = sim.store.protocol_errors.iter().chain(&sim.cloud.protocol_errors);
-        self.failed.extend(errors.cloned().map(Check::Protocol));
-        if self.failed.is_empty() {
+        self.failed_checks.extend(errors.cloned().map(Check::Protocol));
+        if self.failed_checks.is_empty() {
             return Ok(sim.trace_digest());
         }
-        let checks = self.failed.into_iter();
+        let checks = self.failed_checks.into_iter();
         let checks = checks.map(|check| FailedCheck { seed, check });
         Err(ScenarioError::FailedChecks(checks.collect()))
     }
 }
 
-/// `at SECONDS STEP`.
+/// Schedules the step of a line `at SECONDS STEP`.
 fn schedule(sim: &mut Simulation, text: &str) -> Result<(), LineError> {
     let (time, step) = text.split_once(' ').ok_or(LineError::Missing { expected: "a step" })?;
     let (time, step) = (number(time)?, parse_step(step.trim())?);
--- a/crates/gladekeel-testkit/src/scenario/steps/line.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/line.rs
@@ -1,25 +1,25 @@
-//! A step, taken apart into its tokens.
+//! Splits a step into its tokens.
 
 use crate::scenario::{
     LineError,
-    tokens::{KeyValues, job_id, names, number, split},
+    tokens::{KeyValues, expand_names, job_id, number, split},
 };
 use gladekeel_wire::JobId;
 
-/// A step's tokens.
+/// The tokens of a step.
 pub(super) struct Line<'a> {
-    /// The whole step.
+    /// Text of the whole step.
     pub text: &'a str,
-    /// Tokens without `=`, in their order.
+    /// Tokens without `=`, in their order; the first one is the step's verb.
     pub tokens: Vec<&'a str>,
     /// Tokens of the form `key=value`.
     pub options: KeyValues<'a>,
-    /// The number after `for`: how long it lasts. 0 without one.
+    /// The number after `for`: duration of the step in seconds; 0 without `for`.
     pub duration_s: f64,
 }
 
 impl<'a> Line<'a> {
-    /// Takes a step apart.
+    /// Splits the text of a step.
     pub fn parse(text: &'a str) -> Result<Line<'a>, LineError> {
         let (tokens, options) = split(text);
         let mut line = Line { text, tokens, options, duration_s: 0.0 };
@@ -29,22 +29,22 @@
         Ok(line)
     }
 
-    /// The token at an index.
+    /// Returns the token at an index. `expected` describes the token in errors.
     pub fn token(&self, index: usize, expected: &'static str) -> Result<&'a str, LineError> {
         self.tokens.get(index).copied().ok_or(LineError::Missing { expected })
     }
 
-    /// Whether the token at an index is this one.
+    /// Returns whether this token is at an index.
     pub fn has(&self, index: usize, token: &str) -> bool {
         self.tokens.get(index) == Some(&token)
     }
 
-    /// Whether the token at an index starts with this prefix.
+    /// Returns whether the token at an index starts with a prefix.
     pub fn has_prefix(&self, index: usize, prefix: &str) -> bool {
         self.tokens.get(index).is_some_and(|token| token.starts_with(prefix))
     }
 
-    /// What follows the prefix of the token at an index.
+    /// Returns the token at an index without a prefix that it must have.
     pub fn after_prefix(
         &self,
         index: usize,
@@ -55,14 +55,14 @@
         token.strip_prefix(prefix).ok_or_else(|| LineError::unexpected(expected, token))
     }
 
-    /// The number at an index.
+    /// Returns the number at an index.
     pub fn number(&self, index: usize, expected: &'static str) -> Result<f64, LineError> {
         number(self.token(index, expected)?)
     }
 
-    /// The jobs that the token at an index names.
+    /// Returns the jobs that the token at an index names.
     pub fn jobs(&self, index: usize) -> Result<Vec<JobId>, LineError> {
-        let jobs = names(self.token(index, "the names of jobs")?);
+        let jobs = expand_names(self.token(index, "the names of jobs")?);
         jobs.iter().map(|name| job_id(name)).collect()
     }
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/machines.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/machines.rs
@@ -1,4 +1,4 @@
-//! What happens to machines.
+//! Steps that reclaim, drain, reboot and hang machines, or degrade them in another way.
 
 use super::{Step, line::Line};
 use crate::{
@@ -11,25 +11,25 @@
     stand_ins::worker::FakeWorker,
 };
 
-/// What a step does to a machine with this name.
+/// The action of a step on the machine with this name.
 type MachineStep = Box<dyn FnOnce(&mut Simulation, String)>;
 
-/// Prefix of a target that is the zone of a job's tasks, like `zone_of:job-1`.
+/// Prefix of a target that is the zone of a machine with a task of a job, like `zone_of:job-1`.
 pub(super) const ZONE_OF: &str = "zone_of:";
 /// Prefix of a target that is one machine with a task of a job, like `host_of:job-1`.
 pub(super) const HOST_OF: &str = "host_of:";
 
-/// By which factor tasks run longer on a slow machine.
+/// Factor by which tasks take longer on a slow machine.
 const SLOWDOWN: f64 = 20.0;
 
-/// `reclaim_at_completion JOB`: all machines of a gang but one are gone the moment it has
-/// completed, before any of them can report it.
+/// `reclaim_at_completion JOB`: the cloud reclaims all machines of a gang but one at the moment the
+/// gang completes, before any of these machines can report the completion.
 pub(super) fn reclaim_at_completion(line: &Line) -> Result<Step, LineError> {
     let job = line.token(1, "the name of a job")?.to_owned();
     Ok(Box::new(move |sim| reclaim_hosts_at_completion(sim, job)))
 }
 
-/// `reclaim COUNT notice_s=S`.
+/// `reclaim COUNT notice_s=S`: the cloud reclaims this many machines, those with tasks first.
 pub(super) fn reclaim(line: &Line) -> Result<Step, LineError> {
     let count = line.number(1, "how many machines")? as usize;
     let notice_s = line.options.number_or("notice_s", 0.0)?;
@@ -40,7 +40,7 @@
     }))
 }
 
-/// `reboot COUNT`.
+/// `reboot COUNT`: this many machines reboot, those with tasks first.
 pub(super) fn reboot(line: &Line) -> Result<Step, LineError> {
     let count = line.number(1, "how many machines")? as usize;
     Ok(Box::new(move |sim| {
@@ -50,7 +50,8 @@
     }))
 }
 
-/// `reclaim zone_of:JOB` or `hang zone_of:JOB for S`: all machines of the zone of a job's tasks.
+/// `reclaim zone_of:JOB` or `hang zone_of:JOB for S`: all machines in the zone of a machine that
+/// hosts a task of the job. The zone has no free machine from then on.
 pub(super) fn zone_of_job(line: &Line) -> Result<Step, LineError> {
     let reclaims = line.has(0, "reclaim");
     let job = line.after_prefix(1, ZONE_OF, "zone_of:JOB")?.to_owned();
@@ -62,25 +63,25 @@
                 .invariants
                 .report(Invariant::ScenarioTarget, format!("no machine hosts a task of {job}"));
         };
-        let there = sim.workers.values().filter(|worker| worker.machine.zone == zone);
-        let names: Vec<String> = there.map(|worker| worker.machine.name.clone()).collect();
+        let in_zone = sim.workers.values().filter(|worker| worker.machine.zone == zone);
+        let names: Vec<String> = in_zone.map(|worker| worker.machine.name.clone()).collect();
         sim.mark_fault_active(duration_s);
         for name in names {
             if reclaims {
                 sim.reclaim_machine(name, 0.0);
             } else {
-                hang_for(sim, name, duration_s);
+                hang_without_heartbeat(sim, name, duration_s);
             }
         }
-        // What was taken must not be free capacity again.
+        // Reclaimed machines must not become free capacity of the zone.
         sim.after(0.01, move |sim| {
-            let gone = sim.cloud.capacity.iter_mut().filter(|(key, _)| key.0 == zone);
-            gone.for_each(|(_, count)| *count = 0);
+            let capacity = sim.cloud.capacity.iter_mut().filter(|(key, _)| key.0 == zone);
+            capacity.for_each(|(_, count)| *count = 0);
         });
     }))
 }
 
-/// `reclaim|drain|hang|reboot host_of:JOB notice_s=S for S`: one machine that hosts a task of a
+/// `reclaim|drain|hang|reboot host_of:JOB notice_s=S for S`: one machine that hosts a task of the
 /// job.
 pub(super) fn host_of_job(line: &Line) -> Result<Step, LineError> {
     let job = line.after_prefix(1, HOST_OF, "host_of:JOB")?.to_owned();
@@ -92,7 +93,7 @@
         "reboot" => Box::new(|sim, name| sim.reboot(&name)),
         "hang" => Box::new(move |sim, name| {
             sim.mark_fault_active(duration_s);
-            hang_for(sim, name, duration_s);
+            hang_without_heartbeat(sim, name, duration_s);
         }),
         other => return Err(LineError::unexpected("reclaim, drain, hang or reboot", other)),
     };
@@ -105,15 +106,16 @@
     }))
 }
 
-/// Drains a machine by way of the leader's admin API.
+/// Drains a machine through the leader's admin API.
 fn drain(sim: &mut Simulation, name: &str) {
     let node = sim.leader_node().unwrap_or(0);
     let path = format!("/admin/machines/{name}/drain");
     sim.expect_status(node, "POST", path, Vec::new(), 200);
 }
 
-/// Hangs a machine without a heartbeat that it was about to send.
-fn hang_for(sim: &mut Simulation, name: String, duration_s: f64) {
+/// Hangs a machine. Unlike with `hang MACHINES`, the heartbeat that was due when the machine hung
+/// is not sent when the machine resumes.
+fn hang_without_heartbeat(sim: &mut Simulation, name: String, duration_s: f64) {
     let set_hung = move |sim: &mut Simulation, hung: bool| {
         if let Some(worker) = sim.workers.get_mut(&name) {
             worker.hung = hung;
@@ -123,7 +125,8 @@
     sim.after(duration_s, move |sim| set_hung(sim, false));
 }
 
-/// What `hang`, `fail_tasks`, `slow`, `partition_inbound` and `partition_outbound` do to a machine.
+/// The fault that `hang`, `fail_tasks`, `slow`, `partition_inbound` or `partition_outbound`
+/// injects.
 #[derive(Debug, Clone, Copy)]
 enum MachineFault {
     Hung,
@@ -134,6 +137,7 @@
 }
 
 impl MachineFault {
+    /// Returns the fault that a verb stands for.
     fn parse(verb: &str) -> Result<MachineFault, LineError> {
         match verb {
             "hang" => Ok(MachineFault::Hung),
@@ -145,6 +149,7 @@
         }
     }
 
+    /// Injects the fault into a machine, or clears it.
     fn set(self, worker: &mut FakeWorker, now: f64, active: bool) {
         match self {
             MachineFault::Hung => worker.hang(now, active),
@@ -156,15 +161,16 @@
     }
 }
 
-/// `hang|fail_tasks|slow|partition_inbound|partition_outbound WHO for S`: so many machines,
-/// those that hold tasks of jobs, or those of `zone:NAME`.
+/// `hang|fail_tasks|slow|partition_inbound|partition_outbound MACHINES for S`: the machines that
+/// the selector names when the step is executed have the fault until the duration has passed.
 pub(super) fn degrade(line: &Line) -> Result<Step, LineError> {
     let fault = MachineFault::parse(line.token(0, "a verb")?)?;
-    let select = MachineSelector::parse(line.token(1, "which machines")?)?;
+    let selector =
+        MachineSelector::parse(line.token(1, "a number, zone:NAME or the names of jobs")?)?;
     let duration_s = line.duration_s;
     Ok(Box::new(move |sim| {
-        let names = select.names(sim);
-        let set = move |sim: &mut Simulation, active: bool| {
+        let names = selector.names(sim);
+        let set_fault = move |sim: &mut Simulation, active: bool| {
             let now = sim.now;
             for name in &names {
                 if let Some(worker) = sim.workers.get_mut(name) {
@@ -172,8 +178,8 @@
                 }
             }
         };
-        set(sim, true);
+        set_fault(sim, true);
         sim.mark_fault_active(duration_s);
-        sim.after(duration_s, move |sim| set(sim, false));
+        sim.after(duration_s, move |sim| set_fault(sim, false));
     }))
 }
--- a/crates/gladekeel-testkit/src/scenario/steps/messages.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/messages.rs
@@ -1,14 +1,15 @@
-//! Messages that are delayed, lost or repeated.
+//! Steps that delay, drop or replay messages.
 
 use super::{Step, line::Line};
 use crate::scenario::LineError;
 
-/// The last delayed transaction is executed this long after it was sent.
+/// Longest time between sending a delayed transaction and its execution.
 const MAX_COMMIT_DELAY_S: f64 = 12.0;
-/// The last delayed command is executed this long after it was sent.
+/// Longest time between sending a delayed command and its execution.
 const MAX_COMMAND_DELAY_S: f64 = 16.0;
 
-/// `delay_commits SHARE for S`: transactions that get no answer and are executed later.
+/// `delay_commits SHARE for S`: this share of the transactions get no response and are executed
+/// later.
 pub(super) fn delay_commits(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
@@ -18,7 +19,8 @@
     }))
 }
 
-/// `drop_commit_responses SHARE for S`: transactions that are committed; only the answer is lost.
+/// `drop_commit_responses SHARE for S`: this share of the transactions are committed, and their
+/// responses are lost.
 pub(super) fn drop_commit_responses(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
@@ -28,7 +30,8 @@
     }))
 }
 
-/// `delay_commands SHARE for S`: direct commands that get no answer and are executed later.
+/// `delay_commands SHARE for S`: this share of the direct commands get no response and are executed
+/// later.
 pub(super) fn delay_commands(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
@@ -38,7 +41,7 @@
     }))
 }
 
-/// `replay_heartbeats SHARE for S`: heartbeats of which a copy reaches every node when
+/// `replay_heartbeats SHARE for S`: copies of this share of the heartbeats reach every node when
 /// the next leader begins.
 pub(super) fn replay_heartbeats(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
--- a/crates/gladekeel-testkit/src/scenario/steps/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/mod.rs
@@ -1,4 +1,4 @@
-//! The steps of `at` lines: one function for each verb, by what the verb acts on.
+//! The steps of `at` lines. Each step has a function in the module of the things that it acts on.
 
 mod line;
 mod machines;
@@ -12,10 +12,10 @@
 use line::Line;
 use machines::{HOST_OF, ZONE_OF};
 
-/// What is executed at the time of an `at` line.
+/// The action of an `at` line, which is executed at the line's time.
 pub(super) type Step = Box<dyn FnOnce(&mut Simulation)>;
 
-/// Reads a step.
+/// Parses a step.
 pub(super) fn parse_step(text: &str) -> Result<Step, LineError> {
     let line = &Line::parse(text)?;
     match line.token(0, "a step")? {
@@ -61,14 +61,14 @@
     }
 }
 
-/// A fault that begins at once and is cleared after a while.
+/// Returns a step that injects a fault, and clears the fault when the duration has passed.
 fn fault_for(
     duration_s: f64,
-    begin: impl FnOnce(&mut Simulation) + 'static,
+    inject: impl FnOnce(&mut Simulation) + 'static,
     clear: impl FnOnce(&mut Simulation) + 'static,
 ) -> Step {
     Box::new(move |sim| {
-        begin(sim);
+        inject(sim);
         sim.mark_fault_active(duration_s);
         sim.after(duration_s, clear);
     })
--- a/crates/gladekeel-testkit/src/scenario/steps/services.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/services.rs
@@ -1,4 +1,4 @@
-//! Faults of the store and of the cloud.
+//! Steps that inject faults of the store and of the cloud.
 
 use super::{Step, fault_for, line::Line};
 use crate::{
@@ -7,7 +7,7 @@
     stand_ins::store::StoreLimits,
 };
 
-/// `outage store|cloud for S`.
+/// `outage store|cloud for S`: the store or the cloud refuses all requests.
 pub(super) fn outage(line: &Line) -> Result<Step, LineError> {
     let duration_s = line.duration_s;
     Ok(match line.token(1, "store or cloud")? {
@@ -20,19 +20,20 @@
     })
 }
 
+/// Begins or ends an outage of the store.
 fn set_outage(sim: &mut Simulation, down: bool) {
     let now = sim.now;
     sim.store.set_outage(now, down);
 }
 
-/// `slow store FACTOR for S`.
+/// `slow store FACTOR for S`: requests to the store take longer by this factor.
 pub(super) fn slow_store(line: &Line) -> Result<Step, LineError> {
     let (factor, duration_s) = (line.number(2, "a factor")?, line.duration_s);
     let slow_down = move |sim: &mut Simulation| sim.store_slowdown = factor;
     Ok(fault_for(duration_s, slow_down, |sim| sim.store_slowdown = 1.0))
 }
 
-/// `drop_responses store for S`.
+/// `drop_responses store for S`: the store executes requests, and its responses are lost.
 pub(super) fn drop_responses(line: &Line) -> Result<Step, LineError> {
     expect_target(line, "store")?;
     Ok(fault_for(
@@ -51,7 +52,7 @@
     Ok(fault_for(line.duration_s, refuse, |sim| sim.store.refused_nodes.clear()))
 }
 
-/// `corrupt assignment_log for S`.
+/// `corrupt assignment_log for S`: the assignment log in the store cannot be read.
 pub(super) fn corrupt(line: &Line) -> Result<Step, LineError> {
     expect_target(line, "assignment_log")?;
     Ok(fault_for(
@@ -61,13 +62,14 @@
     ))
 }
 
-/// `compact store`.
+/// `compact store`: the store compacts its history.
 pub(super) fn compact(line: &Line) -> Result<Step, LineError> {
     expect_target(line, "store")?;
     Ok(Box::new(|sim| sim.store.compact_history()))
 }
 
-/// `lower_limits store value_kb=N txn_ops=N write_rps=N rps=N`; what is not named stays.
+/// `lower_limits store value_kb=N txn_ops=N write_rps=N rps=N`: the store lowers these limits. The
+/// other limits stay as they are.
 pub(super) fn lower_limits(line: &Line) -> Result<Step, LineError> {
     expect_target(line, "store")?;
     let (value, ops) = (line.options.number("value_kb")?, line.options.number("txn_ops")?);
@@ -89,13 +91,13 @@
     Ok(Box::new(|sim| sim.cloud.capacity.values_mut().for_each(|n| *n = 0)))
 }
 
-/// `fail_next_boots COUNT`: this many machines that are rented next never boot.
+/// `fail_next_boots COUNT`: the next COUNT machines that are rented never boot.
 pub(super) fn fail_next_boots(line: &Line) -> Result<Step, LineError> {
     let count = line.number(1, "how many machines")? as u32;
     Ok(Box::new(move |sim| sim.cloud.machines_not_booting = count))
 }
 
-/// Returns an error unless the step's target is this one, the only one that it can have.
+/// Returns an error unless the target of the step is this one.
 fn expect_target(line: &Line, target: &'static str) -> Result<(), LineError> {
     match line.token(1, target)? {
         token if token == target => Ok(()),
--- a/crates/gladekeel-testkit/src/scenario/steps/users.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/users.rs
@@ -1,4 +1,4 @@
-//! Steps of users.
+//! Steps in which users send requests.
 
 use super::{Step, line::Line};
 use crate::{
@@ -6,16 +6,16 @@
         LineError,
         job::build_job,
         targets::node_indices,
-        tokens::{names, number},
+        tokens::{expand_names, number},
     },
     simulation::Simulation,
 };
 use gladekeel_wire::job::JobSpec;
 
-/// `submit JOBS tasks=N ...`; with `interval_s=S` one after the other, of which `cancelled_share`
-/// are cancelled.
+/// `submit JOBS tasks=N ...`: users submit jobs, all at once or, with `interval_s=S`, one after the
+/// other. With `interval_s` and `cancelled_share`, users cancel this share of the jobs.
 pub(super) fn submit(line: &Line) -> Result<Step, LineError> {
-    let specs: Vec<JobSpec> = names(line.token(1, "a target")?)
+    let specs: Vec<JobSpec> = expand_names(line.token(1, "the names of jobs")?)
         .iter()
         .map(|name| build_job(name, &line.options))
         .collect::<Result<_, _>>()?;
@@ -34,13 +34,13 @@
     }))
 }
 
-/// `resubmit JOBS`: the same submissions once more.
+/// `resubmit JOBS`: users submit jobs a second time.
 pub(super) fn resubmit(line: &Line) -> Result<Step, LineError> {
     let ids = line.jobs(1)?;
     Ok(Box::new(move |sim| ids.into_iter().for_each(|id| sim.resubmit(id))))
 }
 
-/// `poll JOBS times=N`.
+/// `poll JOBS times=N`: users query jobs, once or this many times.
 pub(super) fn poll(line: &Line) -> Result<Step, LineError> {
     let ids = line.jobs(1)?;
     let times = line.options.number("times")?.unwrap_or(1.0) as u32;
@@ -51,34 +51,37 @@
     }))
 }
 
-/// The nodes that `via=WHO` names; none if it is not said.
-fn via(line: &Line) -> impl FnOnce(&Simulation) -> Vec<usize> + 'static {
+/// Returns a function that resolves `via=WHO` to nodes when the step is executed. Without `via`
+/// there are none, and the request may go to any node.
+fn resolve_via(line: &Line) -> impl FnOnce(&Simulation) -> Vec<usize> + 'static {
     let who = line.options.text("via").map(str::to_owned);
     move |sim| who.map_or_else(Vec::new, |who| node_indices(sim, &who))
 }
 
-/// `cancel JOBS via=WHO`.
+/// `cancel JOBS via=WHO`: users cancel jobs.
 pub(super) fn cancel(line: &Line) -> Result<Step, LineError> {
     let ids = line.jobs(1)?;
-    let via = via(line);
+    let via = resolve_via(line);
     Ok(Box::new(move |sim| {
         let nodes = via(sim);
         ids.into_iter().for_each(|id| sim.cancel_via(id, nodes.clone()));
     }))
 }
 
-/// `cancel_longest_remaining COUNT hang_s=S via=WHO`: the longest running jobs, all at once.
+/// `cancel_longest_remaining COUNT hang_s=S via=WHO`: users cancel the running jobs that would end
+/// last, all at once. With `hang_s`, some machines of these jobs hang.
 pub(super) fn cancel_longest_remaining(line: &Line) -> Result<Step, LineError> {
     let count = line.number(1, "a number")? as usize;
     let hang_s = line.options.number_or("hang_s", 0.0)?;
-    let via = via(line);
+    let via = resolve_via(line);
     Ok(Box::new(move |sim| {
         let nodes = via(sim);
         sim.cancel_longest_remaining(count, nodes, hang_s);
     }))
 }
 
-/// `cancel_at_completion SHARE for S`: this share of the jobs that end, at that moment.
+/// `cancel_at_completion SHARE for S`: users cancel this share of the jobs that complete, at the
+/// moment of the completion.
 pub(super) fn cancel_at_completion(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a number")?, line.duration_s);
     Ok(Box::new(move |sim| {
@@ -87,15 +90,15 @@
     }))
 }
 
-/// `probe_read_your_writes for S`: users ask at all nodes at once when a job is accepted, over or
-/// cancelled.
+/// `probe_read_your_writes for S`: users query all nodes at once as soon as a response reports that
+/// a job was accepted, has ended or is cancelled.
 pub(super) fn probe_read_your_writes(line: &Line) -> Step {
     let duration_s = line.duration_s;
     Box::new(move |sim| sim.read_your_writes.until = sim.now + duration_s)
 }
 
-/// `send_malformed_requests for S`: repeats, cancellations of jobs that are done, jobs that
-/// cannot run.
+/// `send_malformed_requests for S`: users send repeated submissions, cancellations of jobs that are
+/// done, and submissions of jobs that lack a field or cannot run.
 pub(super) fn send_malformed_requests(line: &Line) -> Step {
     let duration_s = line.duration_s;
     Box::new(move |sim| {
@@ -104,7 +107,7 @@
     })
 }
 
-/// `http METHOD PATH BODY = STATUS`: a request to the leader and the status that it must get.
+/// `http METHOD PATH BODY = STATUS`: the leader must respond to this request with this status.
 pub(super) fn http(line: &Line) -> Result<Step, LineError> {
     let (request, status) =
         line.text.rsplit_once(" = ").ok_or(LineError::Missing { expected: "= STATUS" })?;
@@ -113,7 +116,7 @@
         Some("GET") => "GET",
         Some("PUT") => "PUT",
         Some("POST") => "POST",
-        other => return Err(LineError::unexpected("a method", other.unwrap_or_default())),
+        other => return Err(LineError::unexpected("GET, PUT or POST", other.unwrap_or_default())),
     };
     let path = parts.next().ok_or(LineError::Missing { expected: "a path" })?.to_owned();
     let body = parts.next().unwrap_or("").to_owned();
@@ -124,21 +127,21 @@
     }))
 }
 
-/// `http_to WHO METHOD PATH = STATUS`: the same of a certain node.
+/// `http_to WHO METHOD PATH = STATUS`: these nodes must respond to this request, which has no body,
+/// with this status.
 pub(super) fn http_to(line: &Line) -> Result<Step, LineError> {
-    let (node, path) =
-        (line.token(1, "a target")?.to_owned(), line.token(3, "a target")?.to_owned());
-    let method = if line.token(2, "a target")? == "POST" { "POST" } else { "GET" };
+    let (who, path) = (line.token(1, "a node")?.to_owned(), line.token(3, "a path")?.to_owned());
+    let method = if line.token(2, "GET or POST")? == "POST" { "POST" } else { "GET" };
     let last = line.tokens.len().saturating_sub(1);
     let status = line.number(last, "a status")? as u16;
     Ok(Box::new(move |sim| {
-        for node in node_indices(sim, &node) {
+        for node in node_indices(sim, &who) {
             sim.expect_status(node, method, path.clone(), Vec::new(), status);
         }
     }))
 }
 
-/// `send_invalid_bytes`: bytes that are not HTTP, to every node.
+/// `send_invalid_bytes`: users send bodies that are not valid requests to every node.
 pub(super) fn send_invalid_bytes() -> Step {
     Box::new(move |sim| (0..sim.nodes()).for_each(|node| sim.send_invalid_bytes(node)))
 }
--- a/crates/gladekeel-testkit/src/scenario/targets.rs
+++ b/crates/gladekeel-testkit/src/scenario/targets.rs
@@ -1,8 +1,8 @@
-//! The nodes and machines that a step acts on.
+//! Targets of steps: selects the nodes and machines that a step acts on.
 
 use super::{
     LineError,
-    tokens::{job_id, names, number},
+    tokens::{expand_names, job_id, number},
 };
 use crate::{
     simulation::Simulation,
@@ -10,10 +10,10 @@
 };
 use gladekeel_wire::worker::TaskState;
 
-/// Prefix of a target that is a zone, like `zone:a`.
+/// Prefix of a target that names a zone, like `zone:a`.
 pub(super) const ZONE: &str = "zone:";
 
-/// Workers that hold tasks first, in the order of their names.
+/// Returns the names of this many workers: those with tasks first, each group sorted by name.
 pub(super) fn busiest_workers(sim: &Simulation, count: usize) -> Vec<String> {
     let mut names: Vec<(bool, String)> =
         sim.workers.iter().map(|(name, w)| (w.tasks.is_empty(), name.clone())).collect();
@@ -21,58 +21,64 @@
     names.into_iter().take(count).map(|(_, name)| name).collect()
 }
 
-/// Takes all machines of a gang but one as soon as it has completed.
+/// Reclaims all machines of a gang but one as soon as the gang has completed.
 pub(super) fn reclaim_hosts_at_completion(sim: &mut Simulation, job: String) {
-    let done = job_id(&job).is_ok_and(|id| sim.gangs.record(&id).done);
-    if !done {
+    let completed = job_id(&job).is_ok_and(|id| sim.gangs.record(&id).done);
+    if !completed {
         return sim.after(0.01, move |sim| reclaim_hosts_at_completion(sim, job));
     }
-    let holds = |w: &&FakeWorker| w.tasks.iter().any(|t| t.task.job.as_str() == job);
+    let is_host = |w: &&FakeWorker| w.tasks.iter().any(|t| t.task.job.as_str() == job);
     let names: Vec<String> =
-        sim.workers.values().filter(holds).map(|worker| worker.machine.name.clone()).collect();
+        sim.workers.values().filter(is_host).map(|worker| worker.machine.name.clone()).collect();
     for name in names.into_iter().skip(1) {
         sim.reclaim_machine(name, 0.0);
     }
 }
 
-/// A machine with a task of a job that has not ended, one that waits if there is any.
+/// Returns the name of a machine that hosts a task of a job, or `None` if no machine does. Tasks
+/// that have exited do not count. A machine whose task waits for its gang comes first.
 pub(super) fn host(sim: &Simulation, job: &str) -> Option<String> {
-    let holds = |worker: &&FakeWorker| {
-        let there = |t: &FakeTask| t.task.job.as_str() == job && t.state != TaskState::Exited;
-        worker.tasks.iter().any(there)
+    let is_host = |worker: &&FakeWorker| {
+        let is_on_machine =
+            |t: &FakeTask| t.task.job.as_str() == job && t.state != TaskState::Exited;
+        worker.tasks.iter().any(is_on_machine)
     };
-    let waits = |worker: &&FakeWorker| {
-        let waits = |t: &FakeTask| t.task.job.as_str() == job && t.state == TaskState::Waiting;
-        worker.tasks.iter().any(waits)
+    let has_waiting_task = |worker: &&FakeWorker| {
+        let is_waiting = |t: &FakeTask| t.task.job.as_str() == job && t.state == TaskState::Waiting;
+        worker.tasks.iter().any(is_waiting)
     };
-    let found = sim.workers.values().rfind(waits).or_else(|| sim.workers.values().rfind(holds));
+    let found = sim
+        .workers
+        .values()
+        .rfind(has_waiting_task)
+        .or_else(|| sim.workers.values().rfind(is_host));
     found.map(|worker| worker.machine.name.clone())
 }
 
-/// The machines that `MACHINES` of a step like `slow MACHINES` names.
+/// The target `MACHINES` of steps like `slow MACHINES for S`.
 #[derive(Debug)]
 pub(super) enum MachineSelector {
-    /// So many, those with tasks first.
+    /// This many machines, those with tasks first.
     Count(usize),
-    /// All of a zone.
+    /// All machines of a zone.
     Zone(String),
-    /// Those that hold a task of one of the jobs.
+    /// All machines that host a task of one of these jobs.
     HostsOf(Vec<String>),
 }
 
 impl MachineSelector {
-    /// Reads `COUNT`, `zone:NAME` or the names of jobs.
+    /// Parses a number, `zone:NAME`, or the names of jobs.
     pub fn parse(text: &str) -> Result<MachineSelector, LineError> {
         if let Some(zone) = text.strip_prefix(ZONE) {
             return Ok(MachineSelector::Zone(zone.to_owned()));
         }
         if text.starts_with("job-") {
-            return Ok(MachineSelector::HostsOf(names(text)));
+            return Ok(MachineSelector::HostsOf(expand_names(text)));
         }
         Ok(MachineSelector::Count(number(text)? as usize))
     }
 
-    /// Their names.
+    /// Returns the names of the machines that are selected at this moment.
     pub fn names(&self, sim: &Simulation) -> Vec<String> {
         let is_selected = |worker: &&FakeWorker| match self {
             MachineSelector::Count(_) => false,
@@ -89,7 +95,8 @@
     }
 }
 
-/// The indices of the nodes that `leader`, `followers`, `all` or a number means now.
+/// Returns the indices of the nodes that `leader`, `followers`, `all` or an index refers to at this
+/// moment. The result is empty if there is no such node.
 pub(super) fn node_indices(sim: &Simulation, who: &str) -> Vec<usize> {
     match who {
         "leader" => sim.leader_node().into_iter().collect(),
--- a/crates/gladekeel-testkit/src/scenario/tokens.rs
+++ b/crates/gladekeel-testkit/src/scenario/tokens.rs
@@ -1,4 +1,4 @@
-//! The tokens of a scenario line: plain ones, `key=value` pairs, numbers and job names.
+//! Parsing of tokens: `key=value` pairs, numbers, and names of jobs.
 
 use super::LineError;
 use gladekeel_wire::JobId;
@@ -9,33 +9,33 @@
 pub(super) struct KeyValues<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> KeyValues<'a> {
-    /// Whether the key is there.
+    /// Returns whether the key is present.
     pub fn contains(&self, key: &str) -> bool {
         self.0.contains_key(key)
     }
 
-    /// The value of a key.
+    /// Returns the value of a key as text, or `None` if the key is absent.
     pub fn text(&self, key: &str) -> Option<&'a str> {
         self.0.get(key).copied()
     }
 
-    /// The number of a key, if it is there.
+    /// Returns the value of a key as a number, or `None` if the key is absent.
     pub fn number(&self, key: &str) -> Result<Option<f64>, LineError> {
         self.text(key).map(number).transpose()
     }
 
-    /// The number of a key, or a default.
+    /// Returns the value of a key as a number, or the default if the key is absent.
     pub fn number_or(&self, key: &str, default: f64) -> Result<f64, LineError> {
         Ok(self.number(key)?.unwrap_or(default))
     }
 
-    /// All pairs in the order of their keys.
+    /// Iterates over all pairs, sorted by key.
     pub fn iter(&self) -> impl Iterator<Item = (&'a str, &'a str)> {
         self.0.iter().map(|(key, value)| (*key, *value))
     }
 }
 
-/// Splits the `key=value` tokens of a text from the plain ones.
+/// Splits a text at white space into plain tokens, in their order, and `key=value` tokens.
 pub(super) fn split(text: &str) -> (Vec<&str>, KeyValues<'_>) {
     let mut plain = Vec::new();
     let mut pairs = KeyValues::default();
@@ -50,16 +50,18 @@
     (plain, pairs)
 }
 
+/// Parses a number.
 pub(super) fn number(text: &str) -> Result<f64, LineError> {
     text.parse().map_err(|_| LineError::unexpected("a number", text))
 }
 
+/// Parses the name of a job.
 pub(super) fn job_id(text: &str) -> Result<JobId, LineError> {
     text.parse().map_err(|_| LineError::unexpected("a job's name", text))
 }
 
-/// Spells out names like `job-1..3`.
-pub(super) fn names(text: &str) -> Vec<String> {
+/// Expands a range like `job-1..3` to its names. Any other text is a single name.
+pub(super) fn expand_names(text: &str) -> Vec<String> {
     let range = text.split_once("..").and_then(|(first, last)| {
         let (stem, from) = first.rsplit_once('-')?;
         Some((stem, from.parse::<u32>().ok()?, last.parse::<u32>().ok()?))
--- a/crates/gladekeel-testkit/src/scenario/world.rs
+++ b/crates/gladekeel-testkit/src/scenario/world.rs
@@ -1,4 +1,4 @@
-//! The `world` line: settings, store and cloud of a simulation.
+//! Builds a simulation with its settings, store and cloud from a `world` line.
 
 use super::{
     LineError,
@@ -24,7 +24,8 @@
 const DEFAULT_BOOT_S: f64 = 20.0;
 const DEFAULT_LIST_LAG_S: f64 = 4.0;
 
-/// Builds a simulation from the `key=value` tokens of the `world` line.
+/// Returns the simulation that the `key=value` tokens of a `world` line describe. Unknown keys are
+/// ignored.
 pub(super) fn build_simulation(options: &KeyValues<'_>) -> Result<Simulation, LineError> {
     let gang_times = GangTimes {
         wait_s: options.number_or("gang_wait_s", GangTimes::default().wait_s)?,
@@ -45,13 +46,13 @@
     Ok(sim)
 }
 
-/// The settings of all nodes.
+/// Returns the settings of all nodes, in the order of their indices.
 fn node_settings(
     options: &KeyValues<'_>,
     gang_times: GangTimes,
 ) -> Result<Vec<Settings>, LineError> {
     let nodes = options.number_or("nodes", DEFAULT_NODES)? as usize;
-    let announced_limits = announced_limits(options);
+    let announced_limits = announced_limits_table(options);
     let node_settings = |node| {
         let mut settings = settings_with(node, nodes, gang_times, &announced_limits)?;
         override_deployment(&mut settings.deployment, options)?;
@@ -60,13 +61,15 @@
     (0..nodes).map(node_settings).collect()
 }
 
-/// `announced_limits=value_kb:2,txn_ops:4` is the table `state.next`.
-fn announced_limits(options: &KeyValues<'_>) -> String {
+/// Returns the lines of the settings' table `state.next` for a key like
+/// `announced_limits=value_kb:2,txn_ops:4`.
+fn announced_limits_table(options: &KeyValues<'_>) -> String {
     let pairs =
         options.text("announced_limits").map_or(Vec::new(), |text| text.split(',').collect());
     pairs.iter().map(|pair| pair.replace(':', " = ") + "\n").collect()
 }
 
+/// Replaces the parameters of the deployment that the `world` line sets.
 fn override_deployment(
     deployment: &mut Deployment,
     options: &KeyValues<'_>,
@@ -113,15 +116,16 @@
     ))
 }
 
-/// The machine type of all machines, behind further ones of which the cloud has none.
+/// Returns all machine types: `m32-2`, `m32-3` and so on, and `m32` as the last one. Only `m32` has
+/// the boot time of the `world` line. All types share the free machines of a zone.
 fn machine_types(
     options: &KeyValues<'_>,
     zones: Vec<String>,
 ) -> Result<Vec<MachineType>, LineError> {
     let count = options.number_or("machine_types", 1.0)? as u32;
-    let further = (2..=count)
+    let unavailable_types = (2..=count)
         .map(|number| MachineType { name: format!("m32-{number}"), ..example_type(zones.clone()) });
-    let mut machine_types: Vec<MachineType> = further.collect();
+    let mut machine_types: Vec<MachineType> = unavailable_types.collect();
     let boot_s = options.number_or("boot_s", DEFAULT_BOOT_S)?;
     machine_types.push(MachineType { boot_s, ..example_type(zones) });
     Ok(machine_types)
--- a/crates/gladekeel-testkit/tests/scenario_runner.rs
+++ b/crates/gladekeel-testkit/tests/scenario_runner.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_line_that_cannot_be_read_is_an_error() {
     for (line, expected) in [
-        ("at 5 crash", "line 2: expected a target, found the end of the line"),
+        ("at 5 crash", "line 2: expected a node, found the end of the line"),
         ("at 5 fly", "line 2: expected a step, found \"fly\""),
         ("at soon send_invalid_bytes", "line 2: expected a number, found \"soon\""),
         ("expect job-1 happy", "line 2: expected the state of a job, found \"happy\""),
