--- a/crates/gladekeel-testkit/src/scenario/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/mod.rs
@@ -39,7 +39,7 @@
 //! | `list_lag_s` | How far the cloud's list of machines lags behind; 4. |
 //! | `team_quota_factor` | Factor by which the teams' guaranteed CPUs and limits are multiplied; 1. |
 //! | `heartbeat_interval_s` | Time between heartbeats of a worker; as in the example settings. |
-//! | `worker_step_s` | Time between steps of a simulated worker; 0.1. |
+//! | `worker_step_s` | Time between steps of the simulated workers and gangs; 0.1. |
 //! | `gang_wait_s`, `gang_peer_s` | The fields of [`GangTimes`]; 30 and 4. |
 //! | `value_kb`, `write_rps`, `txn_ops` | Limits of the store; as in the example settings. |
 //! | `announced_limits` | Lower limits that the store has announced, like `value_kb:2,txn_ops:4`; none. |
@@ -130,7 +130,7 @@
 //! | expectation | meaning |
 //! | --- | --- |
 //! | `JOBS done\|cancelled\|unfinished\|not_accepted` | The state that users last observed; `not_accepted` if they observed none. |
-//! | `JOB started_at OP N` | Time at which the job started. |
+//! | `JOB started_at OP N` | Time at which the first task of the job started; of a gang, time at which all its tasks began to run. |
 //! | `JOB tasks_on_machines OP N` | Tasks of the job that are on machines. |
 //! | `JOB runs OP N` | How often all tasks of a gang began to run. |
 //! | `JOB stop_checkpoints OP N` | How often a gang wrote a checkpoint when it was stopped. |
