--- a/crates/gladekeel-testkit/src/scenario/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/mod.rs
@@ -90,13 +90,13 @@
 //! | `compact store` | The store compacts its history. |
 //! | `lower_limits store KEY=N ...` | The store lowers its limits: `value_kb`, `txn_ops`, `write_rps`, `rps`. |
 //! | `fail_next_boots COUNT` | The next machines that are rented never boot. |
-//! | `exhaust cloud` | The cloud has no free machine from now on. |
+//! | `exhaust cloud` | The cloud has no free machine until machines are deleted or reclaimed. |
 //! | `reclaim COUNT notice_s=S`, `reclaim host_of:JOB notice_s=S` | The cloud reclaims machines. |
-//! | `reclaim zone_of:JOB` | The cloud reclaims all machines of a zone, which has no free machine from then on. |
+//! | `reclaim zone_of:JOB` | The cloud reclaims all machines of a zone, which has no free machine afterwards. |
 //! | `reclaim_at_completion JOB` | The cloud reclaims all machines of a gang but one as the gang completes. |
 //! | `drain host_of:JOB` | A machine is drained. |
 //! | `reboot COUNT`, `reboot host_of:JOB` | Machines reboot within an instant. |
-//! | `hang MACHINES for S`, `hang zone_of:JOB for S`, `hang host_of:JOB for S` | Machines hang. With `zone_of`, the zone has no free machine from then on. With `zone_of` and `host_of`, the heartbeats that were due when the machines hung are not sent later. |
+//! | `hang MACHINES for S`, `hang zone_of:JOB for S`, `hang host_of:JOB for S` | Machines hang. With `zone_of`, the zone has no free machine afterwards. With `zone_of` and `host_of`, the heartbeats that were due when the machines hung are not sent later. |
 //! | `fail_tasks MACHINES for S` | Every task that runs on these machines fails. |
 //! | `slow MACHINES for S` | Tasks take longer on these machines. |
 //! | `partition_inbound MACHINES for S` | Machines receive nothing; what they send arrives. |
--- a/crates/gladekeel-testkit/src/scenario/steps/machines.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/machines.rs
@@ -51,7 +51,7 @@
 }
 
 /// `reclaim zone_of:JOB` or `hang zone_of:JOB for S`: all machines in the zone of a machine that
-/// hosts a task of the job. The zone has no free machine from then on.
+/// hosts a task of the job. The zone has no free machine afterwards.
 pub(super) fn zone_of_job(line: &Line) -> Result<Step, LineError> {
     let reclaims = line.has(0, "reclaim");
     let job = line.after_prefix(1, ZONE_OF, "zone_of:JOB")?.to_owned();
--- a/crates/gladekeel-testkit/src/scenario/steps/services.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/services.rs
@@ -85,7 +85,7 @@
     }))
 }
 
-/// `exhaust cloud`: the cloud has no free machine from now on.
+/// `exhaust cloud`: the cloud has no free machine until machines are deleted or reclaimed.
 pub(super) fn exhaust(line: &Line) -> Result<Step, LineError> {
     expect_target(line, "cloud")?;
     Ok(Box::new(|sim| sim.cloud.capacity.values_mut().for_each(|n| *n = 0)))
