--- a/crates/gladekeel-testkit/src/scenario/steps/machines.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/machines.rs
@@ -1,41 +1,46 @@
-//! What happens to machines.
+//! Steps that reclaim, drain, reboot and hang machines, or degrade them in another way.
 
 use super::{Step, line::Line};
 use crate::{
     invariants::Invariant,
     scenario::{
         LineError,
-        targets::{MachineSelector, busiest_workers, holder, terminate_holders_once_done},
+        targets::{MachineSelector, busiest_workers, host, reclaim_hosts_at_completion},
     },
     simulation::Simulation,
     stand_ins::worker::FakeWorker,
 };
 
-/// What a step does to a machine with this name.
+/// The action of a step on the machine with this name.
 type MachineStep = Box<dyn FnOnce(&mut Simulation, String)>;
 
-/// By which factor tasks run longer on a slow machine.
+/// Prefix of a target that is the zone of a machine with a task of a job, like `zone_of:job-1`.
+pub(super) const ZONE_OF: &str = "zone_of:";
+/// Prefix of a target that is one machine with a task of a job, like `host_of:job-1`.
+pub(super) const HOST_OF: &str = "host_of:";
+
+/// Factor by which tasks take longer on a slow machine.
 const SLOWDOWN: f64 = 20.0;
 
-/// `take done JOB`: all machines of a gang but one are gone the moment it has completed,
-/// before any of them can report it.
-pub(super) fn take_done(line: &Line) -> Result<Step, LineError> {
-    let job = line.token(2, "the name of a job")?.to_owned();
-    Ok(Box::new(move |sim| terminate_holders_once_done(sim, job)))
+/// `reclaim_at_completion JOB`: the cloud reclaims all machines of a gang but one at the moment the
+/// gang completes, before any of these machines can report the completion.
+pub(super) fn reclaim_at_completion(line: &Line) -> Result<Step, LineError> {
+    let job = line.token(1, "the name of a job")?.to_owned();
+    Ok(Box::new(move |sim| reclaim_hosts_at_completion(sim, job)))
 }
 
-/// `take COUNT notice=S`.
-pub(super) fn take(line: &Line) -> Result<Step, LineError> {
+/// `reclaim COUNT notice_s=S`: the cloud reclaims this many machines, those with tasks first.
+pub(super) fn reclaim(line: &Line) -> Result<Step, LineError> {
     let count = line.number(1, "how many machines")? as usize;
-    let notice_s = line.options.number_or("notice", 0.0)?;
+    let notice_s = line.options.number_or("notice_s", 0.0)?;
     Ok(Box::new(move |sim| {
         for name in busiest_workers(sim, count) {
-            sim.terminate_machine(name, notice_s);
+            sim.reclaim_machine(name, notice_s);
         }
     }))
 }
 
-/// `reboot COUNT`.
+/// `reboot COUNT`: this many machines reboot, those with tasks first.
 pub(super) fn reboot(line: &Line) -> Result<Step, LineError> {
     let count = line.number(1, "how many machines")? as usize;
     Ok(Box::new(move |sim| {
@@ -45,68 +50,72 @@
     }))
 }
 
-/// `take zone JOB` or `hang zone JOB for S`: all machines of the zone of a job's tasks.
+/// `reclaim zone_of:JOB` or `hang zone_of:JOB for S`: all machines in the zone of a machine that
+/// hosts a task of the job. The zone has no free machine afterwards.
 pub(super) fn zone_of_job(line: &Line) -> Result<Step, LineError> {
-    let takes = line.has(0, "take");
-    let (job, duration_s) = (line.token(2, "the name of a job")?.to_owned(), line.duration_s);
+    let reclaims = line.has(0, "reclaim");
+    let job = line.after_prefix(1, ZONE_OF, "zone_of:JOB")?.to_owned();
+    let duration_s = line.duration_s;
     Ok(Box::new(move |sim| {
-        let zone = holder(sim, &job).map(|name| sim.workers[&name].machine.zone.clone());
+        let zone = host(sim, &job).map(|name| sim.workers[&name].machine.zone.clone());
         let Some(zone) = zone else {
             return sim
                 .invariants
-                .report(Invariant::ScenarioTarget, format!("no machine holds {job}"));
+                .report(Invariant::ScenarioTarget, format!("no machine hosts a task of {job}"));
         };
-        let there = sim.workers.values().filter(|worker| worker.machine.zone == zone);
-        let names: Vec<String> = there.map(|worker| worker.machine.name.clone()).collect();
-        sim.fault_lasts(duration_s);
+        let in_zone = sim.workers.values().filter(|worker| worker.machine.zone == zone);
+        let names: Vec<String> = in_zone.map(|worker| worker.machine.name.clone()).collect();
+        sim.mark_fault_active(duration_s);
         for name in names {
-            if takes {
-                sim.terminate_machine(name, 0.0);
+            if reclaims {
+                sim.reclaim_machine(name, 0.0);
             } else {
-                hang_for(sim, name, duration_s);
+                hang_without_heartbeat(sim, name, duration_s);
             }
         }
-        // What was taken must not be free capacity again.
+        // Reclaimed machines must not become free capacity of the zone.
         sim.after(0.01, move |sim| {
-            let gone = sim.cloud.capacity.iter_mut().filter(|(key, _)| key.0 == zone);
-            gone.for_each(|(_, count)| *count = 0);
+            let capacity = sim.cloud.capacity.iter_mut().filter(|(key, _)| key.0 == zone);
+            capacity.for_each(|(_, count)| *count = 0);
         });
     }))
 }
 
-/// `take|drain|hang|reboot holder JOB notice=S for S`: one machine that holds a task of a job.
-pub(super) fn holder_of_job(line: &Line) -> Result<Step, LineError> {
-    let job = line.token(2, "the name of a job")?.to_owned();
-    let notice_s = line.options.number_or("notice", 0.0)?;
+/// `reclaim|drain|hang|reboot host_of:JOB notice_s=S for S`: one machine that hosts a task of the
+/// job.
+pub(super) fn host_of_job(line: &Line) -> Result<Step, LineError> {
+    let job = line.after_prefix(1, HOST_OF, "host_of:JOB")?.to_owned();
+    let notice_s = line.options.number_or("notice_s", 0.0)?;
     let duration_s = line.duration_s;
     let act: MachineStep = match line.token(0, "a verb")? {
-        "take" => Box::new(move |sim, name| sim.terminate_machine(name, notice_s)),
+        "reclaim" => Box::new(move |sim, name| sim.reclaim_machine(name, notice_s)),
         "drain" => Box::new(|sim, name| drain(sim, &name)),
         "reboot" => Box::new(|sim, name| sim.reboot(&name)),
         "hang" => Box::new(move |sim, name| {
-            sim.fault_lasts(duration_s);
-            hang_for(sim, name, duration_s);
+            sim.mark_fault_active(duration_s);
+            hang_without_heartbeat(sim, name, duration_s);
         }),
-        other => return Err(LineError::unexpected("take, drain, hang or reboot", other)),
+        other => return Err(LineError::unexpected("reclaim, drain, hang or reboot", other)),
     };
-    Ok(Box::new(move |sim| match holder(sim, &job) {
+    Ok(Box::new(move |sim| match host(sim, &job) {
         Some(name) => act(sim, name),
         None => {
-            let details = format!("no machine holds {job}");
+            let details = format!("no machine hosts a task of {job}");
             sim.invariants.report(Invariant::ScenarioTarget, details);
         }
     }))
 }
 
-/// Drains a machine by way of the leader's admin API.
+/// Drains a machine through the leader's admin API.
 fn drain(sim: &mut Simulation, name: &str) {
-    let node = sim.leading().unwrap_or(0);
+    let node = sim.leader_node().unwrap_or(0);
     let path = format!("/admin/machines/{name}/drain");
     sim.expect_status(node, "POST", path, Vec::new(), 200);
 }
 
-/// Hangs a machine without a heartbeat that it was about to send.
-fn hang_for(sim: &mut Simulation, name: String, duration_s: f64) {
+/// Hangs a machine. Unlike with `hang MACHINES`, the heartbeat that was due when the machine hung
+/// is not sent when the machine resumes.
+fn hang_without_heartbeat(sim: &mut Simulation, name: String, duration_s: f64) {
     let set_hung = move |sim: &mut Simulation, hung: bool| {
         if let Some(worker) = sim.workers.get_mut(&name) {
             worker.hung = hung;
@@ -116,7 +125,8 @@
     sim.after(duration_s, move |sim| set_hung(sim, false));
 }
 
-/// What `hang`, `sick`, `slow`, `deaf` and `mute` do to a machine.
+/// The fault that `hang`, `fail_tasks`, `slow`, `partition_inbound` or `partition_outbound`
+/// injects.
 #[derive(Debug, Clone, Copy)]
 enum MachineFault {
     Hung,
@@ -127,17 +137,19 @@
 }
 
 impl MachineFault {
+    /// Returns the fault that a verb stands for.
     fn parse(verb: &str) -> Result<MachineFault, LineError> {
         match verb {
             "hang" => Ok(MachineFault::Hung),
-            "sick" => Ok(MachineFault::FailsTasks),
+            "fail_tasks" => Ok(MachineFault::FailsTasks),
             "slow" => Ok(MachineFault::Slow),
-            "deaf" => Ok(MachineFault::InboundPartition),
-            "mute" => Ok(MachineFault::OutboundPartition),
-            other => Err(LineError::unexpected("hang, sick, slow, deaf or mute", other)),
+            "partition_inbound" => Ok(MachineFault::InboundPartition),
+            "partition_outbound" => Ok(MachineFault::OutboundPartition),
+            other => Err(LineError::unexpected("a fault of a machine", other)),
         }
     }
 
+    /// Injects the fault into a machine, or clears it.
     fn set(self, worker: &mut FakeWorker, now: f64, active: bool) {
         match self {
             MachineFault::Hung => worker.hang(now, active),
@@ -149,15 +161,16 @@
     }
 }
 
-/// `hang|sick|slow|deaf|mute WHO for S`: so many machines, those that hold tasks of jobs, or
-/// those of `zone:NAME`.
+/// `hang|fail_tasks|slow|partition_inbound|partition_outbound MACHINES for S`: the machines that
+/// the selector names when the step is executed have the fault until the duration has passed.
 pub(super) fn degrade(line: &Line) -> Result<Step, LineError> {
     let fault = MachineFault::parse(line.token(0, "a verb")?)?;
-    let select = MachineSelector::parse(line.token(1, "which machines")?)?;
+    let selector =
+        MachineSelector::parse(line.token(1, "a number, zone:NAME or the names of jobs")?)?;
     let duration_s = line.duration_s;
     Ok(Box::new(move |sim| {
-        let names = select.names(sim);
-        let set = move |sim: &mut Simulation, active: bool| {
+        let names = selector.names(sim);
+        let set_fault = move |sim: &mut Simulation, active: bool| {
             let now = sim.now;
             for name in &names {
                 if let Some(worker) = sim.workers.get_mut(name) {
@@ -165,8 +178,8 @@
                 }
             }
         };
-        set(sim, true);
-        sim.fault_lasts(duration_s);
-        sim.after(duration_s, move |sim| set(sim, false));
+        set_fault(sim, true);
+        sim.mark_fault_active(duration_s);
+        sim.after(duration_s, move |sim| set_fault(sim, false));
     }))
 }
--- a/crates/gladekeel-testkit/src/simulation/machines.rs
+++ b/crates/gladekeel-testkit/src/simulation/machines.rs
@@ -40,7 +40,7 @@
 
     /// How many workers send their heartbeats to the leader itself.
     pub fn workers_at_leader(&self) -> usize {
-        let leading = self.leading();
+        let leading = self.leader_node();
         self.workers.values().filter(|worker| Some(worker.node) == leading).count()
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// The cloud takes a machine back, with a notice or without.
-    pub fn terminate_machine(&mut self, name: String, notice_s: f64) {
+    pub fn reclaim_machine(&mut self, name: String, notice_s: f64) {
         if let Some(worker) = self.workers.get_mut(&name)
             && notice_s > 0.0
         {
@@ -69,14 +69,14 @@
             worker.changed = true;
         }
         self.after(notice_s, move |sim| {
-            sim.cloud.take(sim.now, &name);
+            sim.cloud.remove_machine(sim.now, &name);
             sim.remove_worker(&name);
         });
     }
 
     /// Machines hang for a while.
     pub fn hang(&mut self, names: Vec<String>, duration_s: f64) {
-        self.fault_lasts(duration_s);
+        self.mark_fault_active(duration_s);
         let set_hung = move |sim: &mut Simulation, hung: bool| {
             let now = sim.now;
             for name in &names {
@@ -100,7 +100,7 @@
         let machine = worker.machine.clone();
         let next_heartbeat_at = self.send_due_heartbeat(&name, heartbeat_at);
         self.record_events(&machine, events);
-        self.after(self.step_s, move |sim| sim.step_worker(name, next_heartbeat_at));
+        self.after(self.worker_step_s, move |sim| sim.step_worker(name, next_heartbeat_at));
     }
 
     /// Lets all gangs go on. Only scheduled in simulations that have one.
@@ -110,7 +110,7 @@
             let machine = worker.machine.clone();
             self.record_events(&machine, vec![event]);
         }
-        self.after(self.step_s, Simulation::step_gangs);
+        self.after(self.worker_step_s, Simulation::step_gangs);
     }
 
     /// Tells the invariant checker what happened on a machine.
@@ -120,14 +120,14 @@
                 WorkerEvent::TaskStarted(task) => {
                     self.invariants.on_task_started(self.now, &task, machine);
                 }
-                WorkerEvent::StartRefused(_) => self.invariants.starts_without_room += 1,
+                WorkerEvent::StartRefused(_) => self.invariants.starts_refused += 1,
                 WorkerEvent::GangTaskRunning { task, attempt } => {
                     self.invariants.on_gang_task_running(self.now, &task, attempt);
                 }
                 WorkerEvent::TaskEnded { task, completed } => {
                     self.invariants.on_task_ended(&task, &machine.name, completed);
                     if completed && self.invariants.all_tasks_completed(&task.job) {
-                        self.at_completion(task.job);
+                        self.on_job_completed(task.job);
                     }
                 }
             }
--- a/crates/gladekeel-testkit/src/simulation/read_your_writes.rs
+++ b/crates/gladekeel-testkit/src/simulation/read_your_writes.rs
@@ -27,7 +27,7 @@
 
 impl Simulation {
     /// A user got a response about a job: if it brings news, all nodes are queried.
-    pub(super) fn probe_after_news(&mut self, id: &JobId, answer: Answer) {
+    pub(super) fn probe_after_new_state(&mut self, id: &JobId, answer: Answer) {
         if !matches!(answer.status, 200 | 201) {
             return;
         }
@@ -55,6 +55,6 @@
             self.after(after_s, move |sim| sim.poll_node(node, id));
         }
         let (id, after_s) = (id.clone(), self.rng.random_range(PROBE_WITHIN_S));
-        self.after(after_s, move |sim| sim.submit_again_at(node, id));
+        self.after(after_s, move |sim| sim.resubmit_at(node, id));
     }
 }
--- a/crates/gladekeel-testkit/src/simulation/services.rs
+++ b/crates/gladekeel-testkit/src/simulation/services.rs
@@ -25,7 +25,7 @@
     request: StoreRequest,
     /// A copy that arrives later; nobody waits for its response.
     is_duplicate: bool,
-    response_lost: bool,
+    response_dropped: bool,
 }
 
 impl Simulation {
@@ -45,15 +45,17 @@
         if is_commit && self.draws_delayed_commit(node) {
             let delay_s = self.rng.random_range(COMMIT_DELAY_S);
             return self.deliver(&Endpoint::Node(node), &Endpoint::Store, move |sim| {
-                sim.after(delay_s, move |sim| sim.execute_late(request));
+                sim.after(delay_s, move |sim| sim.execute_delayed_commit(request));
             });
         }
-        let response_lost = is_commit && self.occurs(self.message_faults.lost_response_share);
+        let response_dropped =
+            is_commit && self.occurs(self.message_faults.dropped_commit_response_share);
         for &is_duplicate in self.draw_copies() {
             let delay_s = if is_duplicate { self.rng.random_range(DUPLICATE_DELAY_S) } else { 0.0 };
             let delay_s = delay_s + self.store_delay();
             let request = request.clone();
-            let call = StoreCall { node, incarnation, call, request, is_duplicate, response_lost };
+            let call =
+                StoreCall { node, incarnation, call, request, is_duplicate, response_dropped };
             self.after(delay_s, move |sim| {
                 sim.deliver(&Endpoint::Node(node), &Endpoint::Store, move |sim| {
                     sim.execute_store_call(call);
@@ -77,14 +79,14 @@
 
     /// The store executes a request and responds.
     fn execute_store_call(&mut self, store_call: StoreCall) {
-        let StoreCall { node, incarnation, call, request, is_duplicate, response_lost } =
+        let StoreCall { node, incarnation, call, request, is_duplicate, response_dropped } =
             store_call;
         let outcome = self.store.call(self.now, node, &request);
         if !is_duplicate && matches!(outcome, StoreOutcome::Committed(_)) {
-            self.message_faults.responses_lost += u64::from(response_lost);
+            self.message_faults.commit_responses_dropped += u64::from(response_dropped);
             self.committed(node);
         }
-        if self.store_responses_lost || response_lost || is_duplicate {
+        if self.store_responses_dropped || response_dropped || is_duplicate {
             return;
         }
         let delay_s = self.store_delay();
@@ -98,7 +100,7 @@
     /// A transaction of a node was committed.
     fn committed(&mut self, node: usize) {
         let Some((left, downtime_s)) = self.crash_after_commits else { return };
-        if self.leading() != Some(node) {
+        if self.leader_node() != Some(node) {
             return;
         }
         self.crash_after_commits = (left > 1).then_some((left - 1, downtime_s));
@@ -114,9 +116,9 @@
 
     /// Executes a transaction that the store received long ago: its node may be refused by now,
     /// and an outage only delays it.
-    fn execute_late(&mut self, request: StoreRequest) {
+    fn execute_delayed_commit(&mut self, request: StoreRequest) {
         if self.store.down {
-            return self.after(1.0, move |sim| sim.execute_late(request));
+            return self.after(1.0, move |sim| sim.execute_delayed_commit(request));
         }
         // Nobody waits for the answer.
         self.store.call(self.now, usize::MAX, &request);
