--- a/crates/gladekeel-controller/src/shell/listeners.rs
+++ b/crates/gladekeel-controller/src/shell/listeners.rs
@@ -11,25 +11,27 @@
 /// Class of connections from workers.
 pub(super) const WORKERS: usize = 1;
 
-/// Minimum time without a request after which a connection may be evicted.
+/// Lower bound of the idle time after which a connection may be evicted.
 const MIN_EVICTABLE_AFTER: Duration = Duration::from_secs(15);
-/// Heartbeat intervals without a request after which a connection may be evicted.
-const EVICTABLE_AFTER_HEARTBEATS: f64 = 2.0;
+/// Idle time after which a connection may be evicted, in heartbeat intervals.
+const EVICTABLE_AFTER_INTERVALS: f64 = 2.0;
 
-/// One of the controller's own addresses cannot be bound.
+/// A listening address of the controller that could not be bound.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen on {addr} ({setting}): {source}")]
 pub struct ListenError {
-    /// The address.
+    /// The address that could not be bound.
     pub addr: SocketAddr,
-    /// Field of the settings file that names the address.
+    /// The field of the settings file that holds the address.
     pub setting: &'static str,
-    /// Why it cannot be bound.
+    /// Why the address could not be bound.
     pub source: io::Error,
 }
 
-/// Binds the address for users and workers. The backlog holds every client that may be
-/// served: after a restart all workers may connect at once.
+/// Binds the listener for users and workers.
+///
+/// `backlog` should be the maximum number of inbound connections, because all workers may
+/// connect at once after a restart.
 pub(super) fn bind_user_listener(
     addr: SocketAddr,
     backlog: usize,
@@ -43,13 +45,13 @@
     bind().map_err(|source| ListenError { addr, setting: "bind", source })
 }
 
-/// Binds the address for the other controllers.
+/// Binds the listener for the other controllers.
 pub(super) async fn bind_peer_listener(addr: SocketAddr) -> Result<TcpListener, ListenError> {
     let bound = TcpListener::bind(addr).await;
     bound.map_err(|source| ListenError { addr, setting: "mesh_addr", source })
 }
 
-/// The server for users, operators and workers.
+/// Creates the HTTP server for users, operators and workers.
 pub(super) fn user_server(
     listener: TcpListener,
     settings: &Settings,
@@ -69,9 +71,9 @@
     Server::new(listener, limits).with_classes(classes)
 }
 
-/// Time without a request after which a connection may be evicted: workers send nothing
-/// between heartbeats, users nothing between polls.
+/// Idle time after which a connection may be evicted. It is longer than the pauses of a healthy
+/// client: workers send nothing between heartbeats, and users send nothing between polls.
 fn evictable_after(heartbeat_interval_s: f64) -> Duration {
-    let heartbeats_s = EVICTABLE_AFTER_HEARTBEATS * heartbeat_interval_s;
-    Duration::from_secs_f64(heartbeats_s.max(MIN_EVICTABLE_AFTER.as_secs_f64()))
+    let idle_s = EVICTABLE_AFTER_INTERVALS * heartbeat_interval_s;
+    Duration::from_secs_f64(idle_s.max(MIN_EVICTABLE_AFTER.as_secs_f64()))
 }
--- a/crates/gladekeel-controller/src/shell/mod.rs
+++ b/crates/gladekeel-controller/src/shell/mod.rs
@@ -1,24 +1,24 @@
 //! Runs a [`Node`] in a process: sockets, a clock and outgoing calls.
 //!
 //! The node itself does no I/O. The shell turns requests, frames, outcomes of calls and
-//! ticks into [`Event`]s, and executes the [`Action`]s that the node answers with.
+//! ticks into [`Event`]s, and executes the [`Action`]s that the node returns.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `listeners` | listening sockets, the server for users and workers |
-//! | `requests` | HTTP requests until the node replies |
+//! | `listeners` | listening sockets, the HTTP server for users and workers |
+//! | `requests` | HTTP requests that wait for the node's reply |
 //! | `peer_connections` | frames from and to the other controllers |
 //! | `outgoing_calls` | calls to the store, the cloud and workers |
-//! | `tick_loop` | the clock |
+//! | `tick_loop` | ticks of the clock, the delay of serving at startup |
 //!
 //! # Tasks, shutdown and cancellation
 //!
-//! Everything runs on one thread. The tasks that run for the life of the process (tick
-//! loop, accept loop for peers, one sender per peer) belong to a [`JoinSet`] in [`run`] and
-//! are aborted when its future is dropped; the accept loop owns the tasks of the
-//! connections that it accepted in the same way. The task of an outgoing call is detached:
-//! its timeout ends it. There is no graceful shutdown, and none is needed: the process may
-//! be killed at any time, since all that must last is in the store (`docs/safety.md`).
+//! All tasks run on one thread. The tasks that run for the life of the process (tick loop,
+//! accept loop for peers, one sender per peer) belong to a [`JoinSet`] in [`run`] and are
+//! aborted when the future of [`run`] is dropped. The accept loop owns the tasks of accepted
+//! connections in the same way. The task of an outgoing call is detached and ends when the
+//! call times out at the latest. There is no graceful shutdown, and none is needed: the process
+//! may be killed at any time, because all durable state is in the store (`docs/safety.md`).
 
 mod listeners;
 mod outgoing_calls;
@@ -44,7 +44,7 @@
 };
 use tokio::task::{JoinSet, spawn_local};
 
-/// What the tasks of the process share.
+/// State that the tasks of the process share.
 struct Shell {
     node: RefCell<Node>,
     started_at: Instant,
@@ -53,8 +53,8 @@
     peers: PeerSenders,
 }
 
-/// Runs a node until the future is dropped. Must be called inside a `LocalSet` or a local
-/// runtime.
+/// Runs a node until the returned future is dropped. Must be called inside a `LocalSet` or a
+/// local runtime.
 ///
 /// # Errors
 ///
@@ -86,16 +86,17 @@
             started_at: Instant::now(),
             requests: PendingRequests::default(),
             calls: OutgoingCalls::new(&settings.services, sockets.worker_calls),
-            peers: PeerSenders::spawn(&settings.peers, sockets.peer_queue(), tasks),
+            peers: PeerSenders::spawn(&settings.peers, sockets.peer_queue_capacity(), tasks),
             node: RefCell::new(Node::new(settings.clone(), seed, wall_clock.as_secs_f64())),
         }
     }
 
-    /// The node's time: seconds since the process started.
+    /// The time on the node's clock, in seconds since the process started.
     fn now_s(&self) -> f64 {
         self.started_at.elapsed().as_secs_f64()
     }
 
+    /// The number of open connections by use, given the inbound connections.
     fn socket_usage(&self, inbound: &ConnectionCounts) -> SocketUsage {
         SocketUsage {
             users: inbound.of_class(listeners::USERS),
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Hands an event to the node and executes its actions.
+    /// Passes an event to the node and executes the actions that the node returns.
     fn handle(self: &Rc<Self>, event: Event) {
         let now = self.now_s();
         let actions = self.node.borrow_mut().handle(now, event);
@@ -140,7 +141,8 @@
         }
     }
 
-    /// Starts the task of an outgoing call, which ends by its timeout.
+    /// Spawns the task of an outgoing call. `call` must end within the timeout that is passed to
+    /// it.
     fn spawn_call<F>(self: &Rc<Self>, timeout_s: f64, call: F)
     where
         F: AsyncFnOnce(Rc<Shell>, Duration) + 'static,
--- a/crates/gladekeel-controller/src/shell/outgoing_calls.rs
+++ b/crates/gladekeel-controller/src/shell/outgoing_calls.rs
@@ -1,7 +1,8 @@
 //! Calls to the store, the cloud and workers.
 //!
-//! An outcome tells "was not executed" from "may have been executed": a request that was
-//! never sent may be repeated at once, one without a response may take effect later.
+//! An outcome distinguishes a request that was not executed from a request that may have been
+//! executed: a request that was never sent can be retried at once, but a request without a
+//! response may still take effect later.
 
 use crate::{
     cloud_api::{CloudOutcome, CloudRequest},
@@ -12,12 +13,12 @@
 use gladekeel_wire::{http::HttpRequest, settings::Services};
 use std::time::Duration;
 
-/// Idle connections that are kept to the store.
-const IDLE_STORE_CONNECTIONS: usize = 8;
-/// Idle connections that are kept to the cloud.
-const IDLE_CLOUD_CONNECTIONS: usize = 4;
+/// Maximum number of idle connections to the store.
+const MAX_IDLE_STORE_CONNECTIONS: usize = 8;
+/// Maximum number of idle connections to the cloud.
+const MAX_IDLE_CLOUD_CONNECTIONS: usize = 4;
 
-/// The clients of a controller.
+/// The HTTP clients of a controller.
 pub(super) struct OutgoingCalls {
     store: Client,
     cloud: Client,
@@ -27,22 +28,23 @@
 impl OutgoingCalls {
     pub(super) fn new(services: &Services, max_worker_connections: usize) -> OutgoingCalls {
         OutgoingCalls {
-            store: Client::new(services.store, IDLE_STORE_CONNECTIONS),
-            cloud: Client::new(services.cloud, IDLE_CLOUD_CONNECTIONS),
+            store: Client::new(services.store, MAX_IDLE_STORE_CONNECTIONS),
+            cloud: Client::new(services.cloud, MAX_IDLE_CLOUD_CONNECTIONS),
             workers: Pool::new(max_worker_connections),
         }
     }
 
-    /// Open connections to workers, idle and in use.
+    /// The number of open connections to workers, idle and in use.
     pub(super) fn worker_connections(&self) -> usize {
         self.workers.open()
     }
 
-    /// Changes the maximum of open connections to workers.
+    /// Changes the maximum number of open connections to workers.
     pub(super) fn resize_worker_pool(&self, max_connections: usize) {
         self.workers.resize(max_connections);
     }
 
+    /// Sends a request to the store and returns the outcome.
     pub(super) async fn call_store(
         &self,
         request: &StoreRequest,
@@ -50,12 +52,13 @@
     ) -> StoreOutcome {
         let HttpRequest { method, target, body } = request.encode();
         match self.store.send(method, &target, &body, timeout).await {
-            Ok(reply) => request.decode(reply.status, &reply.body),
+            Ok(response) => request.decode(response.status, &response.body),
             Err(ClientError::NotSent(_)) => StoreOutcome::Unavailable,
             Err(ClientError::NoAnswer(_)) => StoreOutcome::Unknown,
         }
     }
 
+    /// Sends a request to the cloud and returns the outcome.
     pub(super) async fn call_cloud(
         &self,
         request: &CloudRequest,
@@ -63,13 +66,14 @@
     ) -> CloudOutcome {
         let HttpRequest { method, target, body } = request.encode();
         match self.cloud.send(method, &target, &body, timeout).await {
-            Ok(reply) => request.decode(reply.status, &reply.body),
+            Ok(response) => request.decode(response.status, &response.body),
             Err(ClientError::NotSent(_)) => CloudOutcome::Unavailable,
             Err(ClientError::NoAnswer(_)) => CloudOutcome::Unknown,
         }
     }
 
-    /// Sends commands to a worker, or reads its state if there are none.
+    /// Sends commands to a worker, or requests the worker's state if there are no commands.
+    /// Returns the outcome.
     pub(super) async fn call_worker(
         &self,
         request: &WorkerRequest,
@@ -84,9 +88,9 @@
             None => self.workers.send(addr, "GET", "/inspect", &[], timeout).await,
         };
         match result {
-            Ok(reply) if reply.status == 200 => serde_json::from_slice(&reply.body)
+            Ok(response) if response.status == 200 => serde_json::from_slice(&response.body)
                 .map_or(WorkerOutcome::Unknown, WorkerOutcome::Done),
-            Ok(reply) if matches!(reply.status, 400 | 409) => WorkerOutcome::NotExecuted,
+            Ok(response) if matches!(response.status, 400 | 409) => WorkerOutcome::NotExecuted,
             Ok(_) | Err(ClientError::NoAnswer(_)) => WorkerOutcome::Unknown,
             Err(ClientError::NotSent(_)) => WorkerOutcome::NotSent,
         }
--- a/crates/gladekeel-controller/src/shell/peer_connections.rs
+++ b/crates/gladekeel-controller/src/shell/peer_connections.rs
@@ -1,8 +1,8 @@
-//! Connections between controllers, over which frames ([`gladekeel_wire::mesh`]) go.
+//! Connections between controllers, which carry frames ([`gladekeel_wire::mesh`]).
 //!
-//! Each controller opens one connection to each peer and only writes to it; it reads from
-//! those that its peers have opened. Frames are best effort: what cannot be sent soon is
-//! dropped, since it would be stale when it arrived.
+//! Each controller opens one connection to each peer and only sends on it; frames are received
+//! on the connections that the peers have opened. Frames are delivered on a best-effort basis: a
+//! frame that cannot be sent soon is dropped, because it would be stale on arrival.
 
 use super::Shell;
 use crate::node::Event;
@@ -19,20 +19,21 @@
     time::{error::Elapsed, sleep, timeout},
 };
 
-/// Maximum time to connect to a peer, or to write to its connection.
+/// Maximum time to connect to a peer, and maximum time of a write to the connection.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause before the next attempt to connect to a peer.
+/// Delay before the next attempt to connect to a peer.
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
-/// Queued frames are written together up to this size in bytes.
-const MAX_WRITE: usize = 64 * 1024;
+/// Size of a write, in bytes, at which no more queued frames are added to it.
+const MAX_WRITE_BYTES: usize = 64 * 1024;
 /// Size of the read buffer of a connection, in bytes.
-const READ_BUFFER: usize = 16 * 1024;
-/// A connection without a frame for this long is dead: peers send heartbeats every second.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Maximum time to receive a frame's header, and then its payload. A connection that exceeds
+/// it is dead, because peers send a heartbeat every second.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
-/// Maximum of accepted connections. Each peer needs one; the others allow for connections
-/// whose peer has gone without closing them.
-const MAX_ACCEPTED: usize = 32;
-/// Pause after a connection could not be accepted.
+/// Maximum number of accepted connections. Each peer needs one; the others allow for
+/// connections whose peer has disappeared without closing them.
+const MAX_ACCEPTED_CONNECTIONS: usize = 32;
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Number of open connections from and to peers.
@@ -40,18 +41,19 @@
 pub(super) struct ConnectionCounter(Cell<usize>);
 
 impl ConnectionCounter {
+    /// The number of open connections.
     pub(super) fn open(&self) -> usize {
         self.0.get()
     }
 
-    /// Counts a connection until the guard is dropped.
+    /// Counts a connection as open until the returned guard is dropped.
     fn count(self: &Rc<Self>) -> CountedConnection {
         self.0.set(self.0.get() + 1);
         CountedConnection(Rc::clone(self))
     }
 }
 
-/// Counts an open connection while it lives.
+/// Guard of an open connection, which is counted until the guard is dropped.
 struct CountedConnection(Rc<ConnectionCounter>);
 
 impl Drop for CountedConnection {
@@ -61,37 +63,42 @@
     }
 }
 
-/// The queues of frames to the peers, each with a task that sends them.
+/// The send queues of the peers. Each queue has a task that sends its frames.
 pub(super) struct PeerSenders {
     queues: Vec<mpsc::Sender<Vec<u8>>>,
     connections: Rc<ConnectionCounter>,
 }
 
 impl PeerSenders {
-    /// Starts a sender for each peer, with queues of `queue_len` frames.
-    pub(super) fn spawn(peers: &[Peer], queue_len: usize, tasks: &mut JoinSet<()>) -> PeerSenders {
+    /// Spawns a sending task for each peer. Each send queue holds up to `queue_capacity` frames.
+    pub(super) fn spawn(
+        peers: &[Peer],
+        queue_capacity: usize,
+        tasks: &mut JoinSet<()>,
+    ) -> PeerSenders {
         let connections = Rc::<ConnectionCounter>::default();
         let queues = peers.iter().map(|peer| {
-            let (queue, frames) = mpsc::channel(queue_len);
+            let (queue, frames) = mpsc::channel(queue_capacity);
             tasks.spawn_local(send_loop(peer.addr, frames, Rc::clone(&connections)));
             queue
         });
         PeerSenders { queues: queues.collect(), connections }
     }
 
-    /// Queues a frame for the peer with this index in the settings; drops it if the queue is
-    /// full, which means that the peer is unreachable.
+    /// Queues a frame for the peer with index `peer` in the settings. The frame is dropped if the
+    /// queue is full, which means that the peer is unreachable.
     pub(super) fn send(&self, peer: usize, frame: Vec<u8>) {
         let _ = self.queues[peer].try_send(frame);
     }
 
-    /// Counts the connections from and to peers.
+    /// The counter of open connections from and to peers.
     pub(super) fn connections(&self) -> &Rc<ConnectionCounter> {
         &self.connections
     }
 }
 
-/// Sends queued frames to a peer, and reconnects whenever the connection fails.
+/// Sends queued frames to a peer until the queue is closed, and reconnects whenever the
+/// connection fails.
 async fn send_loop(
     addr: SocketAddr,
     mut frames: mpsc::Receiver<Vec<u8>>,
@@ -106,26 +113,26 @@
             }
         }
         sleep(RECONNECT_DELAY).await;
-        // Frames that were queued meanwhile are stale.
+        // Frames that were queued while there was no connection are stale.
         while frames.try_recv().is_ok() {}
     }
 }
 
-/// Why no more frames are sent over a connection.
+/// Why [`send_frames`] stopped sending over a connection.
 enum SendEnd {
     /// A write failed or timed out.
     ConnectionFailed,
-    /// The shell was dropped.
+    /// The send queue was dropped together with the shell.
     QueueClosed,
 }
 
-/// Sends queued frames over one connection.
+/// Sends queued frames over one connection until the connection fails or the queue is closed.
 async fn send_frames(mut stream: TcpStream, frames: &mut mpsc::Receiver<Vec<u8>>) -> SendEnd {
     let _ = stream.set_nodelay(true);
     loop {
         let Some(mut bytes) = frames.recv().await else { return SendEnd::QueueClosed };
-        // Queued frames go out in one write, and the peer wakes up once for all of them.
-        while bytes.len() < MAX_WRITE
+        // All queued frames are sent in one write, so that the peer wakes up only once.
+        while bytes.len() < MAX_WRITE_BYTES
             && let Ok(frame) = frames.try_recv()
         {
             bytes.extend_from_slice(&frame);
@@ -137,7 +144,8 @@
     }
 }
 
-/// Accepts connections of peers and reads their frames. Its tasks end with it.
+/// Accepts connections from peers and spawns a task for each that receives its frames. These
+/// tasks are aborted when the returned future is dropped.
 pub(super) async fn accept_loop(listener: TcpListener, shell: Rc<Shell>) {
     let mut readers = JoinSet::new();
     loop {
@@ -146,16 +154,16 @@
             continue;
         };
         while readers.try_join_next().is_some() {}
-        if readers.len() < MAX_ACCEPTED {
+        if readers.len() < MAX_ACCEPTED_CONNECTIONS {
             let counted = shell.peers.connections().count();
             readers.spawn_local(read_loop(stream, counted, Rc::clone(&shell)));
         }
     }
 }
 
-/// Reads frames of one connection until it fails.
+/// Receives frames from one connection and passes them to the node until the connection fails.
 async fn read_loop(stream: TcpStream, _counted: CountedConnection, shell: Rc<Shell>) {
-    let mut stream = BufReader::with_capacity(READ_BUFFER, stream);
+    let mut stream = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
     loop {
         match read_frame(&mut stream).await {
             Ok(event) => shell.handle(event),
@@ -167,7 +175,7 @@
     }
 }
 
-/// Why a connection of a peer is closed.
+/// Why a connection from a peer was closed.
 #[derive(Debug, thiserror::Error)]
 enum ReadError {
     #[error("no complete frame within {READ_TIMEOUT:?}")]
@@ -178,6 +186,7 @@
     InvalidFrame(#[from] InvalidFrame),
 }
 
+/// Reads one frame and returns the event that passes it to the node.
 async fn read_frame(stream: &mut (impl AsyncRead + Unpin)) -> Result<Event, ReadError> {
     let mut header = [0; FrameHeader::SIZE];
     timeout(READ_TIMEOUT, stream.read_exact(&mut header)).await??;
--- a/crates/gladekeel-controller/src/shell/requests.rs
+++ b/crates/gladekeel-controller/src/shell/requests.rs
@@ -21,7 +21,7 @@
 }
 
 impl PendingRequests {
-    /// Registers a request; the receiver gets its reply.
+    /// Registers a request. Returns its id and the receiver of its reply.
     fn register(&self) -> (RequestId, oneshot::Receiver<Reply>) {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
@@ -30,16 +30,16 @@
         (id, receiver)
     }
 
-    /// Hands the reply to the task of the request.
+    /// Passes the node's reply to the task that handles the request.
     pub(super) fn complete(&self, id: RequestId, reply: Reply) {
         if let Some(sender) = self.senders.borrow_mut().remove(&id) {
-            // An error means that the client has disconnected meanwhile.
+            // Sending fails only if the client has disconnected in the meantime.
             let _ = sender.send(reply);
         }
     }
 }
 
-/// Hands a request to the node and waits for its reply.
+/// Passes a request to the node, waits for the reply and returns it as an HTTP response.
 pub(super) async fn respond(shell: Rc<Shell>, request: Request) -> Response {
     let (id, receiver) = shell.requests.register();
     shell.handle(Event::Http {
@@ -49,12 +49,12 @@
         body: request.body.to_vec(),
     });
     match receiver.await {
-        Ok(reply) => encode(reply),
+        Ok(reply) => to_response(reply),
         Err(_) => Response::text(500, "no answer\n"),
     }
 }
 
-fn encode(reply: Reply) -> Response {
+fn to_response(reply: Reply) -> Response {
     if reply.plain {
         return Response::text(reply.status, reply.body);
     }
--- a/crates/gladekeel-controller/src/shell/tick_loop.rs
+++ b/crates/gladekeel-controller/src/shell/tick_loop.rs
@@ -1,4 +1,4 @@
-//! The clock: ticks, and the wait at the start until the leader is known.
+//! Ticks of the node's clock, and the delay of serving at startup until the leader is known.
 
 use super::Shell;
 use crate::{node::Event, socket_budget::SocketBudget};
@@ -11,24 +11,25 @@
 
 /// Time between two ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Maximum time after the start of the process before it serves, whether or not the leader
-/// is known.
+/// Maximum time for which a starting process waits until the leader is known before it serves
+/// requests.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Lets the node act on the time that passes, and keeps the worker pool within what the
-/// inbound connections leave of the socket budget.
+/// Passes a tick to the node every [`TICK_INTERVAL`]. Before each tick, limits the pool of
+/// connections to workers to what the inbound connections leave of the socket budget, and
+/// records the socket usage for the metrics.
 pub(super) async fn run(shell: Rc<Shell>, sockets: SocketBudget, inbound: Rc<ConnectionCounts>) {
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        shell.calls.resize_worker_pool(sockets.worker_calls_beside(inbound.open()));
+        shell.calls.resize_worker_pool(sockets.max_worker_calls(inbound.open()));
         shell.node.borrow_mut().record_sockets(shell.socket_usage(&inbound));
         tick(&shell);
     }
 }
 
-/// Handles a tick, and records its duration if it ran a scheduling cycle.
+/// Passes a tick to the node, and records the duration if the node ran a scheduling cycle.
 fn tick(shell: &Rc<Shell>) {
     let cycles_before = scheduling_cycles(shell);
     let start = Instant::now();
@@ -39,15 +40,18 @@
     }
 }
 
-/// Scheduling cycles since this node began to lead; `None` unless it leads.
+/// The number of scheduling cycles since this node became the leader; `None` if it does not
+/// lead.
 fn scheduling_cycles(shell: &Shell) -> Option<u64> {
     shell.node.borrow().leader().map(|leader| leader.counters().scheduling_cycles)
 }
 
 /// Waits until the node has read the store and knows the leader, for [`SETTLE_TIMEOUT`] at
-/// most. After all controllers have restarted, thousands of workers connect at once; serving
-/// them first would keep a small processor busy for seconds before there is a leader. They
-/// wait in the listener's backlog.
+/// most.
+///
+/// After all controllers have restarted, thousands of workers connect at once. Serving the
+/// workers first would keep a small processor busy for seconds before a leader is elected, so
+/// their connections wait in the listener's backlog.
 pub(super) async fn wait_until_settled(shell: &Shell) {
     let settled = async {
         while !shell.node.borrow().is_settled(shell.now_s()) {
@@ -55,6 +59,6 @@
         }
     };
     if timeout(SETTLE_TIMEOUT, settled).await.is_err() {
-        tracing::info!("serving before the leader is known");
+        tracing::info!("serving requests before the leader is known");
     }
 }
--- a/crates/gladekeel-controller/src/socket_budget.rs
+++ b/crates/gladekeel-controller/src/socket_budget.rs
@@ -1,34 +1,36 @@
-//! How a process divides the sockets that it may hold.
+//! The division of a process's sockets by use.
 //!
-//! One budget, made from `max_connections`, so that no use of sockets can starve another:
-//! users' requests, workers' heartbeats and the leader's calls each have their own part.
+//! The budget is derived from `max_connections`. Users' requests, workers' heartbeats and the
+//! leader's calls each have their own share, so that no use can starve another.
 
 use gladekeel_wire::settings::ProcessLimits;
 
-/// Minimum length of the queue of frames to a peer.
-const MIN_PEER_QUEUE: usize = 1024;
+/// Minimum capacity of the send queue of a peer, in frames.
+const MIN_PEER_QUEUE_CAPACITY: usize = 1024;
 
 /// The division of a process's sockets by use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SocketBudget {
-    /// Maximum of inbound connections, from users and workers.
+    /// Maximum number of inbound connections, from users and workers.
     pub inbound: usize,
-    /// Of the inbound connections, those reserved for users, operators and health checks.
+    /// Number of inbound connections that are reserved for users, operators and health checks.
     pub reserved_for_users: usize,
-    /// Of the inbound connections, those reserved for workers.
+    /// Number of inbound connections that are reserved for workers.
     pub reserved_for_workers: usize,
-    /// Maximum of connections to workers while all inbound connections are open: calls in
-    /// progress, and idle connections kept for more.
+    /// Maximum number of connections to workers while all inbound connections are open. Counts
+    /// calls in progress and idle connections that are kept for later calls.
     pub worker_calls: usize,
-    /// Sockets for the listeners, the store, the cloud, peers, and for connections that are
-    /// being refused.
+    /// Number of sockets for the listeners, the store, the cloud and the peers, and for
+    /// connections that are being refused.
     overhead: usize,
 }
 
 impl SocketBudget {
-    /// Divides the sockets that a process may hold. Most go to workers: each of them holds a
-    /// connection, and one that is refused sends its heartbeats to another controller.
-    /// Calls to workers are short.
+    /// Divides the `max_connections` sockets of a process.
+    ///
+    /// Most sockets are for inbound connections of workers: each worker holds a connection, and a
+    /// worker whose connection is refused sends its heartbeats to another controller. Calls to
+    /// workers get a smaller share because they are short.
     pub fn new(limits: &ProcessLimits) -> SocketBudget {
         let all = limits.max_connections;
         let worker_calls = (all / 8).max(2);
@@ -45,34 +47,36 @@
         }
     }
 
-    /// Maximum of frames in the queue to a peer; newer ones are dropped. After a failover all
-    /// workers of this controller may send a heartbeat at once, each relayed as a frame.
-    pub fn peer_queue(&self) -> usize {
-        MIN_PEER_QUEUE.max(self.inbound)
+    /// Maximum number of frames in the send queue of a peer; further frames are dropped. After a
+    /// failover all workers of this controller may send a heartbeat at once, and each heartbeat is
+    /// relayed as a frame.
+    pub fn peer_queue_capacity(&self) -> usize {
+        MIN_PEER_QUEUE_CAPACITY.max(self.inbound)
     }
 
-    /// Maximum of connections to workers while `open_inbound` inbound connections are open:
-    /// what those leave unused. An idle connection that is kept spares a new one for the
-    /// next command.
-    pub fn worker_calls_beside(&self, open_inbound: usize) -> usize {
-        // The overhead stays free for connections that are accepted until the next call.
+    /// Maximum number of connections to workers while `open_inbound` inbound connections are open.
+    /// Connections to workers may use the sockets that inbound connections leave unused, because
+    /// an idle connection that is kept saves opening a new one for the next command.
+    pub fn max_worker_calls(&self, open_inbound: usize) -> usize {
+        // Keeps `overhead` sockets free for connections that are accepted before this function is
+        // called again.
         let budget = self.inbound + self.worker_calls;
         let unused = budget.saturating_sub(open_inbound + self.overhead);
         unused.max(self.worker_calls)
     }
 }
 
-/// Number of connections that a process holds, by use.
+/// The number of open connections of a process, by use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SocketUsage {
-    /// From users, operators and health checks.
+    /// Connections from users, operators and health checks.
     pub users: usize,
-    /// From workers.
+    /// Connections from workers.
     pub workers: usize,
-    /// From clients that have not sent a request yet.
+    /// Connections from clients that have not sent a request yet.
     pub unclassified: usize,
-    /// To workers.
+    /// Connections to workers.
     pub worker_calls: usize,
-    /// From and to other controllers.
+    /// Connections from and to other controllers.
     pub peers: usize,
 }
