--- a/crates/gladekeel-controller/src/http_api/admission.rs
+++ b/crates/gladekeel-controller/src/http_api/admission.rs
@@ -1,7 +1,8 @@
-//! Admission control: whether a well-formed submission could ever run.
+//! Admission control: rejects well-formed jobs that could never run.
 //!
-//! Called once for each new job, before it is written to the store. A job that was accepted
-//! before must not be judged again: a repeated submission is answered with the job's state.
+//! The node checks each new job once, before the job is written to the store. A job that has
+//! already been accepted must not be checked again: the response to a repeated submission is the
+//! job's state.
 
 use gladekeel_sched::Resources;
 use gladekeel_wire::{
@@ -11,21 +12,21 @@
 };
 use std::collections::BTreeSet;
 
-/// Whether a job can ever run.
+/// The result of [`check_admission`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// It can.
+    /// The job can run.
     Accepted,
-    /// It cannot; the reason is for the user.
+    /// The job can never run, for a reason that is sent to the user.
     Rejected(String),
-    /// The machine types have not been read yet.
+    /// The machine types have not been read yet, so that the job cannot be checked.
     Unknown,
 }
 
-/// Decides whether a job fits its team's limit and some machine type.
+/// Checks that a job fits its team's limit and at least one machine type.
 ///
-/// The machine types that are currently sold out count as well: capacity that is missing just
-/// now is no reason to reject a job.
+/// Machine types that are currently sold out count as well: a temporary lack of capacity is no
+/// reason to reject a job.
 pub(crate) fn check_admission(
     deployment: &Deployment,
     machine_types: Option<&MachineTypes>,
@@ -34,9 +35,10 @@
     let Some(team) = deployment.teams.iter().find(|team| team.name == spec.team) else {
         return Admission::Rejected(format!("no team {:?}", spec.team));
     };
-    // Tasks of an array can run one after the other; a gang or a service needs all of them.
+    // Tasks of an array can run one after the other; a gang or a service needs all its tasks at
+    // the same time.
     let concurrent_tasks = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
-    // The scheduler's own units: whatever is accepted here can be placed.
+    // Computed in the scheduler's units, so that every accepted job can be placed.
     let task = Resources::requested(spec.cpus, spec.gpus, spec.memory_gb);
     let requested = task * i64::from(concurrent_tasks);
     let limit = Resources::allocatable(team.cpus_max, team.gpus_max, 0.0);
@@ -44,11 +46,11 @@
         return Admission::Rejected("the job needs more than the team's limit".into());
     }
     let Some(machine_types) = machine_types else { return Admission::Unknown };
-    let allowed = allowed_types(machine_types, spec, task);
-    if allowed.is_empty() {
+    let suitable_types = suitable_types(machine_types, spec, task);
+    if suitable_types.is_empty() {
         return Admission::Rejected("a task fits no allowed machine type".into());
     }
-    let has_single_zone = || spec.single_zone || allowed_zones(&allowed, spec).len() == 1;
+    let has_single_zone = || spec.single_zone || allowed_zones(&suitable_types, spec).len() == 1;
     if spec.spread && concurrent_tasks > 1 && has_single_zone() {
         return Admission::Rejected(
             "all tasks are in one zone, and at most half of them may be".into(),
@@ -57,8 +59,8 @@
     Admission::Accepted
 }
 
-/// The machine types that the job allows and whose capacity holds a task.
-fn allowed_types<'a>(
+/// The machine types that the job allows and that have the capacity for one of its tasks.
+fn suitable_types<'a>(
     machine_types: &'a MachineTypes,
     spec: &JobSpec,
     task: Resources,
@@ -74,7 +76,7 @@
     machine_types.types.iter().filter(is_allowed).filter(fits).collect()
 }
 
-/// The zones in which the job's tasks may run.
+/// The zones of the given machine types in which the job's tasks may run.
 fn allowed_zones<'a>(machine_types: &[&'a MachineType], spec: &JobSpec) -> BTreeSet<&'a str> {
     let zones = machine_types.iter().flat_map(|machine_type| &machine_type.zones);
     let allowed = zones.filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone));
--- a/crates/gladekeel-controller/src/http_api/mod.rs
+++ b/crates/gladekeel-controller/src/http_api/mod.rs
@@ -1,7 +1,7 @@
-//! The HTTP interface as plain data: what a request asks for and what a reply looks like.
+//! The HTTP API as plain data: routes of requests, admission of jobs and replies.
 //!
-//! Nothing here knows the node. The [`shell`](crate::shell) classifies connections by
-//! [`Route`], and the request handlers of the [`node`](crate::node) turn a route into a
+//! This module does not depend on the node. The [`shell`](crate::shell) classifies connections
+//! by [`Route`], and the request handlers of the [`node`](crate::node) turn a route into a
 //! [`Reply`].
 
 mod admission;
--- a/crates/gladekeel-controller/src/http_api/route.rs
+++ b/crates/gladekeel-controller/src/http_api/route.rs
@@ -1,15 +1,15 @@
-//! Parsing of HTTP methods and paths into typed requests.
+//! Parsing of HTTP methods and paths into routes.
 
 use gladekeel_wire::JobId;
 
 /// Longest machine name that the administration API accepts, in bytes.
-const MAX_MACHINE_NAME: usize = 100;
+const MAX_MACHINE_NAME_BYTES: usize = 100;
 /// Prefix of the paths of the administration API.
 const ADMIN_PREFIX: &str = "/admin/";
 /// Prefix of the paths of a single job.
 const JOB_PREFIX: &str = "/api/jobs/";
 
-/// What an HTTP request asks for.
+/// The operation that an HTTP request names by its method and path.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Route {
     /// Submit a job.
@@ -18,13 +18,13 @@
     Poll(Option<JobId>),
     /// Cancel a job. `None` if the path holds no valid job id.
     Cancel(Option<JobId>),
-    /// A worker's heartbeat.
+    /// Report a worker's heartbeat.
     Heartbeat,
-    /// Health check.
+    /// Check the node's health.
     Health,
-    /// Metrics in the Prometheus text format.
+    /// Get the metrics in the Prometheus text format.
     Metrics,
-    /// The administration API.
+    /// Call the administration API.
     Admin(AdminRoute),
     /// A known path with a method that it does not support.
     WrongMethod,
@@ -33,7 +33,8 @@
 }
 
 impl Route {
-    /// Label of the request in latency metrics; `None` for requests that are not timed.
+    /// The request's label in latency metrics; `None` if the latency of such requests is not
+    /// measured.
     pub fn metric_label(&self) -> Option<&'static str> {
         match self {
             Route::Submit => Some("submit"),
@@ -66,7 +67,8 @@
         if method == allowed_method { route } else { Route::WrongMethod }
     }
 
-    /// Parses `ID` and `ID/cancel`: the route and its method.
+    /// Parses `ID` or `ID/cancel`, the part of a path behind `/api/jobs/`. Returns the route and
+    /// the method that it supports, or `None` for any other path.
     fn parse_job_path(path: &str) -> Option<(Route, &'static str)> {
         match path.split_once('/') {
             None => Some((Route::Poll(path.parse().ok()), "GET")),
@@ -76,7 +78,7 @@
     }
 }
 
-/// Why a path of the administration API cannot be served.
+/// Why a request to the administration API has no route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum AdminRouteError {
     /// There is no such path.
@@ -105,7 +107,7 @@
     Drain {
         /// The machine's name.
         machine: String,
-        /// `true` to drain the machine, `false` to take it back into service.
+        /// `true` to drain the machine, `false` to return it to service.
         draining: bool,
     },
 }
@@ -115,7 +117,7 @@
     ///
     /// # Errors
     ///
-    /// If there is no such path, or if it does not support the method.
+    /// If there is no such path, or if the path does not support the method.
     pub fn parse(method: &str, path: &str) -> Result<AdminRoute, AdminRouteError> {
         let (route, allowed_method) = match (path, method) {
             ("settings", "PUT") => (AdminRoute::SetSettings, "PUT"),
@@ -130,10 +132,10 @@
         if method == allowed_method { Ok(route) } else { Err(AdminRouteError::MethodNotAllowed) }
     }
 
-    /// Parses `machines/NAME/drain` and `machines/NAME/undrain`.
+    /// Parses `machines/NAME/drain` or `machines/NAME/undrain`; `None` for any other path.
     fn parse_drain(path: &str) -> Option<AdminRoute> {
-        let (machine, verb) = path.strip_prefix("machines/")?.split_once('/')?;
-        let draining = match verb {
+        let (machine, action) = path.strip_prefix("machines/")?.split_once('/')?;
+        let draining = match action {
             "drain" => true,
             "undrain" => false,
             _ => return None,
@@ -145,5 +147,5 @@
 
 fn is_machine_name(name: &str) -> bool {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    (1..=MAX_MACHINE_NAME).contains(&name.len()) && name.bytes().all(is_allowed)
+    (1..=MAX_MACHINE_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_allowed)
 }
--- a/crates/gladekeel-controller/tests/admin_routes.rs
+++ b/crates/gladekeel-controller/tests/admin_routes.rs
@@ -1,9 +1,11 @@
-//! Paths of the administration API.
+//! Parsing of methods and paths of the administration API.
 
 use gladekeel_controller::http_api::{AdminRoute, AdminRouteError};
 
+/// Guards against requests of operators that reach the wrong operation: each path supports its
+/// own methods only, and a drain needs a valid machine name.
 #[test]
-fn routes() {
+fn methods_and_paths_parse_to_admin_routes() {
     let drain = |draining| Ok(AdminRoute::Drain { machine: "n-1".into(), draining });
     assert_eq!(AdminRoute::parse("POST", "machines/n-1/drain"), drain(true));
     assert_eq!(AdminRoute::parse("POST", "machines/n-1/undrain"), drain(false));
