--- a/crates/gladekeel-controller/src/cloud_api.rs
+++ b/crates/gladekeel-controller/src/cloud_api.rs
@@ -1,14 +1,14 @@
-//! Requests to the cloud and what comes of them.
+//! Requests to the cloud and their outcomes.
 //!
-//! [`CloudRequest::encode`] and [`CloudRequest::decode`] are the whole of the cloud's HTTP
-//! protocol; the autoscaling part of the leader decides what is requested.
+//! [`CloudRequest::encode`] and [`CloudRequest::decode`] implement the cloud's HTTP protocol. The
+//! leader's autoscaler decides which requests are sent.
 
 use gladekeel_wire::cloud::{
     MAX_MACHINES_PER_PAGE, MachineNames, MachinePage, MachineTypes, RentRequest,
 };
 use gladekeel_wire::{http::HttpRequest, job::ErrorBody};
 
-/// The error by which the cloud says that a pool has no machines to rent.
+/// The error text of the cloud's response if a pool has no machines to rent.
 const NO_CAPACITY: &str = "no capacity";
 
 /// A request to the cloud.
@@ -22,36 +22,37 @@
     Delete(Vec<String>),
     /// List a page of the machines.
     ListMachines {
-        /// The page begins after this machine; `None` for the first page.
+        /// The name of the machine after which the page starts; `None` for the first page.
         after: Option<String>,
     },
 }
 
-/// What came of a request.
+/// The outcome of a request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudOutcome {
-    /// The machine types.
+    /// The machine types and their prices.
     Types(MachineTypes),
-    /// Machines with these names were rented; there may be fewer than requested.
+    /// Machines with these names were rented, possibly fewer than requested.
     Rented(Vec<String>),
-    /// The pool has no machines to rent; nothing was done.
+    /// The pool has no machines to rent; the request was not executed.
     NoCapacity,
-    /// The machines are deleted.
+    /// The machines were deleted.
     Deleted,
-    /// A page of the list.
+    /// A page of the list of machines.
     List(MachinePage),
-    /// The rate limit is exceeded; nothing was done.
+    /// The cloud's rate limit was exceeded; the request was not executed.
     RateLimited,
-    /// The cloud refused the request, or it was never sent; nothing was done.
+    /// The cloud was unavailable, or the request was never sent; the request was not executed.
     Unavailable,
-    /// The cloud calls the request malformed; nothing was done.
+    /// The cloud rejected the request as malformed; the request was not executed.
     Rejected,
-    /// No response that can be read: it may have been carried out, or may be later.
+    /// No readable response was received: the request may have been executed, or may be executed
+    /// later.
     Unknown,
 }
 
 impl CloudRequest {
-    /// The request in the cloud's protocol.
+    /// Encodes the request as an HTTP request of the cloud's protocol.
     pub fn encode(&self) -> HttpRequest {
         match self {
             CloudRequest::ListMachineTypes => HttpRequest::get("/flavors"),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// What came of the request, by the status and body of its response.
+    /// Decodes the outcome of the request from the status and body of its response.
     pub fn decode(&self, status: u16, body: &[u8]) -> CloudOutcome {
         use CloudOutcome::{
             Deleted, List, NoCapacity, RateLimited, Rejected, Rented, Types, Unavailable, Unknown,
@@ -76,7 +77,7 @@
         match (status, self) {
             (429, _) => RateLimited,
             (503, CloudRequest::Rent(_)) => match serde_json::from_slice::<ErrorBody>(body) {
-                Ok(refusal) if refusal.error == NO_CAPACITY => NoCapacity,
+                Ok(body) if body.error == NO_CAPACITY => NoCapacity,
                 _ => Unavailable,
             },
             (503, _) => Unavailable,
--- a/crates/gladekeel-controller/src/keys.rs
+++ b/crates/gladekeel-controller/src/keys.rs
@@ -1,41 +1,42 @@
-//! The keys of the store, and what each holds.
+//! The keys of the store and their values.
 //!
 //! | key | value | written by |
 //! | --- | --- | --- |
 //! | `gk/job/<id>` | a [`JobSpec`](gladekeel_wire::job::JobSpec) with [`ACCEPTED_AT`] | any node, once; removed by the leader |
 //! | `gk/fate/<id>` | a [`JobState`](gladekeel_wire::job::JobState): `"done"` or `"aborted"` | the leader, or any node for a cancellation; once |
-//! | `gk/leader` | a [`LeaderRecord`]; its version is the fencing token | the leader, on its lease |
+//! | `gk/leader` | a [`LeaderRecord`]; its version is the fencing token | the leader, bound to its lease |
 //! | `gk/types` | machine types, see [`crate::stored_types`] | the leader |
-//! | `gk/types/<n>` | the machine types that `gk/types` has no room for | the leader |
+//! | `gk/types/<n>` | the machine types that do not fit into `gk/types` | the leader |
 //! | `gk/options` | runtime settings by name | any node, for an operator |
 //! | `gk/drain/<machine>` | `true`: the machine is to be drained | any node, for an operator |
 //! | `gl/<slot>` | a segment, see [`crate::assignment_log`] | the leader |
 //!
-//! Every node replicates `gk/`. Only a node that begins to lead reads `gl/`. The keys are shared
-//! with earlier versions that run side by side with this one.
+//! Every node replicates the keys under `gk/`. Only a node that becomes the leader reads those
+//! under `gl/`. Nodes of earlier versions use the same keys and may run alongside this version.
 
 use gladekeel_wire::JobId;
 use serde::{Deserialize, Serialize};
 
 /// Prefix of the keys that every node replicates.
 pub const REPLICATED_PREFIX: &str = "gk/";
-/// The key of the leader's record.
+/// The key of the [`LeaderRecord`].
 pub const LEADER: &str = "gk/leader";
-/// The key of the first part of the machine types, and the prefix of the others.
+/// The key of the first part of the machine types, and the prefix of the other parts' keys.
 pub const MACHINE_TYPES: &str = "gk/types";
 /// The key of the runtime settings.
 pub const OPTIONS: &str = "gk/options";
-/// Prefix of drain orders.
+/// Prefix of the keys of drain orders.
 pub const DRAIN_PREFIX: &str = "gk/drain/";
-/// Prefix of jobs.
+/// Prefix of the keys of jobs.
 pub const JOB_PREFIX: &str = "gk/job/";
-/// Field of a stored job: when it was accepted, as a time of day in seconds.
+/// Field of a stored job that holds the time at which the job was accepted, in seconds of Unix
+/// time.
 pub const ACCEPTED_AT: &str = "accepted_at";
-/// Prefix of final states.
+/// Prefix of the keys of final states.
 pub const FINAL_STATE_PREFIX: &str = "gk/fate/";
-/// Prefix of the slots of the assignment log.
+/// Prefix of the keys of the assignment log's slots.
 pub const ASSIGNMENT_LOG_PREFIX: &str = "gl/";
-/// Prefix under which the first version kept assignments.
+/// Prefix of the keys under which the first version stored assignments.
 pub const LEGACY_ASSIGNMENTS_PREFIX: &str = "gk/assign/";
 
 /// The key of a job.
@@ -53,12 +54,12 @@
     format!("{DRAIN_PREFIX}{machine}")
 }
 
-/// The key of a part of the machine types. Part 0 is all of them if they fit.
+/// The key of a part of the machine types. Part 0 holds all machine types if they fit into it.
 pub fn machine_types_part(part: u32) -> String {
     if part == 0 { MACHINE_TYPES.to_owned() } else { format!("{MACHINE_TYPES}/{part}") }
 }
 
-/// The part of the machine types that a key holds, if it holds any.
+/// The number of the part of the machine types that a key holds; `None` for any other key.
 pub fn parse_machine_types_part(key: &str) -> Option<u32> {
     let rest = key.strip_prefix(MACHINE_TYPES)?;
     if rest.is_empty() { Some(0) } else { rest.strip_prefix('/')?.parse().ok() }
@@ -69,17 +70,17 @@
     format!("{ASSIGNMENT_LOG_PREFIX}{slot:06}")
 }
 
-/// The slot of the assignment log that a key stands for, if it does.
+/// The slot of the assignment log that a key holds; `None` for any other key.
 pub fn parse_log_slot(key: &str) -> Option<u32> {
     key.strip_prefix(ASSIGNMENT_LOG_PREFIX)?.parse().ok()
 }
 
-/// Who leads.
+/// The value of [`LEADER`], which names the node that leads.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The node's name.
+    /// The leader's name.
     pub node: String,
-    /// The node's incarnation: a node that was restarted is another candidate.
+    /// The leader's incarnation. A restarted node is a different candidate.
     #[serde(rename = "run")]
     pub incarnation: u64,
 }
--- a/crates/gladekeel-controller/src/lib.rs
+++ b/crates/gladekeel-controller/src/lib.rs
@@ -1,8 +1,9 @@
-//! A controller node.
+//! A controller node of the gladekeel cluster scheduler.
 //!
-//! [`node::Node`] is the whole of it without I/O: events and the time go in,
-//! actions come out, and the same events give the same actions. [`shell`] gives
-//! it sockets and a clock; the testkit gives it a simulated world instead.
+//! [`node::Node`] is the state machine of a controller. It does no I/O: it takes events and the
+//! current time, returns actions, and always returns the same actions for the same events.
+//! [`shell`] connects a node to sockets and a clock; the testkit runs nodes in a simulated world
+//! instead.
 
 pub mod assignment_log;
 pub mod cloud_api;
--- a/crates/gladekeel-controller/src/prometheus.rs
+++ b/crates/gladekeel-controller/src/prometheus.rs
@@ -1,16 +1,17 @@
 //! The Prometheus text exposition format.
 //!
-//! Takes names, labels and numbers and knows nothing of the node. Every metric name gets the
-//! prefix `gladekeel_`.
+//! This module takes names, labels and numbers, and does not depend on the node. It adds the
+//! prefix `gladekeel_` to every metric name.
 
 use hdrhistogram::Histogram;
 use std::fmt::Write as _;
 
-/// Longest duration that a histogram resolves, in microseconds; longer ones count as this.
+/// Longest duration that a histogram resolves, in microseconds. Longer durations are recorded as
+/// this value.
 const MAX_MICROSECONDS: u64 = 60_000_000;
-/// Significant decimal digits of a recorded duration.
+/// Number of significant decimal digits of a recorded duration.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// The quantiles that are exposed of each histogram.
+/// The quantiles that are exposed for each histogram.
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 
 /// The type of a metric, as the `# TYPE` line names it.
@@ -55,7 +56,7 @@
         self.max_s = self.max_s.max(seconds);
     }
 
-    /// How many durations have been recorded.
+    /// The number of recorded durations.
     pub fn count(&self) -> f64 {
         self.histogram.len() as f64
     }
@@ -70,7 +71,7 @@
         self.max_s
     }
 
-    /// The exposed quantiles and their durations in seconds.
+    /// The exposed quantiles, each with its duration in seconds.
     pub fn quantiles(&self) -> impl Iterator<Item = (f64, f64)> {
         QUANTILES
             .into_iter()
--- a/crates/gladekeel-controller/src/runtime_settings.rs
+++ b/crates/gladekeel-controller/src/runtime_settings.rs
@@ -1,41 +1,42 @@
 //! Settings that operators may change while the service runs.
 //!
-//! The store holds them for all controllers; every node applies them as soon as a read shows
-//! them. Each has a name in the administration API, a range and a default. A change is applied
-//! whole or not at all.
+//! The store holds these settings for all controllers, and every node applies a change as soon as
+//! the node reads the change from the store. Each setting has a name in the administration API, a
+//! range and a default. A change is applied as a whole or not at all.
 
 use gladekeel_sched::{autoscaling::AutoscalerConfig, fair_share::FairShare};
 use gladekeel_wire::settings::WorkerTimings;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// By default a machine counts as unreachable this long after it is first probed, which leaves
-/// time for several probes.
+/// Default time in seconds between the first probe of a machine and the machine counting as
+/// unreachable, which leaves time for several probes.
 const PROBING_PERIOD_S: f64 = 6.5;
 
-/// The settings in force.
+/// The runtime settings that are in force.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RuntimeSettings {
     /// The parameters β and ε of fair sharing.
     pub fair_share: FairShare,
-    /// Time between scheduling cycles.
+    /// Time between scheduling cycles, in seconds.
     pub cycle_interval_s: f64,
-    /// A task is a straggler once it has run for this many times its job's median.
+    /// A task is a straggler once it has run for this many times the median run time of its job.
     pub straggler_multiple: f64,
-    /// How long an idle machine beyond the demand is kept.
+    /// Time in seconds for which an idle machine that exceeds the demand is kept.
     pub idle_timeout_s: f64,
-    /// A machine without heartbeats for this long that answers no probe either is deleted, if
-    /// other machines of its zone are reachable.
+    /// Time in seconds without a heartbeat after which a machine that does not respond to probes
+    /// either is deleted, if other machines of its zone are reachable.
     pub unreachable_after_s: f64,
-    /// How long a task waits for capacity before other tasks are preempted for it.
+    /// Time in seconds that a task waits for capacity before other tasks are preempted for it.
     pub preempt_after_s: f64,
-    /// The same before tasks are preempted that checkpoint their progress.
+    /// Time in seconds that a task waits for capacity before tasks that checkpoint their progress
+    /// are preempted for it.
     pub preempt_checkpointed_after_s: f64,
     /// The parameters of the autoscaler.
     pub autoscaler: AutoscalerConfig,
 }
 
-/// Why a change of the settings is refused.
+/// Why a change of the settings is rejected.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum InvalidRuntimeSetting {
     /// There is no setting of this name.
@@ -44,14 +45,14 @@
         /// The name in the change.
         name: String,
     },
-    /// The value is not a number, or is out of range.
+    /// The value is not a number or is out of range.
     #[error("{name}: must be a number from {min} to {max}")]
     OutOfRange {
         /// The setting's name.
         name: &'static str,
-        /// Its smallest value.
+        /// The smallest value of the setting.
         min: f64,
-        /// Its largest value.
+        /// The largest value of the setting.
         max: f64,
     },
     /// The change names no setting.
@@ -59,9 +60,9 @@
     Empty,
 }
 
-/// The name and the range of a setting, and where its value is.
+/// The name and the range of a setting, and the access to its value.
 struct SettingDefinition {
-    /// Its name in the administration API and in the store.
+    /// The setting's name in the administration API and in the store.
     name: &'static str,
     min: f64,
     max: f64,
@@ -78,7 +79,7 @@
         SETTINGS.iter().map(|definition| definition.name).collect()
     }
 
-    /// Whether a value is in range; one that is not a number is in none.
+    /// Whether a value is in the setting's range. NaN is in no range.
     fn accepts(&self, value: f64) -> bool {
         (self.min..=self.max).contains(&value)
     }
@@ -158,7 +159,7 @@
 ];
 
 impl RuntimeSettings {
-    /// The defaults, which are in force until operators change them.
+    /// The default settings, which are in force until operators change them.
     pub fn defaults(workers: &WorkerTimings) -> RuntimeSettings {
         RuntimeSettings {
             fair_share: FairShare::default(),
@@ -172,9 +173,9 @@
         }
     }
 
-    /// All settings by name.
+    /// The values of all settings by name.
     pub fn values(&self) -> BTreeMap<String, f64> {
-        // The accessors need a mutable value.
+        // The accessors take a mutable reference.
         let mut copy = self.clone();
         SETTINGS
             .iter()
@@ -182,11 +183,11 @@
             .collect()
     }
 
-    /// These settings with some of them changed.
+    /// A copy of these settings with the given values changed.
     ///
     /// # Errors
     ///
-    /// If a name is unknown or a value out of range.
+    /// If a name is unknown or a value is out of range.
     pub fn with_values(
         &self,
         values: &BTreeMap<String, f64>,
@@ -202,7 +203,7 @@
         Ok(changed)
     }
 
-    /// These settings with some of them changed to values that an operator has sent.
+    /// A copy of these settings with the JSON values of an operator's request changed.
     ///
     /// # Errors
     ///
--- a/crates/gladekeel-controller/src/store_view.rs
+++ b/crates/gladekeel-controller/src/store_view.rs
@@ -1,13 +1,13 @@
-//! The typed view of the store that every node has.
+//! The typed view of the store that every node keeps.
 //!
-//! [`gladekeel_store::Replica`] says which keys have changed; [`StoreView::apply`] puts each
-//! change into the field for its kind of key. The view is as old as the last read of the store:
-//! who needs a current one reads the store first. A value that this version cannot read is never
-//! taken for an absent one ("What cannot be read" in `docs/safety.md`).
+//! [`gladekeel_store::Replica`] reports which keys have changed, and [`StoreView::apply`] applies
+//! each change to the field for that kind of key. The view is as old as the last read of the
+//! store; code that needs a current view reads the store first. A value that this version cannot
+//! read is never treated as absent ("What cannot be read" in `docs/safety.md`).
 
 use crate::{
     keys::{self, LeaderRecord},
-    stored_types::StoredTypes,
+    stored_types::StoredMachineTypes,
 };
 use gladekeel_store::Change;
 use gladekeel_wire::{
@@ -21,14 +21,15 @@
     rc::Rc,
 };
 
-/// A job as the store has it.
+/// A job as the store holds it.
 #[derive(Debug, Clone)]
 pub struct StoredJob {
-    /// What its user submitted.
+    /// The specification that the user submitted.
     pub spec: Rc<JobSpec>,
-    /// The version of its key. Jobs were accepted in the order of their versions.
+    /// The version of the job's key. Jobs were accepted in the order of these versions.
     pub version: u64,
-    /// When it was accepted, as a time of day in seconds.
+    /// The time at which the job was accepted, in seconds of Unix time; `None` if the stored value
+    /// lacks it.
     pub accepted_at: Option<f64>,
 }
 
@@ -37,76 +38,80 @@
 pub struct StoreView {
     /// Jobs whose keys the leader has not removed yet.
     pub jobs: BTreeMap<JobId, StoredJob>,
-    /// Final states of all jobs ever. They never change.
+    /// Final states of all jobs that have ever reached one. A final state never changes.
     pub final_states: HashMap<JobId, JobState>,
-    /// Cancelled jobs in `jobs`: a time on this node's clock at which each was not cancelled yet,
-    /// as late as known. Their users cannot have been told of the cancellation earlier.
+    /// For each cancelled job in `jobs`, the latest known time on this node's clock at which the
+    /// job was not cancelled yet. No user can have been notified of the cancellation before then.
     pub cancelled_no_earlier_than: HashMap<JobId, f64>,
-    /// Jobs whose cancellation another controller has committed, as it says, and when it said so
-    /// on this node's clock. Their tasks are stopped and none is started, but no user is answered
-    /// by it.
+    /// Jobs whose cancellation a controller has committed and the store has not shown yet, each
+    /// with a time on this node's clock before which the cancellation was not committed. Tasks of
+    /// these jobs are stopped and none is started, but responses to users do not rely on this
+    /// field.
     pub pending_cancellations: HashMap<JobId, f64>,
-    /// Progress as the leader last published it, for display only.
+    /// Progress of jobs as last published by the leader, for display only.
     pub job_progress: BTreeMap<JobId, JobProgress>,
-    /// Whether the store holds assignments in the layout of the first version, which this one
-    /// cannot read.
+    /// Whether the store holds, or has held, assignments in the layout of the first version, which
+    /// this version cannot read.
     pub has_legacy_assignments: bool,
     /// Keys of jobs and final states whose values cannot be read. While there are any, nothing is
-    /// scheduled, and users who ask for these jobs get no state.
+    /// scheduled, and users who poll one of these jobs get no state.
     pub unreadable: BTreeSet<String>,
-    /// The leader, and the version of its key: the fencing token.
+    /// The leader and its fencing token, which is the version of [`keys::LEADER`]. `None` if the
+    /// key does not exist or its value cannot be read.
     pub leader: Option<(LeaderRecord, u64)>,
-    /// The highest fencing token ever seen.
+    /// The highest fencing token that this node has seen; 0 if it has seen none.
     pub highest_token: u64,
-    /// Machine types.
-    pub machine_types: StoredTypes,
+    /// The machine types.
+    pub machine_types: StoredMachineTypes,
     /// Runtime settings that operators have changed, by name.
     pub options: BTreeMap<String, f64>,
-    /// The version of the key of `options`; 0 if it does not exist.
+    /// The version of [`keys::OPTIONS`]; 0 if the key does not exist.
     pub options_version: u64,
-    /// Machines that operators want drained, with the versions of the keys.
+    /// Machines that operators have ordered to drain, each with the version of its
+    /// [`keys::drain`] key.
     pub drain_orders: BTreeMap<String, u64>,
 }
 
-/// How many of a job's tasks are done and running.
+/// The number of a job's tasks that are done and that are running.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobProgress {
-    /// Tasks that have completed.
+    /// Number of tasks that have completed.
     pub done: u32,
-    /// Tasks on machines.
+    /// Number of tasks that are assigned to machines.
     pub running: u32,
 }
 
-/// What a change of the store concerns.
+/// The object that a change of the store affects.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeKind {
     /// A job was added or removed.
     Job(JobId),
-    /// A job has a final state.
+    /// A job has received a final state.
     FinalState(JobId),
-    /// The runtime settings.
+    /// The runtime settings were changed.
     RuntimeSettings,
-    /// A machine is to be drained, or no longer.
+    /// The drain order of the machine with this name was added or removed.
     Drain(String),
-    /// Anything that needs no reaction.
+    /// Any other change. It needs no further handling.
     Other,
 }
 
 impl StoreView {
-    /// Whether a job's tasks must stop, as far as this node knows.
+    /// Whether a job is cancelled as far as this node knows, so that its tasks must stop.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
         self.final_states.get(id) == Some(&JobState::Cancelled)
             || self.pending_cancellations.contains_key(id)
     }
 
-    /// Whether what the store holds of a job cannot be read.
+    /// Whether the stored job or its stored final state cannot be read.
     pub fn is_unreadable(&self, id: &JobId) -> bool {
         !self.unreadable.is_empty()
             && (self.unreadable.contains(&keys::job(id))
                 || self.unreadable.contains(&keys::final_state(id)))
     }
 
-    /// Applies a change that was made after the time `made_after` on this node's clock.
+    /// Applies a change that was made after the time `made_after` on this node's clock. Returns
+    /// which object the change affects.
     pub fn apply(&mut self, change: &Change, made_after: f64) -> ChangeKind {
         let key = change.key.as_str();
         if let Some(id) = key.strip_prefix(keys::JOB_PREFIX) {
@@ -130,7 +135,7 @@
 
     fn apply_job(&mut self, id: &str, change: &Change) -> ChangeKind {
         let Ok(id) = id.parse::<JobId>() else { return ChangeKind::Other };
-        let spec = self.read_or_mark_unreadable::<JobSpec>(change);
+        let spec = self.deserialise_or_mark_unreadable::<JobSpec>(change);
         match (&change.current, spec) {
             (Some((value, version)), Some(spec)) => {
                 let accepted_at = value.get(keys::ACCEPTED_AT).and_then(Value::as_f64);
@@ -149,8 +154,8 @@
 
     fn apply_final_state(&mut self, id: &str, change: &Change, made_after: f64) -> ChangeKind {
         let Ok(id) = id.parse::<JobId>() else { return ChangeKind::Other };
-        if let Some(state) = self.read_or_mark_unreadable::<JobState>(change) {
-            // The first final state stands for ever.
+        if let Some(state) = self.deserialise_or_mark_unreadable::<JobState>(change) {
+            // The first final state is never replaced.
             let first = *self.final_states.entry(id.clone()).or_insert(state);
             if first == JobState::Cancelled && self.jobs.contains_key(&id) {
                 self.cancelled_no_earlier_than.entry(id.clone()).or_insert(made_after);
@@ -171,14 +176,15 @@
     fn apply_machine_types(&mut self, part: u32, change: &Change) -> ChangeKind {
         match &change.current {
             Some((value, version)) => {
-                self.machine_types.set_part(part, read(&change.key, value), *version);
+                self.machine_types.set_part(part, deserialise(&change.key, value), *version);
             }
             None => self.machine_types.remove_part(part),
         }
         ChangeKind::Other
     }
 
-    /// A store that once had such assignments counts as having them from then on.
+    /// Records whether the store holds assignments of the first version. The field stays set when
+    /// they are removed.
     fn apply_legacy_assignments(&mut self, change: &Change) -> ChangeKind {
         self.has_legacy_assignments |= change.current.is_some();
         ChangeKind::Other
@@ -187,7 +193,7 @@
     fn apply_leader(&mut self, change: &Change) -> ChangeKind {
         let current = change.current.as_ref();
         self.leader =
-            current.and_then(|(value, version)| Some((read(&change.key, value)?, *version)));
+            current.and_then(|(value, version)| Some((deserialise(&change.key, value)?, *version)));
         let token = self.leader.as_ref().map_or(0, |(_, token)| *token);
         self.highest_token = self.highest_token.max(token);
         ChangeKind::Other
@@ -195,28 +201,34 @@
 
     fn apply_options(&mut self, change: &Change) -> ChangeKind {
         let current = change.current.as_ref();
-        self.options = current.and_then(|(value, _)| read(&change.key, value)).unwrap_or_default();
+        self.options =
+            current.and_then(|(value, _)| deserialise(&change.key, value)).unwrap_or_default();
         self.options_version = current.map_or(0, |(_, version)| *version);
         ChangeKind::RuntimeSettings
     }
 
-    /// Reads the changed value, if there is one, and remembers whether that failed.
-    fn read_or_mark_unreadable<T: DeserializeOwned>(&mut self, change: &Change) -> Option<T> {
+    /// Deserialises the value of a changed key, and updates [`StoreView::unreadable`]. Returns
+    /// `None` if the key was removed or its value cannot be read.
+    fn deserialise_or_mark_unreadable<T: DeserializeOwned>(
+        &mut self,
+        change: &Change,
+    ) -> Option<T> {
         let Some((value, _)) = &change.current else {
             self.unreadable.remove(&change.key);
             return None;
         };
-        let read = read(&change.key, value);
-        if read.is_some() {
+        let parsed = deserialise(&change.key, value);
+        if parsed.is_some() {
             self.unreadable.remove(&change.key);
         } else {
             self.unreadable.insert(change.key.clone());
         }
-        read
+        parsed
     }
 }
 
-fn read<T: DeserializeOwned>(key: &str, value: &Value) -> Option<T> {
+/// Deserialises a stored value. Logs an error and returns `None` if it cannot be read.
+fn deserialise<T: DeserializeOwned>(key: &str, value: &Value) -> Option<T> {
     T::deserialize(value)
         .inspect_err(|error| tracing::error!(key, %error, "stored value unreadable"))
         .ok()
--- a/crates/gladekeel-controller/src/stored_types.rs
+++ b/crates/gladekeel-controller/src/stored_types.rs
@@ -1,52 +1,53 @@
 //! Machine types as the store holds them: in one value, or in several parts if they exceed the
-//! limit of a value.
+//! size limit of a value.
 //!
-//! The leader splits them, and every node puts the parts together. The types count as unknown
-//! until every part can be read: a node that knew only some of them would reject jobs that fit
-//! the others. Earlier versions read part 0 only; they wrote nothing that needed more.
+//! The leader splits the machine types into parts, and every node joins the parts. The machine
+//! types count as unknown until every part can be read, because a node that knew only some of
+//! them would reject jobs that fit the others. Earlier versions read part 0 only, and never wrote
+//! machine types that need more than one part.
 
 use gladekeel_wire::cloud::{MachineType, MachineTypes};
 use std::{collections::BTreeMap, rc::Rc};
 
-/// Upper bound of a part's bytes around the types in it.
+/// Upper bound of the size of a part's JSON around its machine types, in bytes.
 const PART_OVERHEAD_BYTES: usize = 32;
-/// Bytes between two types in a part.
+/// Size of the separator between two machine types of a part, in bytes.
 const SEPARATOR_BYTES: usize = 1;
 
-/// A part as it is stored.
+/// A part of the machine types as the store holds it.
 #[derive(Debug)]
 struct StoredPart {
-    /// None if this version cannot read the value.
+    /// The machine types of the part; `None` if this version cannot read the value.
     types: Option<MachineTypes>,
-    /// The version of its key.
+    /// The version of the part's key.
     version: u64,
 }
 
-/// The parts that the store holds, and all machine types together.
+/// The parts that the store holds, and the machine types that they form together.
 #[derive(Debug, Default)]
-pub struct StoredTypes {
+pub struct StoredMachineTypes {
     parts: BTreeMap<u32, StoredPart>,
     all: Option<Rc<MachineTypes>>,
 }
 
-impl StoredTypes {
-    /// All machine types, once there is a first part and every part can be read.
+impl StoredMachineTypes {
+    /// All machine types; `None` while part 0 does not exist or any part cannot be read.
     pub fn all(&self) -> Option<&MachineTypes> {
         self.all.as_deref()
     }
 
-    /// The versions of the parts' keys.
+    /// The versions of the parts' keys, by the number of the part.
     pub fn versions(&self) -> BTreeMap<u32, u64> {
         self.parts.iter().map(|(number, part)| (*number, part.version)).collect()
     }
 
-    /// Sets a part as it is now stored. `types` is none if this version cannot read the value.
+    /// Sets a part to its stored value. `types` is `None` if this version cannot read the value.
     pub fn set_part(&mut self, number: u32, types: Option<MachineTypes>, version: u64) {
         self.parts.insert(number, StoredPart { types, version });
         self.all = self.join().map(Rc::new);
     }
 
-    /// Removes a part whose key is gone.
+    /// Removes a part whose key no longer exists.
     pub fn remove_part(&mut self, number: u32) {
         self.parts.remove(&number);
         self.all = self.join().map(Rc::new);
@@ -64,8 +65,8 @@
     }
 }
 
-/// Splits machine types into parts of at most `max_bytes` each, in their order. There is at
-/// least one part, and a type that is larger than the limit is a part of its own.
+/// Splits machine types into parts of at most `max_bytes` of JSON each, and keeps their order.
+/// Returns at least one part. A machine type that exceeds the limit forms a part of its own.
 pub fn split(types: &MachineTypes, max_bytes: usize) -> Vec<MachineTypes> {
     let mut parts = Vec::new();
     let mut part = Vec::new();
--- a/crates/gladekeel-controller/src/task_bitmap.rs
+++ b/crates/gladekeel-controller/src/task_bitmap.rs
@@ -1,12 +1,13 @@
-//! A set of a job's tasks that is stored page by page.
+//! A set of a job's tasks that is stored in pages.
 //!
-//! The assignment log stores progress in pages of [`TASKS_PER_PAGE`] tasks, so that what is
-//! written follows what has changed and a page always fits into a segment. The size of a page
-//! is part of the stored format.
+//! The assignment log stores progress in pages of [`TASKS_PER_PAGE`] tasks, so that only pages
+//! that have changed are written and a page always fits into a segment. The size of a page is
+//! part of the stored format.
 
-/// Tasks per page. Two bitmaps of a page fit into a segment of any size that a store allows.
+/// Number of tasks per page. Two bitmaps of a page fit into a segment of any size that a store
+/// allows.
 pub const TASKS_PER_PAGE: u32 = 4096;
-/// Bytes of the bitmap of a full page.
+/// Size of the bitmap of a full page, in bytes.
 pub const PAGE_BYTES: usize = TASKS_PER_PAGE as usize / 8;
 
 /// The page that a task belongs to.
@@ -14,7 +15,7 @@
     task_index / TASKS_PER_PAGE
 }
 
-/// A set of task indices that knows its size.
+/// A set of task indices that keeps count of its members.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct TaskBitmap {
     bytes: Vec<u8>,
@@ -28,7 +29,7 @@
         byte.is_some_and(|byte| byte & bit_mask(task_index) != 0)
     }
 
-    /// Adds a task. Returns whether it is new.
+    /// Adds a task. Returns whether the task was not in the set before.
     pub fn insert(&mut self, task_index: u32) -> bool {
         let position = byte_position(task_index);
         if self.bytes.len() <= position {
@@ -40,7 +41,7 @@
         is_new
     }
 
-    /// How many tasks are in the set.
+    /// The number of tasks in the set.
     pub fn count(&self) -> u32 {
         self.count
     }
--- a/crates/gladekeel-controller/tests/cloud_api.rs
+++ b/crates/gladekeel-controller/tests/cloud_api.rs
@@ -1,10 +1,12 @@
-//! Requests to the cloud and what comes of them.
+//! Requests to the cloud and their outcomes.
 
 use gladekeel_controller::cloud_api::{CloudOutcome, CloudRequest};
 use gladekeel_wire::cloud::RentRequest;
 
+/// Guards against a pool without capacity being mistaken for an unavailable cloud: both responses
+/// have status 503, and only their error texts differ.
 #[test]
-fn a_pool_without_capacity_is_told_from_an_unavailable_cloud() {
+fn a_pool_without_capacity_is_distinguished_from_an_unavailable_cloud() {
     let rent = CloudRequest::Rent(RentRequest {
         request_id: "r-1".into(),
         machine_type: "g8".into(),
--- a/crates/gladekeel-controller/tests/common/mod.rs
+++ b/crates/gladekeel-controller/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers that several tests of stored formats share.
+//! Helpers that the tests of stored formats share.
 
 #![allow(dead_code, reason = "each test binary uses a part of this module")]
 
@@ -29,8 +29,8 @@
     Release { job: job.clone(), index, attempt, outcome }
 }
 
-/// A writer that holds all rows of a segment.
-pub fn write(segment: &Segment) -> SegmentWriter {
+/// A segment writer that holds all rows of a segment.
+pub fn writer_with_rows(segment: &Segment) -> SegmentWriter {
     let mut writer = SegmentWriter::default();
     for row in &segment.assignments {
         writer.push_assignment(row.into());
@@ -46,10 +46,10 @@
 
 /// The text of a segment as this version writes it.
 pub fn encode(segment: &Segment) -> String {
-    write(segment).encode(segment.sequence)
+    writer_with_rows(segment).encode(segment.sequence)
 }
 
-/// Values that an earlier version committed: a fixture with a key and a value on each line.
+/// Values that an earlier version committed, from a fixture with a key and a value on each line.
 pub struct StoredValues(&'static str);
 
 impl StoredValues {
@@ -58,7 +58,7 @@
         StoredValues(fixture)
     }
 
-    /// Keys and values in the order in which they were committed.
+    /// All keys and values, in the order in which they were committed.
     pub fn all(&self) -> Vec<(String, Value)> {
         self.0.lines().map(parse_line).collect()
     }
--- a/crates/gladekeel-controller/tests/formats_37c5e95.rs
+++ b/crates/gladekeel-controller/tests/formats_37c5e95.rs
@@ -1,10 +1,11 @@
-//! What version 37c5e95, in production once, keeps in the state service, read by this one.
+//! Data that version 37c5e95, once in production, stored in the state service, as this version
+//! reads it.
 //!
 //! The files `fixtures/37c5e95_*` were written by commit
-//! 37c5e95213a12123977e782109b725d8fe96dbed, which is called production here: the values
-//! that two of its nodes committed, key and value on each line, and two segments of its
-//! log's writer. What it stored must stay readable, so these files never change with the
-//! code.
+//! 37c5e95213a12123977e782109b725d8fe96dbed, which is called production here. They hold the
+//! values that two of its nodes committed, with a key and a value on each line, and two segments
+//! from its writer of the assignment log. Data that this version stored must stay readable, so
+//! these files never change with the code.
 
 mod common;
 
@@ -23,7 +24,8 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-const TOKEN: u64 = 41 << 32;
+/// Base of the attempt numbers in the segment fixtures.
+const ATTEMPT_BASE: u64 = 41 << 32;
 
 /// The values that production committed.
 const STORED: StoredValues = StoredValues::new(include_str!("fixtures/37c5e95_values.jsonl"));
@@ -32,24 +34,24 @@
     Change { key: key.to_owned(), current: Some((value, version)) }
 }
 
-/// Guards against a segment that means something else to the other version: a leader
-/// that misreads one starts tasks twice or loses finished ones.
+/// Guards against a segment that has another meaning in this version than in production: a leader
+/// that misreads a segment starts tasks twice or loses finished ones.
 #[test]
-fn segments_are_read_and_written_as_production_s() {
+fn segments_are_read_and_written_as_in_production() {
     let text = include_str!("fixtures/37c5e95_segment.txt").trim_end();
     let (a, b) = (job("job-000412"), job("job-a_b.c-9"));
-    let before = 40 << 32;
+    let earlier_base = 40 << 32;
     let expected = Segment {
         sequence: 258,
         assignments: vec![
-            assigned(&a, 0, "n-000001", 1, TOKEN + 1),
-            assigned(&a, 70_000, "n-000002", 3, TOKEN + 2),
-            assigned(&b, 5, "n-000001", 2, TOKEN + 3),
+            assigned(&a, 0, "n-000001", 1, ATTEMPT_BASE + 1),
+            assigned(&a, 70_000, "n-000002", 3, ATTEMPT_BASE + 2),
+            assigned(&b, 5, "n-000001", 2, ATTEMPT_BASE + 3),
         ],
         releases: vec![
-            released(&a, 1, before + 7, AttemptOutcome::Done),
-            released(&a, 2, before + 8, AttemptOutcome::Requeued),
-            released(&b, 3, before + 9, AttemptOutcome::Restarted),
+            released(&a, 1, earlier_base + 7, AttemptOutcome::Done),
+            released(&a, 2, earlier_base + 8, AttemptOutcome::Requeued),
+            released(&b, 3, earlier_base + 9, AttemptOutcome::Restarted),
         ],
         progress_pages: vec![
             ProgressPage { job: a, page: 17, done: vec![0x81, 0, 0xff], restarted: vec![2] },
@@ -60,9 +62,10 @@
     assert_eq!(encode(&expected), text);
 }
 
-/// Guards against outcomes of attempts, and pages of progress, that are numbered anew.
+/// Guards against a new numbering of the outcomes of attempts, or of the progress pages, whose
+/// numbers depend on the size of a page.
 #[test]
-fn numbers_in_segments_stay() {
+fn outcome_codes_and_page_size_are_unchanged() {
     assert_eq!(
         [
             AttemptOutcome::Done as u16,
@@ -74,13 +77,13 @@
     assert_eq!(TASKS_PER_PAGE, 4096);
 }
 
-/// Guards against a bound on what is read: production filled segments up to 4 KB, and
-/// they are still there when the service takes only 2 KB.
+/// Guards against a size limit on segments that are read: production filled segments up to 4 KB,
+/// and these are still stored when the state service accepts only 2 KB.
 #[test]
-fn segments_beyond_the_lowered_limit_are_read() {
+fn segments_above_the_lowered_size_limit_are_read() {
     let text = include_str!("fixtures/37c5e95_segment_large.txt").trim_end();
     assert!(text.len() > 2048 && text.len() * 3 / 4 > segment_capacity(2048));
-    let segment = decode(text).expect("production's segment");
+    let segment = decode(text).expect("production's segment is readable");
     let a = job("job-000412");
     let rows: Vec<Assignment> = (0..161)
         .map(|n| Assignment {
@@ -88,7 +91,7 @@
             index: n,
             machine: format!("n-{:06}", n / 8),
             incarnation: 1,
-            attempt: TOKEN + u64::from(n),
+            attempt: ATTEMPT_BASE + u64::from(n),
         })
         .collect();
     let expected = Segment { sequence: 259, assignments: rows, ..Segment::default() };
@@ -96,13 +99,13 @@
     assert_eq!(encode(&expected), text);
 }
 
-/// Guards against a log that a new leader finds under other keys or cannot read: these
-/// are the segments of a job's whole life as production's leader committed them.
+/// Guards against a new leader that looks for the log under other keys or cannot read it. These
+/// segments cover a job from start to end, as production's leader committed them.
 #[test]
 fn a_committed_log_is_read() {
     let log = |slot| {
         let key = keys::log(slot);
-        decode(STORED.value(&key).as_str().unwrap()).expect("production's segment")
+        decode(STORED.value(&key).as_str().unwrap()).expect("production's segment is readable")
     };
     let (first, second) = (log(0), log(1));
     assert_eq!((first.sequence, second.sequence), (0, 1));
@@ -131,9 +134,9 @@
     assert!(second.assignments.is_empty() && second.progress_pages.is_empty());
 }
 
-/// Guards against keys that move: both versions must find the same rows.
+/// Guards against changed keys: both versions must find the same values.
 #[test]
-fn keys_are_production_s() {
+fn keys_are_the_same_as_in_production() {
     let id = job("job-000412");
     assert_eq!(keys::job(&id), "gk/job/job-000412");
     assert_eq!(keys::final_state(&id), "gk/fate/job-000412");
@@ -150,8 +153,8 @@
     );
 }
 
-/// Guards against stored values that are read otherwise than production meant them, and
-/// against rows that are silently ignored.
+/// Guards against stored values that have another meaning in this version than in production, and
+/// against values that are silently ignored.
 #[test]
 #[allow(clippy::too_many_lines, reason = "one recorded set of values, checked key by key")]
 fn stored_values_are_read() {
@@ -225,17 +228,17 @@
         assert_eq!(*stored.spec, spec);
         assert_eq!(stored.version, version);
         assert_eq!(stored.accepted_at, Some(1_790_000_010.25));
-        // What this version stores of the same job is what production stored.
-        let mut ours = serde_json::to_value(&spec).unwrap();
-        ours[keys::ACCEPTED_AT] = 1_790_000_010.25.into();
-        assert_eq!(ours, STORED.value(&keys::job(&spec.id)));
+        // This version stores the same job in the same way as production.
+        let mut written = serde_json::to_value(&spec).unwrap();
+        written[keys::ACCEPTED_AT] = 1_790_000_010.25.into();
+        assert_eq!(written, STORED.value(&keys::job(&spec.id)));
     }
 
     assert_eq!(store.final_states.len(), 2);
     assert_eq!(store.final_states[&a], JobState::Done);
     assert_eq!(store.final_states[&b], JobState::Cancelled);
     assert!(store.is_cancelled(&b) && !store.is_cancelled(&a));
-    // The time is this node's own: production stores none.
+    // This time is on the node's own clock: production stores no time of a cancellation.
     assert_eq!(store.cancelled_no_earlier_than.get(&b), Some(&5.0));
     assert_eq!(store.cancelled_no_earlier_than.get(&a), None);
 
@@ -257,12 +260,16 @@
     );
     assert_eq!((&store.options, store.options_version), (&options, 16));
     assert_eq!(store.drain_orders, BTreeMap::from([("n-000007".to_owned(), 17)]));
-    assert!(!store.has_legacy_assignments, "production keeps no assignments in pages");
+    assert!(
+        !store.has_legacy_assignments,
+        "production stores no assignments in the pages of the first version"
+    );
 }
 
-/// Guards against all options being dropped for one that this version does not know. The name is put to production's value by hand: production has none such.
+/// Guards against all options being dropped because of one that this version does not know. The
+/// test adds such an option to production's value, which has none.
 #[test]
-fn an_option_without_a_place_costs_no_other() {
+fn an_unknown_option_does_not_affect_the_others() {
     let mut stored = STORED.value(keys::OPTIONS);
     stored["of_another_version"] = json!(7.5);
     let mut store = StoreView::default();
@@ -272,10 +279,10 @@
     assert_eq!((store.options["beta"], store.options["round_s"]), (1.5, 2.0));
 }
 
-/// Guards against final states and leader records that production could not read back:
-/// this version writes the same words.
+/// Guards against final states, leader records and machine types that production could not read:
+/// this version writes the same values.
 #[test]
-fn values_are_written_as_production_s() {
+fn values_are_written_as_in_production() {
     let written = |state: JobState| serde_json::to_value(state).unwrap();
     assert_eq!(written(JobState::Done), STORED.value("gk/fate/job-000412"));
     assert_eq!(written(JobState::Cancelled), STORED.value("gk/fate/job-a_b.c-9"));
--- a/crates/gladekeel-controller/tests/formats_fe9a16c.rs
+++ b/crates/gladekeel-controller/tests/formats_fe9a16c.rs
@@ -1,11 +1,11 @@
-//! What version fe9a16c keeps in the state service, read by this one and written again.
+//! Data that version fe9a16c stores in the state service, as this version reads and writes it.
 //!
 //! The files `fixtures/fe9a16c_*` were written by commit
-//! fe9a16c011fb47333bb3733953d6dba020195efa: the values that three of its nodes committed
-//! while they ran, stopped, cancelled and finished gangs, an array and a service, key and
-//! value on each line and in order, and two segments of its log's writer. An update begins
-//! on such data, and nodes of both versions go on with each other's, so these files never
-//! change with the code.
+//! fe9a16c011fb47333bb3733953d6dba020195efa. They hold the values that three of its nodes
+//! committed while they ran, stopped, cancelled and finished gangs, an array and a service, with
+//! a key and a value on each line, in the order of the commits, and two segments from its writer
+//! of the assignment log. An update starts from such data, and nodes of both versions use each
+//! other's data, so these files never change with the code.
 
 mod common;
 
@@ -22,16 +22,18 @@
     job::{JobKind, JobSpec, JobState},
 };
 
-const TOKEN: u64 = 41 << 32;
-/// The tokens under which the leaders of the fixture led, as numbers of attempts.
+/// Base of the attempt numbers in the segment fixtures.
+const ATTEMPT_BASE: u64 = 41 << 32;
+/// First attempt number of the first leader in the fixture, derived from its fencing token 2.
 const FIRST_LEADER: u64 = 2 << 24;
+/// First attempt number of the second leader in the fixture, derived from its fencing token 29.
 const SECOND_LEADER: u64 = 29 << 24;
 
 /// The values that fe9a16c committed.
 const STORED: StoredValues = StoredValues::new(include_str!("fixtures/fe9a16c_values.jsonl"));
 
-/// Guards against a gang that is recorded otherwise: the attempt of each task is the gang's
-/// number plus the task's index.
+/// Guards against attempts of a gang that are recorded under other numbers: the attempt number of
+/// each task is the gang's attempt number plus the task's index.
 #[test]
 fn segments_with_a_gang_are_read_and_written() {
     let text = include_str!("fixtures/fe9a16c_segment.txt").trim_end();
@@ -39,15 +41,15 @@
     let expected = Segment {
         sequence: 300,
         assignments: vec![
-            assigned(&gang, 0, "n-000001", 1, TOKEN + 64),
-            assigned(&gang, 1, "n-000002", 1, TOKEN + 65),
-            assigned(&gang, 2, "n-000003", 4, TOKEN + 66),
-            assigned(&array, 99_999, "n-000003", 4, TOKEN + 67),
+            assigned(&gang, 0, "n-000001", 1, ATTEMPT_BASE + 64),
+            assigned(&gang, 1, "n-000002", 1, ATTEMPT_BASE + 65),
+            assigned(&gang, 2, "n-000003", 4, ATTEMPT_BASE + 66),
+            assigned(&array, 99_999, "n-000003", 4, ATTEMPT_BASE + 67),
         ],
         releases: vec![
-            released(&gang, 1, TOKEN + 65, AttemptOutcome::Requeued),
-            released(&gang, 0, TOKEN + 64, AttemptOutcome::Done),
-            released(&array, 7, TOKEN + 3, AttemptOutcome::Restarted),
+            released(&gang, 1, ATTEMPT_BASE + 65, AttemptOutcome::Requeued),
+            released(&gang, 0, ATTEMPT_BASE + 64, AttemptOutcome::Done),
+            released(&array, 7, ATTEMPT_BASE + 3, AttemptOutcome::Restarted),
         ],
         progress_pages: vec![ProgressPage {
             job: array,
@@ -60,8 +62,8 @@
     assert_eq!(encode(&expected), text);
 }
 
-/// Guards against a smaller bound on what is read: fe9a16c fills segments up to what a
-/// value of 2 KB holds.
+/// Guards against a lower size limit on segments that are read: fe9a16c fills segments up to the
+/// capacity of a value of 2 KB.
 #[test]
 fn full_segments_are_read_and_written() {
     let text = include_str!("fixtures/fe9a16c_segment_full.txt").trim_end();
@@ -69,15 +71,17 @@
     assert!(text.len() * 3 / 4 <= segment_capacity(2048));
     let gang = job("job-g.1");
     let rows = (0..71)
-        .map(|n| assigned(&gang, n, &format!("n-{:06}", n / 4), 1, TOKEN + 128 + u64::from(n)))
+        .map(|n| {
+            assigned(&gang, n, &format!("n-{:06}", n / 4), 1, ATTEMPT_BASE + 128 + u64::from(n))
+        })
         .collect();
     let expected = Segment { sequence: 301, assignments: rows, ..Segment::default() };
     assert_eq!(decode(text), Ok(expected.clone()));
     assert_eq!(encode(&expected), text);
 }
 
-/// Guards against a log that this version's leader reads otherwise, and against one that
-/// it writes otherwise: every segment of the fixture becomes the same text again.
+/// Guards against a leader of this version that reads or writes the log differently: every
+/// segment of the fixture is encoded to the same text again.
 #[test]
 fn a_committed_log_is_read_and_written() {
     let texts: Vec<(String, String)> = STORED
@@ -88,64 +92,65 @@
         .collect();
     let mut log = Vec::new();
     for (sequence, (key, text)) in (0..).zip(&texts) {
-        let segment = decode(text).expect("a segment");
+        let segment = decode(text).expect("the segment is readable");
         assert_eq!(segment.sequence, sequence, "{key}");
         assert_eq!(&encode(&segment), text, "{key}");
         log.push(segment);
     }
     assert_eq!(log.len(), 13);
-    // The second leader overwrites the slots that hold no newest record any more.
+    // The second leader overwrites slots whose records have all been superseded.
     assert_eq!((texts[11].0.as_str(), texts[12].0.as_str()), ("gl/000000", "gl/000001"));
 
     let (first, second) = (job("job-g_2"), job("job-g.1"));
-    let of = |segment: &Segment, job: &JobId| -> Vec<(u32, u64, String)> {
+    let assignments_of = |segment: &Segment, job: &JobId| -> Vec<(u32, u64, String)> {
         let rows = segment.assignments.iter().filter(|row| row.job == *job);
         rows.map(|row| (row.index, row.attempt, row.machine.clone())).collect()
     };
-    let on = |index: u32, attempt: u64, machine: &str| (index, attempt, machine.to_owned());
-    // Begun, stopped with its machine, begun anew under another number.
+    let row = |index: u32, attempt: u64, machine: &str| (index, attempt, machine.to_owned());
+    // The gang was started, stopped with its machine, and started again with new attempt numbers.
     assert_eq!(
-        of(&log[0], &first),
-        [on(0, FIRST_LEADER, "n-000001"), on(1, FIRST_LEADER + 1, "n-000001")]
+        assignments_of(&log[0], &first),
+        [row(0, FIRST_LEADER, "n-000001"), row(1, FIRST_LEADER + 1, "n-000001")]
     );
     assert_eq!(
-        of(&log[6], &first),
-        [on(0, FIRST_LEADER + 12, "n-000002"), on(1, FIRST_LEADER + 13, "n-000002")]
+        assignments_of(&log[6], &first),
+        [row(0, FIRST_LEADER + 12, "n-000002"), row(1, FIRST_LEADER + 13, "n-000002")]
     );
-    let ends = |segment: &Segment| -> Vec<(u32, u64, AttemptOutcome)> {
+    let releases = |segment: &Segment| -> Vec<(u32, u64, AttemptOutcome)> {
         segment.releases.iter().map(|row| (row.index, row.attempt, row.outcome)).collect()
     };
     assert_eq!(
-        ends(&log[5]),
+        releases(&log[5]),
         [
             (0, FIRST_LEADER, AttemptOutcome::Requeued),
             (1, FIRST_LEADER + 1, AttemptOutcome::Requeued)
         ]
     );
-    // Done with its first task; the others are released as they are proved to be gone.
+    // The gang is done when its first task is. The other tasks are released once they have provably
+    // stopped.
     assert_eq!(
-        of(&log[2], &second),
+        assignments_of(&log[2], &second),
         [
-            on(0, FIRST_LEADER + 9, "n-000004"),
-            on(1, FIRST_LEADER + 10, "n-000005"),
-            on(2, FIRST_LEADER + 11, "n-000005"),
+            row(0, FIRST_LEADER + 9, "n-000004"),
+            row(1, FIRST_LEADER + 10, "n-000005"),
+            row(2, FIRST_LEADER + 11, "n-000005"),
         ]
     );
-    assert_eq!(ends(&log[7]), [(0, FIRST_LEADER + 9, AttemptOutcome::Done)]);
+    assert_eq!(releases(&log[7]), [(0, FIRST_LEADER + 9, AttemptOutcome::Done)]);
     assert_eq!(
-        ends(&log[8]),
+        releases(&log[8]),
         [
             (1, FIRST_LEADER + 10, AttemptOutcome::Done),
             (2, FIRST_LEADER + 11, AttemptOutcome::Done)
         ]
     );
     assert_eq!(
-        of(&log[11], &job("job-g.5")),
-        [on(0, SECOND_LEADER, "n-000002"), on(1, SECOND_LEADER + 1, "n-000002")]
+        assignments_of(&log[11], &job("job-g.5")),
+        [row(0, SECOND_LEADER, "n-000002"), row(1, SECOND_LEADER + 1, "n-000002")]
     );
 }
 
-/// Guards against stored values that are read otherwise than fe9a16c meant them.
+/// Guards against stored values that have another meaning in this version than in fe9a16c.
 #[test]
 fn stored_values_are_read() {
     let mut store = StoreView::default();
@@ -162,7 +167,7 @@
     );
     assert_eq!(store.drain_orders.keys().collect::<Vec<_>>(), ["n-000001"]);
 
-    let shapes = ["job-a-3", "job-g.1", "job-g.5", "job-g_2", "job-s.4"].map(|id| {
+    let specs = ["job-a-3", "job-g.1", "job-g.5", "job-g_2", "job-s.4"].map(|id| {
         let spec = &store.jobs[&job(id)].spec;
         (spec.kind, spec.tasks, spec.single_zone, spec.zone.as_deref())
     });
@@ -173,7 +178,7 @@
         (JobKind::Gang, 2, false, Some("b")),
         (JobKind::Service, 2, false, None),
     ];
-    assert_eq!((store.jobs.len(), shapes), (5, expected));
+    assert_eq!((store.jobs.len(), specs), (5, expected));
     let gang = &store.jobs[&job("job-g.1")].spec;
     assert_eq!((gang.checkpoint_interval_s, gang.checkpoint_write_s), (5.0, 2.0));
     assert_eq!(store.jobs[&job("job-g.1")].accepted_at, Some(3.305527));
@@ -184,9 +189,9 @@
     assert_eq!(final_states, [done, done, done, cancelled, cancelled]);
 }
 
-/// Guards against values that fe9a16c could not read back: this version writes the same.
+/// Guards against values that fe9a16c could not read: this version writes the same values.
 #[test]
-fn values_are_written_as_by_fe9a16c() {
+fn values_are_written_as_in_fe9a16c() {
     let mut jobs = 0;
     for (key, stored) in STORED.all() {
         let written = if key.starts_with(keys::JOB_PREFIX) {
--- a/crates/gladekeel-controller/tests/metrics.rs
+++ b/crates/gladekeel-controller/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics that only the process can measure, as operators read them.
+//! Metrics that only the process can measure, in the text that operators read.
 
 use gladekeel_controller::{
     node::{Action, Event, Node},
@@ -27,9 +27,11 @@
         Action::Reply { id: 1, reply } => Some(reply.body),
         _ => None,
     });
-    String::from_utf8(text.expect("an answer at once")).unwrap()
+    String::from_utf8(text.expect("the node replies at once")).unwrap()
 }
 
+/// Guards against measurements of the process that are missing from the metrics or appear under
+/// another name or label.
 #[test]
 fn scheduling_cycles_and_sockets_are_exposed() {
     let mut node = Node::new(toml::from_str(SETTINGS).unwrap(), 1, 0.0);
@@ -57,21 +59,23 @@
         "gladekeel_sockets_limit 3000",
         "gladekeel_leading 0",
     ] {
-        assert!(text.lines().any(|found| found == line), "{line} in\n{text}");
+        assert!(text.lines().any(|found| found == line), "no line {line:?} in\n{text}");
     }
 }
 
+/// Guards against samples that a Prometheus server cannot use: a sample without a `# TYPE` line,
+/// or one whose value is not a number.
 #[test]
-fn every_sample_belongs_to_a_described_metric() {
+fn every_sample_belongs_to_a_metric_with_a_type() {
     let mut node = Node::new(toml::from_str(SETTINGS).unwrap(), 1, 0.0);
     let text = metrics(&mut node);
-    let described: Vec<&str> =
+    let typed_metrics: Vec<&str> =
         text.lines().filter_map(|line| line.strip_prefix("# TYPE ")?.split(' ').next()).collect();
     for line in text.lines().filter(|line| !line.starts_with('#')) {
         let (sample, value) = line.rsplit_once(' ').unwrap();
         value.parse::<f64>().unwrap();
         let name = sample.split('{').next().unwrap();
         let base = name.trim_end_matches("_sum").trim_end_matches("_count");
-        assert!(described.contains(&base), "{line}");
+        assert!(typed_metrics.contains(&base), "no `# TYPE` line for sample {line:?}");
     }
 }
--- a/crates/gladekeel-controller/tests/runtime_settings.rs
+++ b/crates/gladekeel-controller/tests/runtime_settings.rs
@@ -1,4 +1,4 @@
-//! Runtime settings: ranges, names, and changes that are applied whole or not at all.
+//! Names and ranges of runtime settings, and changes that are applied as a whole or not at all.
 
 use gladekeel_controller::runtime_settings::RuntimeSettings;
 use gladekeel_wire::settings::WorkerTimings;
@@ -15,13 +15,15 @@
     })
 }
 
+/// Guards against defaults that are out of range, and against changes that are accepted although
+/// the setting is unknown or the value is out of range.
 #[test]
-fn values_read_back_and_ranges_hold() {
+fn values_round_trip_and_invalid_changes_are_rejected() {
     let settings = defaults();
     assert_eq!(
         settings.with_values(&settings.values()),
         Ok(settings.clone()),
-        "defaults are in range"
+        "all defaults are in range"
     );
     let change =
         |name: &str, value| settings.with_values(&BTreeMap::from([(name.to_owned(), value)]));
@@ -33,9 +35,10 @@
     assert!(error("gamma", 1.0).starts_with("gamma: no such setting; there are beta, epsilon,"));
 }
 
-/// A value of another type used to be refused without naming the field or its range.
+/// Guards against an error that does not name the setting and its range, as was once the case for
+/// a value that is not a number.
 #[test]
-fn values_of_another_type_name_field_and_range() {
+fn an_error_for_a_value_of_the_wrong_type_names_the_setting_and_its_range() {
     let settings = defaults();
     let change = |values: Value| {
         let values: BTreeMap<String, Value> = serde_json::from_value(values).unwrap();
--- a/crates/gladekeel-controller/tests/stored_types.rs
+++ b/crates/gladekeel-controller/tests/stored_types.rs
@@ -1,8 +1,8 @@
-//! Machine types in as many values as they need.
+//! Machine types that are stored in one or more parts.
 
 use gladekeel_controller::{
     keys,
-    stored_types::{StoredTypes, split},
+    stored_types::{StoredMachineTypes, split},
 };
 use gladekeel_wire::cloud::{MachineType, MachineTypes};
 use std::collections::BTreeMap;
@@ -23,14 +23,18 @@
     MachineTypes { types: (0..count).map(machine_type).collect() }
 }
 
+/// Guards against machine types that earlier versions cannot read, because these versions read
+/// part 0 only.
 #[test]
-fn what_fits_is_one_value_as_in_earlier_versions() {
+fn types_that_fit_into_one_value_are_not_split() {
     assert_eq!(split(&types(12), 2048), [types(12)]);
     assert_eq!(split(&types(0), 2048), [types(0)]);
 }
 
+/// Guards against parts that the store refuses as too large, and against a node that knows only
+/// some of the machine types and rejects jobs that fit the others.
 #[test]
-fn parts_keep_to_the_limit_and_together_are_all_types() {
+fn parts_respect_the_size_limit_and_join_to_all_types() {
     let all = types(30);
     let parts = split(&all, 1024);
     assert!(parts.len() > 1);
@@ -38,18 +42,20 @@
         assert!(!part.types.is_empty());
         assert!(serde_json::to_string(part).unwrap().len() <= 1024);
     }
-    let mut stored = StoredTypes::default();
+    let mut stored = StoredMachineTypes::default();
     for (part, types) in parts.into_iter().enumerate().rev() {
-        assert_eq!(stored.all(), None, "the types are known once the first part is");
+        assert_eq!(stored.all(), None, "no types are known before part 0 is set");
         stored.set_part(part as u32, Some(types), 7);
     }
     assert_eq!(stored.all(), Some(&all));
     assert!(stored.versions().values().all(|version| *version == 7));
 }
 
+/// Guards against a node that ignores a part that it cannot read, and then rejects jobs that fit
+/// a machine type in that part.
 #[test]
-fn a_part_that_cannot_be_read_leaves_no_types() {
-    let mut stored = StoredTypes::default();
+fn types_are_unknown_while_a_part_is_unreadable() {
+    let mut stored = StoredMachineTypes::default();
     stored.set_part(0, Some(types(2)), 5);
     stored.set_part(1, None, 6);
     assert_eq!(stored.all(), None);
@@ -58,8 +64,10 @@
     assert_eq!(stored.all(), Some(&types(2)));
 }
 
+/// Guards against parts that are read under another number than they were written, and against
+/// other keys that are taken for a part.
 #[test]
-fn keys_name_their_parts() {
+fn keys_of_parts_parse_to_the_part_numbers() {
     for part in [0, 1, 12] {
         assert_eq!(keys::parse_machine_types_part(&keys::machine_types_part(part)), Some(part));
     }
--- a/crates/gladekeel-controller/tests/task_bitmap.rs
+++ b/crates/gladekeel-controller/tests/task_bitmap.rs
@@ -1,10 +1,11 @@
-//! Sets of tasks, stored page by page.
+//! Sets of tasks that are stored in pages.
 
 use gladekeel_controller::task_bitmap::{TASKS_PER_PAGE, TaskBitmap};
 
 proptest::proptest! {
+    /// Guards against tasks that are lost or added when a bitmap is stored in pages and restored.
     #[test]
-    fn bitmaps_survive_their_pages(set in proptest::collection::btree_set(0u32..100_000, 0..300)) {
+    fn a_bitmap_is_restored_from_its_pages(set in proptest::collection::btree_set(0u32..100_000, 0..300)) {
         let mut bitmap = TaskBitmap::default();
         for index in &set {
             proptest::prop_assert!(bitmap.insert(*index));
