--- a/crates/gladekeel-controller/src/shell/mod.rs
+++ b/crates/gladekeel-controller/src/shell/mod.rs
@@ -141,8 +141,7 @@
         }
     }
 
-    /// Spawns the task of an outgoing call. `call` must end within the timeout that is passed to
-    /// it.
+    /// Spawns the task of an outgoing call. `call` must end within the timeout that it gets.
     fn spawn_call<F>(self: &Rc<Self>, timeout_s: f64, call: F)
     where
         F: AsyncFnOnce(Rc<Shell>, Duration) + 'static,
