--- a/crates/gladekeel-wire/src/mesh/frame.rs
+++ b/crates/gladekeel-wire/src/mesh/frame.rs
@@ -1,44 +1,44 @@
-//! The header of a frame, and the protocol levels.
+//! Frame headers, frame kinds and protocol levels.
 
 use zerocopy::{
     FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned,
     little_endian::{U16, U32, U64},
 };
 
-/// First bytes of every frame. They name the layout of the header: frames with others are
-/// refused.
+/// First four bytes of every frame, which identify the layout of the header. Frames that begin
+/// with other bytes are refused.
 pub const MAGIC: u32 = 0x676b_6d32;
-/// Maximum payload of a frame in bytes; a header that announces more is refused.
+/// Maximum size of a payload in bytes. A header that announces a larger payload is refused.
 pub const MAX_PAYLOAD: usize = 256 * 1024;
 
-/// Protocol level of this version, as sent in [`FrameKind::PeerHeartbeat`] frames. Versions
-/// from before there were levels send 0 and ignore the levels of others.
+/// Protocol level of this version, announced in [`FrameKind::PeerHeartbeat`] frames. Versions
+/// that predate protocol levels send 0 and ignore the levels that their peers announce.
 pub const PROTOCOL_LEVEL: u16 = 2;
-/// From this level on a peer accepts [`FrameKind::Cancellations`]; below it, it closes the
-/// connection because of the unknown kind.
+/// Lowest protocol level at which a peer accepts [`FrameKind::Cancellations`]. A peer of a lower
+/// level does not know the kind and closes the connection.
 pub const CANCELLATIONS_LEVEL: u16 = 1;
-/// From this level on a leader expects heartbeats of workers to be relayed
-/// ([`FrameKind::RelayedHeartbeat`]): the other controllers keep their workers instead of
-/// redirecting them to the leader.
+/// Lowest protocol level at which a leader expects its peers to relay the heartbeats of workers
+/// ([`FrameKind::RelayedHeartbeat`]): the peers keep their workers instead of redirecting them
+/// to the leader.
 pub const HEARTBEAT_RELAY_LEVEL: u16 = 2;
 
-/// What a frame carries.
+/// The kind of a frame, which determines its receivers and its payload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u16)]
 pub enum FrameKind {
-    /// To the leader: the store has changed, and the leader should read it soon. No payload.
+    /// Notifies the leader that the store has changed and should be read soon. No payload.
     StoreChanged = 1,
-    /// To the leader: a worker's heartbeat (JSON), relayed by the controller that received it.
+    /// Relays a worker's heartbeat (JSON) from the controller that received it to the leader.
     RelayedHeartbeat = 2,
-    /// From the leader: the response to a relayed heartbeat (JSON).
+    /// Returns the leader's response to a relayed heartbeat (JSON).
     RelayedResponse = 3,
-    /// To all peers: the sender is alive; see [`PeerHeartbeat`](super::PeerHeartbeat).
+    /// Notifies all peers that the sender is alive; see [`PeerHeartbeat`](super::PeerHeartbeat).
     PeerHeartbeat = 4,
-    /// From the leader: how many tasks of jobs are done and running; see
-    /// [`encode_job_progress`](super::encode_job_progress).
+    /// Publishes the leader's counts of completed and running tasks for each job in the payload;
+    /// see [`encode_job_progress`](super::encode_job_progress).
     JobProgress = 5,
-    /// To all peers of [`CANCELLATIONS_LEVEL`] or above: jobs whose cancellation the sender
-    /// has committed; see [`encode_job_ids`](super::encode_job_ids).
+    /// Notifies all peers of [`CANCELLATIONS_LEVEL`] or above of the jobs whose cancellation the
+    /// sender has committed; see [`encode_job_ids`](super::encode_job_ids).
     Cancellations = 6,
 }
 
@@ -52,29 +52,29 @@
         FrameKind::Cancellations,
     ];
 
-    /// The kind with this number in a header, or `None` if this version does not know it.
+    /// Returns the kind with this number, or `None` if this version does not know the number.
     pub fn from_number(number: u16) -> Option<FrameKind> {
         FrameKind::ALL.into_iter().find(|kind| kind.number() == number)
     }
 
-    /// The number of this kind in a header.
+    /// Returns the number that identifies this kind in a header.
     pub fn number(self) -> u16 {
         self as u16
     }
 }
 
-/// Why the bytes of a header are refused. The connection is closed then: the start of the
-/// next frame is unknown.
+/// The reason why a frame header is refused. The receiver then closes the connection, because
+/// it cannot tell where the next frame starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidFrame {
     /// The header does not begin with [`MAGIC`].
-    #[error("unknown frame layout {0:#010x}")]
+    #[error("unknown frame layout {0:#010x}, expected {MAGIC:#010x}")]
     Magic(u32),
-    /// This version does not know the frame's kind.
+    /// This version does not know the kind of the frame.
     #[error("unknown frame kind {0}")]
     Kind(u16),
-    /// The payload would be larger than [`MAX_PAYLOAD`].
-    #[error("a payload of {0} bytes exceeds the limit of {MAX_PAYLOAD}")]
+    /// The header announces a payload of more than [`MAX_PAYLOAD`] bytes.
+    #[error("a payload of {0} bytes exceeds the limit of {MAX_PAYLOAD} bytes")]
     PayloadTooLarge(u32),
 }
 
@@ -84,28 +84,28 @@
 )]
 #[repr(C)]
 pub struct FrameHeader {
-    /// [`MAGIC`].
+    /// Always [`MAGIC`].
     pub magic: U32,
     /// Number of the [`FrameKind`].
     pub kind: U16,
     /// The HTTP status in [`FrameKind::RelayedResponse`], the sender's [`PROTOCOL_LEVEL`] in
-    /// [`FrameKind::PeerHeartbeat`], and 0 in others.
+    /// [`FrameKind::PeerHeartbeat`], and 0 in frames of other kinds.
     pub status: U16,
-    /// Pairs a [`FrameKind::RelayedResponse`] with its request. In
-    /// [`FrameKind::PeerHeartbeat`] it is the incarnation of the sender's process, a random
-    /// number; 0 from versions that have none.
+    /// Pairs a [`FrameKind::RelayedResponse`] with the [`FrameKind::RelayedHeartbeat`] that it
+    /// responds to. In [`FrameKind::PeerHeartbeat`], the incarnation of the sender's process: a
+    /// random number, or 0 from versions without incarnations.
     pub correlation_id: U64,
-    /// Index of the sender in the sorted list of all controllers' names.
+    /// Index of the sender in the sorted list of the names of all controllers.
     pub sender: U32,
     /// Size of the payload in bytes, at most [`MAX_PAYLOAD`].
     pub payload_len: U32,
 }
 
 impl FrameHeader {
-    /// Size of the header in bytes.
+    /// Size of a header in bytes.
     pub const SIZE: usize = size_of::<FrameHeader>();
 
-    /// A header for a payload of `payload_len` bytes.
+    /// Creates a header for a payload of `payload_len` bytes.
     pub fn new(
         kind: FrameKind,
         status: u16,
@@ -123,11 +123,11 @@
         }
     }
 
-    /// Reads a header and its kind.
+    /// Parses a header and returns it with the kind of its frame.
     ///
     /// # Errors
     ///
-    /// [`InvalidFrame`] if the bytes are not the start of a frame that this version accepts.
+    /// [`InvalidFrame`] if the bytes are not the header of a frame that this version accepts.
     pub fn read(bytes: &[u8; FrameHeader::SIZE]) -> Result<(FrameHeader, FrameKind), InvalidFrame> {
         let header: FrameHeader = zerocopy::transmute!(*bytes);
         let magic = header.magic.get();
--- a/crates/gladekeel-wire/src/mesh/mod.rs
+++ b/crates/gladekeel-wire/src/mesh/mod.rs
@@ -2,15 +2,16 @@
 //!
 //! A frame is a [`FrameHeader`] followed by
 //! [`payload_len`](FrameHeader::payload_len) bytes of payload. All numbers are
-//! little-endian, and layouts are fixed: a reader casts the bytes and copies nothing.
+//! little-endian, and layouts are fixed, so that readers cast the bytes instead of decoding
+//! them field by field.
 //!
 //! # Versions
 //!
-//! Controllers of different versions run side by side during an upgrade. Each states its
-//! [`PROTOCOL_LEVEL`] in the [`PeerHeartbeat`] frames that it sends about once a second; a
-//! frame kind or usage that needs a higher level is not sent to a peer of a lower one. A
-//! peer from which no heartbeat has arrived yet counts as level 0. [`MAGIC`] would change
-//! only with the layout of the header.
+//! Controllers of different versions run side by side during an upgrade. Each announces its
+//! [`PROTOCOL_LEVEL`] in the [`PeerHeartbeat`] frames that it sends about once a second. A
+//! frame kind, or a new use of one, that needs a certain level is not sent to peers of a lower
+//! level. A peer counts as level 0 until its first heartbeat is received. [`MAGIC`] changes
+//! only if the layout of the header changes.
 
 mod frame;
 mod payload;
--- a/crates/gladekeel-wire/src/mesh/payload.rs
+++ b/crates/gladekeel-wire/src/mesh/payload.rs
@@ -1,4 +1,4 @@
-//! The payloads of frames.
+//! Layouts and encodings of frame payloads.
 
 use super::frame::MAX_PAYLOAD;
 use crate::JobId;
@@ -7,25 +7,25 @@
     little_endian::{U16, U32, U64},
 };
 
-/// Space that is left for one more entry when a payload is closed, in bytes; more than any
-/// entry of [`encode_job_progress`] takes.
-const MAX_PROGRESS_ENTRY: usize = 200;
+/// Upper bound of the size of an encoded [`JobProgressEntry`], in bytes. A payload with less free
+/// space than this is full.
+const MAX_PROGRESS_ENTRY_LEN: usize = 200;
 
-/// Payload of [`FrameKind::PeerHeartbeat`](super::FrameKind::PeerHeartbeat): sent to every
-/// peer about once a second.
+/// The payload of [`FrameKind::PeerHeartbeat`](super::FrameKind::PeerHeartbeat), which every
+/// controller sends to every peer about once a second.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned,
 )]
 #[repr(C)]
 pub struct PeerHeartbeat {
-    /// Milliseconds since the sender's last successful read of the store; `u32::MAX` if
-    /// there was none.
+    /// Milliseconds since the sender's last successful read of the store; `u32::MAX` if the
+    /// sender has not read the store.
     pub store_contact_age_ms: U32,
-    /// Fencing token under which the sender leads; 0 if it does not.
+    /// Fencing token under which the sender leads; 0 if the sender is not the leader.
     pub leader_token: U64,
 }
 
-/// How far a job is: an entry of a
+/// The progress of a job: an entry of a
 /// [`FrameKind::JobProgress`](super::FrameKind::JobProgress) payload.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobProgressEntry {
@@ -37,12 +37,13 @@
     pub running: u32,
 }
 
-/// Layout of an entry; the `id_len` bytes of the job's id follow.
+/// The fixed-size header of an encoded [`JobProgressEntry`]. The job's id follows, in `id_len`
+/// bytes.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned,
 )]
 #[repr(C)]
-struct JobProgressLayout {
+struct JobProgressHeader {
     done: U32,
     running: U32,
     id_len: U16,
@@ -52,7 +53,7 @@
 pub fn encode_job_progress(entries: impl Iterator<Item = JobProgressEntry>) -> Vec<Vec<u8>> {
     let mut payloads: Vec<Vec<u8>> = Vec::new();
     for entry in entries {
-        let is_full = |payload: &Vec<u8>| payload.len() + MAX_PROGRESS_ENTRY > MAX_PAYLOAD;
+        let is_full = |payload: &Vec<u8>| payload.len() + MAX_PROGRESS_ENTRY_LEN > MAX_PAYLOAD;
         if payloads.last().is_none_or(is_full) {
             payloads.push(Vec::new());
         }
@@ -65,39 +66,39 @@
 
 fn append_job_progress(payload: &mut Vec<u8>, entry: &JobProgressEntry) {
     let id = entry.id.as_str().as_bytes();
-    let layout = JobProgressLayout {
+    let header = JobProgressHeader {
         done: entry.done.into(),
         running: entry.running.into(),
         id_len: (id.len() as u16).into(),
     };
-    payload.extend_from_slice(layout.as_bytes());
+    payload.extend_from_slice(header.as_bytes());
     payload.extend_from_slice(id);
 }
 
-/// Decodes a payload of [`encode_job_progress`]; `None` if it is malformed, even in part.
+/// Decodes a payload of [`encode_job_progress`]; `None` if any part of the payload is malformed.
 pub fn decode_job_progress(mut payload: &[u8]) -> Option<Vec<JobProgressEntry>> {
     let mut entries = Vec::new();
     while !payload.is_empty() {
-        let (layout, rest) = JobProgressLayout::read_from_prefix(payload).ok()?;
-        let (id, rest) = rest.split_at_checked(layout.id_len.get() as usize)?;
+        let (header, rest) = JobProgressHeader::read_from_prefix(payload).ok()?;
+        let (id, rest) = rest.split_at_checked(header.id_len.get() as usize)?;
         let id = std::str::from_utf8(id).ok()?.parse().ok()?;
         entries.push(JobProgressEntry {
             id,
-            done: layout.done.get(),
-            running: layout.running.get(),
+            done: header.done.get(),
+            running: header.running.get(),
         });
         payload = rest;
     }
     Some(entries)
 }
 
-/// Encodes the payload of [`FrameKind::Cancellations`](super::FrameKind::Cancellations):
-/// ids, one a line.
+/// Encodes the payload of [`FrameKind::Cancellations`](super::FrameKind::Cancellations): job ids,
+/// separated by newlines.
 pub fn encode_job_ids<'a>(ids: impl Iterator<Item = &'a JobId>) -> Vec<u8> {
     ids.map(JobId::as_str).collect::<Vec<&str>>().join("\n").into_bytes()
 }
 
-/// Decodes a payload of [`encode_job_ids`]; `None` if it is malformed, even in part.
+/// Decodes a payload of [`encode_job_ids`]; `None` if any part of the payload is malformed.
 pub fn decode_job_ids(payload: &[u8]) -> Option<Vec<JobId>> {
     std::str::from_utf8(payload).ok()?.split('\n').map(|id| id.parse().ok()).collect()
 }
