--- a/crates/gladekeel-wire/src/id.rs
+++ b/crates/gladekeel-wire/src/id.rs
@@ -1,19 +1,21 @@
-//! Validated ids of jobs and tasks.
+//! Ids of jobs and tasks, validated when they are parsed.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use std::{fmt, str::FromStr, sync::Arc};
 
-/// Maximum length of a job id in bytes; well below the 200 bytes of a store key.
+/// Maximum length of a job id in bytes. Store keys contain job ids and are limited to 200 bytes,
+/// so the maximum is well below that.
 const MAX_ID_LEN: usize = 80;
 
-/// The text, shortened, is not an id in the form that the protocol prescribes.
+/// The error for a text that is not an id in the form that the protocol prescribes. It holds the
+/// start of the text, up to the maximum length of an id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("not a valid id: {0:?}")]
 pub struct InvalidId(pub String);
 
 /// The id of a job: `job-` followed by letters, digits, `_`, `-` or `.`.
 ///
-/// Ids become parts of store keys and URL paths, so other characters are refused.
+/// Other characters are refused because ids become parts of store keys and URL paths.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(Arc<str>);
 
@@ -28,10 +30,10 @@
     type Err = InvalidId;
 
     fn from_str(text: &str) -> Result<Self, InvalidId> {
-        let rest = text.strip_prefix("job-").unwrap_or("");
+        let suffix = text.strip_prefix("job-").unwrap_or("");
         let is_allowed =
             |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'-' | b'.');
-        if rest.is_empty() || text.len() > MAX_ID_LEN || !rest.bytes().all(is_allowed) {
+        if suffix.is_empty() || text.len() > MAX_ID_LEN || !suffix.bytes().all(is_allowed) {
             return Err(InvalidId(text.chars().take(MAX_ID_LEN).collect()));
         }
         Ok(JobId(text.into()))
@@ -62,7 +64,7 @@
     }
 }
 
-/// The id of a task: its job and its index, written `job-000412/3`.
+/// The id of a task: the id of its job and its index in the job, written `job-000412/3`.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// Id of the job.
@@ -77,7 +79,8 @@
     fn from_str(text: &str) -> Result<Self, InvalidId> {
         let invalid = || InvalidId(text.chars().take(MAX_ID_LEN).collect());
         let (job, index) = text.split_once('/').ok_or_else(invalid)?;
-        // `u32::from_str` accepts a plus sign and leading zeros: a second id of the same task.
+        // `u32::from_str` accepts a plus sign and leading zeros, which would give a task several
+        // ids.
         let has_leading_zero = index.len() > 1 && index.starts_with('0');
         if has_leading_zero || !index.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(invalid());
--- a/crates/gladekeel-wire/src/job/json_names.rs
+++ b/crates/gladekeel-wire/src/job/json_names.rs
@@ -1,5 +1,5 @@
 //! JSON names of the fields of a submission, for error messages: users know a field by the
-//! name that they wrote. Must equal the serde names of [`JobSpec`](super::JobSpec).
+//! name that they wrote. The names must equal the serde names of [`JobSpec`](super::JobSpec).
 
 pub(super) const CLASS: &str = "rig";
 pub(super) const TEAM: &str = "crew";
--- a/crates/gladekeel-wire/src/job/mod.rs
+++ b/crates/gladekeel-wire/src/job/mod.rs
@@ -8,32 +8,32 @@
 use crate::JobId;
 use serde::{Deserialize, Serialize};
 
-/// Maximum of tasks in a job.
+/// Maximum number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// Scheduling priority of a job. Ordered: a greater value is scheduled first.
+/// The scheduling priority of a job. Jobs of a greater priority are scheduled first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Uses resources that nothing else needs.
+    /// The job uses resources that no other job needs.
     #[serde(rename = "idle")]
     Low,
-    /// The default.
+    /// The usual priority.
     Normal,
-    /// Ahead of normal work.
+    /// Scheduled ahead of normal jobs.
     High,
-    /// Ahead of everything else.
+    /// Scheduled ahead of all other jobs.
     Production,
 }
 
 impl Priority {
-    /// The priority as a number: greater is scheduled first.
+    /// Returns the priority as a number; a greater number is scheduled first.
     pub fn level(self) -> u8 {
         self as u8
     }
 }
 
-/// How the tasks of a job belong together.
+/// The relation between the tasks of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
@@ -46,10 +46,10 @@
     Service,
 }
 
-/// A job as its user submits it.
+/// A job as a user submits it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Id that the user chose. Submitting the same id again is idempotent.
+    /// Id that the user has chosen. Submitting the same id again is idempotent.
     #[serde(rename = "name_id")]
     pub id: JobId,
     /// Class of similar jobs, for objectives and run-time estimates.
@@ -58,13 +58,13 @@
     /// Team whose quota (guarantee and limit) applies.
     #[serde(rename = "crew")]
     pub team: String,
-    /// How its tasks belong together.
+    /// Relation between the job's tasks.
     #[serde(rename = "build")]
     pub kind: JobKind,
     /// Scheduling priority.
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// Number of tasks, at most [`MAX_TASKS`].
+    /// Number of tasks, from 1 to [`MAX_TASKS`].
     #[serde(rename = "pieces")]
     pub tasks: u32,
     /// CPUs requested by each task.
@@ -81,19 +81,19 @@
     /// Size of the image in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// Machine types that its tasks may run on; any if `None`.
+    /// Machine types that the job's tasks may run on; any type if `None`.
     #[serde(rename = "hulls", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<String>>,
-    /// Zone that its tasks must run in; any if `None`.
+    /// Zone that the job's tasks must run in; any zone if `None`.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Affinity: all tasks must run in the same zone.
+    /// Affinity: whether all tasks must run in the same zone.
     #[serde(rename = "one_zone")]
     pub single_zone: bool,
-    /// Anti-affinity: at most half of the tasks may run in the same zone.
+    /// Anti-affinity: whether at most half of the tasks may run in the same zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// Whether its tasks may run on spot instances.
+    /// Whether the job's tasks may run on spot instances.
     #[serde(rename = "driftwood")]
     pub spot: bool,
     /// The user's estimate of the run time of a task, in seconds.
@@ -105,28 +105,28 @@
     /// Time to write a checkpoint when the task is stopped, in seconds.
     #[serde(rename = "stow_s")]
     pub checkpoint_write_s: f64,
-    /// Deadline for completion, in seconds after the submission.
+    /// Deadline for completion, in seconds after the submission; `None` if the job has none.
     #[serde(rename = "launch_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-/// State of a job as its user sees it.
+/// The state of a job as its user sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
-    /// Accepted; no task is running.
+    /// The job is accepted, and none of its tasks is running.
     Queued,
     /// At least one task is running.
     Running,
     /// Every task has run to completion.
     Done,
-    /// Cancelled by its user.
+    /// The user has cancelled the job.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
 impl JobState {
-    /// Whether the state can never change again.
+    /// Whether the state is final: a job in this state never changes its state again.
     pub fn is_final(self) -> bool {
         matches!(self, JobState::Done | JobState::Cancelled)
     }
@@ -141,10 +141,10 @@
     /// State of the job.
     #[serde(rename = "trim")]
     pub state: JobState,
-    /// Number of completed tasks. For display: it may lag, and is missing if unknown.
+    /// Number of completed tasks; `None` if unknown. For display only: the number may be outdated.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Number of running tasks. For display: it may lag, and is missing if unknown.
+    /// Number of running tasks; `None` if unknown. For display only: the number may be outdated.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
@@ -152,6 +152,6 @@
 /// The body of 4xx and 5xx responses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// Message for the user: what is wrong with the request, or why it failed.
+    /// Message for the user: what is wrong with the request, or why the request failed.
     pub error: String,
 }
--- a/crates/gladekeel-wire/src/lib.rs
+++ b/crates/gladekeel-wire/src/lib.rs
@@ -10,10 +10,10 @@
 //! | [`mesh`] | controllers | binary frames over TCP |
 //! | [`settings`] | the platform and a controller | a TOML file |
 //!
-//! This crate does no I/O and knows no clock. The field names of the platform's protocol
-//! stand only in serde attributes here; the Rust names are the usual terms (task, attempt,
-//! lease, fencing token, zone, spot), and the glossary in `docs/` maps one to the other.
-//! Readers ignore fields that they do not know, so that both sides can be upgraded one
+//! This crate performs no I/O and reads no clock. The field names of the platform's protocol
+//! occur only in serde attributes; the Rust names are the usual terms (task, attempt, lease,
+//! fencing token, zone, spot), and the glossary in `docs/` maps the ones to the others.
+//! Readers ignore unknown fields, so that the two sides of a connection can be upgraded one
 //! after the other.
 
 pub mod admin;
@@ -28,5 +28,5 @@
 
 pub use id::{InvalidId, JobId, TaskId};
 
-/// Largest request body that the protocol allows, in bytes.
+/// Maximum size of a request body in bytes, as the protocol prescribes.
 pub const MAX_BODY: usize = 64 * 1024;
