--- a/crates/gladekeel-wire/src/settings/mod.rs
+++ b/crates/gladekeel-wire/src/settings/mod.rs
@@ -1,7 +1,8 @@
-//! The settings file that the platform hands to a controller when it starts (TOML).
+//! The settings file (TOML) that the platform provides to a controller when the controller
+//! starts.
 //!
-//! Unknown fields are ignored, so that the platform can be upgraded first. After parsing,
-//! [`Settings::check`] validates what a type cannot.
+//! Unknown fields are ignored, so that the platform can be upgraded before the controllers.
+//! After parsing, [`Settings::check`] validates what the types cannot express.
 
 mod objective;
 mod validation;
@@ -12,7 +13,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The whole file.
+/// The contents of the settings file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Settings {
     /// Name of this controller.
@@ -20,18 +21,18 @@
     /// Zone of this controller.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Address on which it serves users, workers and health checks.
+    /// Address on which this controller serves users, workers and health checks.
     #[serde(rename = "bind")]
     pub listen: SocketAddr,
-    /// Address on which it accepts connections of its peers.
+    /// Address on which this controller accepts connections from its peers.
     #[serde(rename = "mesh_addr")]
     pub peer_listen: SocketAddr,
     /// The other controllers.
     #[serde(rename = "siblings", default)]
     pub peers: Vec<Peer>,
-    /// Addresses of the services that it calls.
+    /// Addresses of the services that controllers call.
     pub services: Services,
-    /// What is the same for every controller of the cluster.
+    /// Settings that are the same for every controller of the cluster.
     #[serde(rename = "deployment")]
     pub deployment: Deployment,
 }
@@ -39,12 +40,12 @@
 /// Another controller of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the peer.
     pub node: String,
-    /// Its zone.
+    /// Zone of the peer.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Its address for peers.
+    /// Address on which the peer accepts connections from other controllers.
     #[serde(rename = "peer_addr")]
     pub addr: SocketAddr,
 }
@@ -52,14 +53,14 @@
 /// Addresses of the services that controllers call.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Services {
-    /// The cloud provider's API.
+    /// Address of the cloud provider's API.
     pub cloud: SocketAddr,
-    /// The key-value store.
+    /// Address of the key-value store.
     #[serde(rename = "state")]
     pub store: SocketAddr,
 }
 
-/// What is the same for every controller of the cluster.
+/// Settings that are the same for every controller of the cluster.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Deployment {
     /// Number of controllers.
@@ -77,7 +78,7 @@
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Timings that workers keep.
+    /// Timings that workers adhere to.
     pub workers: WorkerTimings,
     /// Limits of the key-value store.
     #[serde(rename = "state")]
@@ -88,7 +89,7 @@
     pub limits: ProcessLimits,
 }
 
-/// A team's quota: what it is guaranteed, and what it may use at most.
+/// A team and its quota: the resources that the team is guaranteed, and the most that it may use.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Team {
     /// Name of the team.
@@ -96,34 +97,34 @@
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Maximum of CPUs.
+    /// Maximum number of CPUs.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Maximum of GPUs.
+    /// Maximum number of GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// Timings that workers keep, in seconds.
+/// Timings that workers adhere to, in seconds.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct WorkerTimings {
     /// Time between two heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Length of a worker's lease: it kills its tasks after this long without a response to
-    /// a heartbeat.
+    /// Duration of a worker's lease: a worker that receives no response to a heartbeat for this
+    /// long kills its tasks.
     pub lease_s: f64,
     /// Time after a cancellation within which the job's tasks must have stopped.
     #[serde(rename = "cancel_s")]
     pub cancellation_deadline_s: f64,
-    /// Time that a task of a gang waits for the others before it exits.
+    /// Time that a task of a gang waits for the other tasks to become ready before it exits.
     #[serde(default = "default_gang_wait_s")]
     pub gang_wait_s: f64,
-    /// Time within which the tasks of a running gang notice that one has exited, and within
-    /// which all of them must be told to stop.
+    /// Time within which the tasks of a running gang detect that one of them has exited. When a
+    /// gang is stopped, all of its tasks must receive the command within this time.
     #[serde(default = "default_gang_peer_s")]
     pub gang_peer_s: f64,
 }
@@ -136,23 +137,25 @@
     4.0
 }
 
-/// Largest heartbeat interval, as a multiple of the configured one: workers add jitter of a
-/// quarter.
+/// Longest time between two heartbeats, as a multiple of the configured interval: workers add
+/// jitter of up to a quarter of the interval.
 const HEARTBEAT_JITTER_FACTOR: f64 = 1.25;
-/// Time that a heartbeat may take to arrive, in seconds.
+/// Time that the delivery of a heartbeat may take, in seconds.
 const HEARTBEAT_LATENCY_S: f64 = 2.0;
-/// Part of the heartbeat interval after which a missing heartbeat is worth a probe.
+/// Part of the heartbeat interval that is added to [`PROBE_MIN_SILENCE_S`]: the worker is probed
+/// after the sum has passed without a heartbeat.
 const PROBE_INTERVAL_FACTOR: f64 = 0.3;
-/// Minimum time without a heartbeat before a probe, in seconds.
+/// Minimum time without a heartbeat before the worker is probed, in seconds.
 const PROBE_MIN_SILENCE_S: f64 = 1.5;
 
 impl WorkerTimings {
-    /// Maximum time between two heartbeats of a healthy worker, in seconds.
+    /// Returns the maximum time between the receipt of two heartbeats of a healthy worker, in
+    /// seconds.
     pub fn heartbeat_timeout_s(&self) -> f64 {
         HEARTBEAT_JITTER_FACTOR * self.heartbeat_interval_s + HEARTBEAT_LATENCY_S
     }
 
-    /// Time without a heartbeat after which the leader probes the worker, in seconds.
+    /// Returns the time without a heartbeat after which the leader probes the worker, in seconds.
     pub fn probe_after_s(&self) -> f64 {
         PROBE_INTERVAL_FACTOR * self.heartbeat_interval_s + PROBE_MIN_SILENCE_S
     }
@@ -161,37 +164,39 @@
 /// Limits of the key-value store, for all controllers together.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct StoreLimits {
-    /// Maximum of requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Maximum of puts and deletes per second.
+    /// Maximum number of puts and deletes per second.
     pub write_rps: f64,
     /// Maximum size of a value in KiB.
     pub value_kb: f64,
-    /// Maximum of puts and deletes in a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// Limits that will take effect at a time that is not announced.
+    /// Limits that will take effect at a time that is not announced; `None` if no change is
+    /// announced.
     #[serde(rename = "next", default)]
     pub upcoming: Option<UpcomingStoreLimits>,
 }
 
-/// Limits of the key-value store that will take effect later. A limit that is `None` does
-/// not change.
+/// Limits of the key-value store that will take effect later. A limit that is `None` does not
+/// change.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct UpcomingStoreLimits {
-    /// Maximum of requests per second.
+    /// Maximum number of requests per second.
     pub rps: Option<f64>,
-    /// Maximum of puts and deletes per second.
+    /// Maximum number of puts and deletes per second.
     pub write_rps: Option<f64>,
     /// Maximum size of a value in KiB.
     pub value_kb: Option<f64>,
-    /// Maximum of puts and deletes in a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: Option<usize>,
 }
 
 impl StoreLimits {
-    /// The limits to keep: the lower one of the current and the upcoming limit, from the
-    /// start, because the time of the change is not announced.
+    /// Returns the limits that controllers must observe: the lower one of each current limit and
+    /// its upcoming value. Lower upcoming limits apply from the start, because the time of the
+    /// change is not announced.
     pub fn lowest(&self) -> StoreLimits {
         let upcoming = self.upcoming.clone().unwrap_or_default();
         StoreLimits {
@@ -207,20 +212,20 @@
 /// Limits of the cloud provider's API.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct CloudLimits {
-    /// Maximum of requests per second, for all controllers together.
+    /// Maximum number of requests per second, for all controllers together.
     pub rps: f64,
-    /// Age of the machine list when it is served, in seconds.
+    /// Age of the state that the machine list describes when the list is served, in seconds.
     pub list_lag_s: f64,
 }
 
 /// Limits of each controller process.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct ProcessLimits {
-    /// Part of a core that it may use.
+    /// CPU time that the process may use, as a fraction of one core.
     pub cpu_share: f64,
-    /// Memory that it may use, in MB.
+    /// Memory that the process may use, in MB.
     #[serde(rename = "ram_mb")]
     pub memory_mb: f64,
-    /// Maximum of open sockets.
+    /// Maximum number of open sockets.
     pub max_connections: usize,
 }
--- a/crates/gladekeel-wire/src/settings/objective.rs
+++ b/crates/gladekeel-wire/src/settings/objective.rs
@@ -5,39 +5,41 @@
 /// A service-level objective.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Objective {
-    /// What it measures.
+    /// Quantity that the objective measures.
     pub kind: ObjectiveKind,
-    /// Class of jobs that it applies to; all jobs if `None`.
+    /// Class of jobs that the objective applies to; all jobs if `None`.
     pub class: Option<String>,
-    /// Target in seconds.
+    /// Target in seconds; `None` if the objective has none in seconds.
     pub within_s: Option<f64>,
-    /// Part of the jobs that must meet the target, from 0 to 1.
+    /// Fraction of the jobs that must meet the target, from 0 to 1; `None` if not stated.
     pub share: Option<f64>,
-    /// Target as a multiple of the job's deadline.
+    /// Target as a multiple of the job's deadline; `None` if the objective has no such target.
     #[serde(rename = "times")]
     pub deadline_multiple: Option<f64>,
 }
 
 impl Objective {
-    /// Whether it measures `kind` and names this class of jobs.
+    /// Whether the objective measures `kind` and names `class`; `false` for an objective without a
+    /// class.
     pub fn applies_to(&self, kind: &ObjectiveKind, class: &str) -> bool {
         self.kind == *kind && self.class.as_deref() == Some(class)
     }
 }
 
-/// What a service-level objective measures.
+/// The quantity that a service-level objective measures.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum ObjectiveKind {
-    /// Time from submission to completion.
+    /// Time from the submission of a job to its completion.
     Completion,
-    /// Time from submission to the start of its tasks.
+    /// Time from the submission of a job to the start of its tasks.
     Start,
-    /// Completion by the job's own deadline.
+    /// Completion of a job by the job's own deadline.
     Deadline,
-    /// A team's guaranteed resources.
+    /// Guaranteed resources of a team.
     Guarantee,
-    /// A kind that this version does not know, by its name. It is ignored.
+    /// A kind that this version does not know, with its name. Objectives of such a kind are
+    /// ignored.
     Other(String),
 }
 
--- a/crates/gladekeel-wire/src/settings/validation.rs
+++ b/crates/gladekeel-wire/src/settings/validation.rs
@@ -1,33 +1,33 @@
-//! Validation of the settings file: every error names the field as it stands in the file.
+//! Validation of the settings file. Every error names the field by its path in the file.
 
 use super::{CloudLimits, Deployment, ProcessLimits, Settings, StoreLimits, Team, WorkerTimings};
 
-/// Minimum of sockets that a controller can work with.
+/// Minimum number of sockets that a controller needs.
 const MIN_CONNECTIONS: usize = 32;
-/// Minimum of operations that a transaction must allow.
+/// Minimum number of operations that the store must allow in a transaction.
 const MIN_TRANSACTION_OPERATIONS: usize = 1;
 
 /// A setting that does not meet its requirement.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{field}: {requirement}")]
 pub struct InvalidSetting {
-    /// Path of the field, as in the file.
+    /// Path of the field in the file, such as `deployment.count`.
     pub field: String,
-    /// The requirement that it does not meet.
+    /// Requirement that the setting does not meet.
     pub requirement: Requirement,
 }
 
-/// What a setting must be.
+/// A requirement for the value of a setting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Requirement {
     /// A text of at least one character.
     #[error("must not be empty")]
     NotEmpty,
-    /// A list of controllers without this one.
+    /// A list of controllers that does not contain this one.
     #[error("must not name this node")]
     NotThisNode,
     /// The number of controllers that the file lists, this one included.
-    #[error("must be the number of siblings and this node")]
+    #[error("must be the number of siblings plus one for this node")]
     NumberOfControllers,
     /// A finite number above 0.
     #[error("must be a number above 0")]
@@ -44,28 +44,29 @@
     if holds { Ok(()) } else { Err(InvalidSetting { field: field.into(), requirement }) }
 }
 
-fn positive(value: f64, field: &str) -> Result<(), InvalidSetting> {
+fn require_positive(value: f64, field: &str) -> Result<(), InvalidSetting> {
     require(value.is_finite() && value > 0.0, field, Requirement::Positive)
 }
 
-fn not_negative(value: f64, field: &str) -> Result<(), InvalidSetting> {
+fn require_not_negative(value: f64, field: &str) -> Result<(), InvalidSetting> {
     require(value.is_finite() && value >= 0.0, field, Requirement::NotNegative)
 }
 
-fn at_least(value: usize, min: usize, field: &str) -> Result<(), InvalidSetting> {
+fn require_at_least(value: usize, min: usize, field: &str) -> Result<(), InvalidSetting> {
     require(value >= min, field, Requirement::AtLeast(min))
 }
 
 impl Settings {
-    /// Checks what a type cannot: ranges, and that fields agree with each other.
+    /// Checks what the types cannot express: that values are in range, and that fields are
+    /// consistent with one another.
     ///
     /// # Errors
     ///
     /// [`InvalidSetting`] with the first field that does not meet its requirement.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         require(!self.node.is_empty(), "node", Requirement::NotEmpty)?;
-        let names_itself = self.peers.iter().any(|peer| peer.node == self.node);
-        require(!names_itself, "siblings", Requirement::NotThisNode)?;
+        let lists_itself = self.peers.iter().any(|peer| peer.node == self.node);
+        require(!lists_itself, "siblings", Requirement::NotThisNode)?;
         let controllers = self.peers.len() + 1;
         require(
             self.deployment.controllers as usize == controllers,
@@ -90,41 +91,41 @@
 impl Team {
     fn check(&self) -> Result<(), InvalidSetting> {
         let amounts = [self.cpus, self.cpus_max, self.gpus, self.gpus_max];
-        amounts.into_iter().try_for_each(|amount| not_negative(amount, "deployment.teams"))
+        amounts.into_iter().try_for_each(|amount| require_not_negative(amount, "deployment.teams"))
     }
 }
 
 impl WorkerTimings {
     fn check(&self) -> Result<(), InvalidSetting> {
-        positive(self.heartbeat_interval_s, "deployment.workers.report_s")?;
-        positive(self.lease_s, "deployment.workers.lease_s")?;
-        positive(self.cancellation_deadline_s, "deployment.workers.cancel_s")?;
-        positive(self.gang_wait_s, "deployment.workers.gang_wait_s")?;
-        positive(self.gang_peer_s, "deployment.workers.gang_peer_s")
+        require_positive(self.heartbeat_interval_s, "deployment.workers.report_s")?;
+        require_positive(self.lease_s, "deployment.workers.lease_s")?;
+        require_positive(self.cancellation_deadline_s, "deployment.workers.cancel_s")?;
+        require_positive(self.gang_wait_s, "deployment.workers.gang_wait_s")?;
+        require_positive(self.gang_peer_s, "deployment.workers.gang_peer_s")
     }
 }
 
 impl StoreLimits {
-    /// Checks the limits that stand in this section of the file.
+    /// Checks the limits, which the file holds at the path `section`.
     fn check(&self, section: &str) -> Result<(), InvalidSetting> {
-        positive(self.rps, &format!("{section}.rps"))?;
-        positive(self.write_rps, &format!("{section}.write_rps"))?;
-        positive(self.value_kb, &format!("{section}.value_kb"))?;
-        at_least(self.txn_ops, MIN_TRANSACTION_OPERATIONS, &format!("{section}.txn_ops"))
+        require_positive(self.rps, &format!("{section}.rps"))?;
+        require_positive(self.write_rps, &format!("{section}.write_rps"))?;
+        require_positive(self.value_kb, &format!("{section}.value_kb"))?;
+        require_at_least(self.txn_ops, MIN_TRANSACTION_OPERATIONS, &format!("{section}.txn_ops"))
     }
 }
 
 impl CloudLimits {
     fn check(&self) -> Result<(), InvalidSetting> {
-        positive(self.rps, "deployment.cloud.rps")?;
-        not_negative(self.list_lag_s, "deployment.cloud.list_lag_s")
+        require_positive(self.rps, "deployment.cloud.rps")?;
+        require_not_negative(self.list_lag_s, "deployment.cloud.list_lag_s")
     }
 }
 
 impl ProcessLimits {
     fn check(&self) -> Result<(), InvalidSetting> {
-        positive(self.cpu_share, "deployment.limits.cpu_share")?;
-        positive(self.memory_mb, "deployment.limits.ram_mb")?;
-        at_least(self.max_connections, MIN_CONNECTIONS, "deployment.limits.max_connections")
+        require_positive(self.cpu_share, "deployment.limits.cpu_share")?;
+        require_positive(self.memory_mb, "deployment.limits.ram_mb")?;
+        require_at_least(self.max_connections, MIN_CONNECTIONS, "deployment.limits.max_connections")
     }
 }
