--- a/crates/gladekeel-wire/src/admin.rs
+++ b/crates/gladekeel-wire/src/admin.rs
@@ -1,27 +1,28 @@
 //! The administration API: cluster status, machines, runtime settings, cordons.
 //!
-//! Served under `/admin/` by every controller; `gladekeel` commands are its usual client.
+//! Every controller serves this API under `/admin/`. Its usual clients are the subcommands of
+//! `gladekeel`.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The runtime settings with their version: the response to `GET` and `PUT
-/// /admin/settings`.
+/// The runtime settings with their version: the response to `GET /admin/settings` and
+/// `PUT /admin/settings`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VersionedSettings {
-    /// Version of the stored settings; 0 if none are stored. A `PUT` names the
-    /// version that it changes, so that concurrent changes are not overwritten.
+    /// Version of the stored settings; 0 if none are stored. A `PUT` request names the version
+    /// that it changes, so that it does not overwrite a concurrent change.
     pub version: u64,
-    /// Values by name.
+    /// Values of the settings by name.
     pub settings: BTreeMap<String, f64>,
 }
 
-/// The body of `PUT /admin/settings`. Values are any JSON here and are validated one by
+/// The body of `PUT /admin/settings`. The values may be any JSON here and are validated one by
 /// one, so that an error can name the setting and its range.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SettingsChange {
-    /// Version of the settings that this change was made from; the change is refused if
-    /// another one has been stored since.
+    /// Version of the settings that this change is based on; the change is refused if another
+    /// version has been stored since.
     pub version: u64,
     /// The new values by name; settings that are not named keep their values.
     pub settings: BTreeMap<String, serde_json::Value>,
@@ -32,41 +33,41 @@
 pub struct DrainStatus {
     /// Name of the machine.
     pub machine: String,
-    /// Whether the machine is cordoned: no new tasks are assigned to it, and it is deleted
-    /// once it is empty.
+    /// Whether the machine is cordoned: it is assigned no new tasks, and it is deleted once no
+    /// task is left on it.
     pub draining: bool,
 }
 
-/// A peer controller as seen by the one that responds.
+/// A peer of the controller that responds, as that controller sees the peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// Name of the peer.
     pub node: String,
-    /// Seconds since its last heartbeat; `None` before the first one.
+    /// Seconds since the peer's last heartbeat; `None` before the first one.
     #[serde(rename = "heard_s")]
     pub last_heartbeat_age_s: Option<f64>,
-    /// Seconds between the peer's last successful read of the store and its last
-    /// heartbeat; `None` if it has not read the store.
+    /// Seconds between the peer's last successful read of the store and its last heartbeat; `None`
+    /// if the peer has not read the store.
     #[serde(rename = "contact_s")]
     pub store_contact_age_s: Option<f64>,
 }
 
-/// Resource usage of a team against its quota.
+/// The resource usage and the quota of a team.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamStatus {
     /// Name of the team.
     pub team: String,
-    /// CPUs of its assigned tasks.
+    /// CPUs that the team's assigned tasks hold.
     pub cpus: f64,
-    /// GPUs of its assigned tasks.
+    /// GPUs that the team's assigned tasks hold.
     pub gpus: f64,
     /// CPUs that the team is guaranteed.
     pub guaranteed_cpus: f64,
-    /// Maximum of CPUs that its tasks may hold together.
+    /// Maximum number of CPUs that the team's tasks may hold together.
     pub limit_cpus: f64,
-    /// Jobs that are neither done nor cancelled.
+    /// Number of the team's jobs that are neither done nor cancelled.
     pub jobs: u32,
-    /// Tasks of these jobs that are not assigned to a machine.
+    /// Number of tasks of these jobs that are not assigned to a machine.
     pub waiting: u64,
 }
 
@@ -75,17 +76,17 @@
 pub struct MachineStatus {
     /// Name of the machine.
     pub machine: String,
-    /// `booting`, `idle`, `working`, `draining` or `leaving`.
+    /// State of the machine: `booting`, `idle`, `working`, `draining` or `leaving`.
     pub state: String,
-    /// Machine type; `None` until the cloud or the worker has reported it.
+    /// Type of the machine; `None` until the cloud or the worker has reported it.
     pub machine_type: Option<String>,
-    /// Zone; `None` until the cloud or the worker has reported it.
+    /// Zone of the machine; `None` until the cloud or the worker has reported it.
     pub zone: Option<String>,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Number of tasks assigned to it.
+    /// Number of tasks that are assigned to the machine.
     pub tasks: usize,
-    /// Seconds since its last heartbeat; `None` before the first one.
+    /// Seconds since the machine's last heartbeat; `None` before the first one.
     #[serde(rename = "quiet_s")]
     pub last_heartbeat_age_s: Option<f64>,
 }
@@ -95,18 +96,19 @@
 pub struct Status {
     /// Name of the controller that responds.
     pub node: String,
-    /// Name of the leader as this controller knows it.
+    /// Name of the leader as far as this controller knows; `None` if it knows of none.
     pub leader: Option<String>,
     /// Highest fencing token that this controller knows.
     pub token: u64,
-    /// Seconds since this controller's last successful read of the store.
+    /// Seconds since this controller's last successful read of the store; `None` if it has not
+    /// read the store.
     #[serde(rename = "contact_s")]
     pub store_contact_age_s: Option<f64>,
     /// The other controllers.
     pub nodes: Vec<NodeStatus>,
-    /// Usage by team.
+    /// Resource usage and quota of each team.
     pub teams: Vec<TeamStatus>,
-    /// Number of machines by state; `None` unless the leader responds.
+    /// Number of machines by state; `None` unless this controller is the leader.
     pub machines: Option<BTreeMap<String, u32>>,
 }
 
--- a/crates/gladekeel-wire/src/cloud.rs
+++ b/crates/gladekeel-wire/src/cloud.rs
@@ -1,15 +1,15 @@
-//! The cloud provider's API: machine types, creating, listing and deleting machines.
+//! The cloud provider's API: listing machine types; creating, listing and deleting machines.
 //!
-//! Calls are rate limited for all controllers together (see
-//! [`CloudLimits`](crate::settings::CloudLimits)), and the machine list lags behind.
+//! Requests are rate limited for all controllers together, and the machine list lags behind the
+//! actual state of the cloud (see [`CloudLimits`](crate::settings::CloudLimits)).
 
 use serde::{Deserialize, Serialize};
 
-/// Maximum of machines that one [`RentRequest`] may ask for.
+/// Maximum number of machines that one [`RentRequest`] may create.
 pub const MAX_MACHINES_PER_RENT_REQUEST: u32 = 50;
-/// Maximum of machines that one deletion may name.
+/// Maximum number of machines that one delete request may name.
 pub const MAX_MACHINES_PER_DELETE_REQUEST: usize = 100;
-/// Maximum of machines in one page of the list.
+/// Maximum number of machines in one page of the machine list.
 pub const MAX_MACHINES_PER_PAGE: usize = 500;
 
 /// A machine type that the cloud offers.
@@ -20,7 +20,7 @@
     /// CPU capacity.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// GPU capacity.
+    /// GPU capacity; 0 if the type has no GPUs.
     #[serde(default)]
     pub gpus: f64,
     /// Memory capacity in GB.
@@ -37,7 +37,7 @@
     /// Current spot price per hour; `None` if there are no spot instances of this type.
     #[serde(rename = "market_price", default)]
     pub spot_price: Option<f64>,
-    /// Usual time from the request to a running worker, in seconds.
+    /// Usual time from the request for a machine until its worker is running, in seconds.
     #[serde(rename = "ready_s", default)]
     pub boot_s: f64,
     /// Zones that offer the type.
@@ -45,7 +45,7 @@
     pub zones: Vec<String>,
 }
 
-/// All machine types.
+/// All machine types that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
     /// The types, in the cloud's order.
@@ -53,17 +53,18 @@
     pub types: Vec<MachineType>,
 }
 
-/// A request to create machines. Idempotent by [`request_id`](RentRequest::request_id):
-/// repeating a request whose outcome is unknown creates nothing more.
+/// A request to create machines. Requests are idempotent by
+/// [`request_id`](RentRequest::request_id): repeating a request whose outcome is unknown creates
+/// no further machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Idempotency key; never reused for another request.
+    /// Idempotency key, which is never reused for another request.
     #[serde(rename = "charter")]
     pub request_id: String,
-    /// Machine type.
+    /// Type of the machines.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machines.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether to create spot instances instead of on-demand ones.
@@ -74,7 +75,7 @@
     pub count: u32,
 }
 
-/// Machines by name: the response to a [`RentRequest`], and the body of a deletion.
+/// Names of machines: the response to a [`RentRequest`], and the body of a delete request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
     /// Names of the machines.
@@ -82,16 +83,16 @@
     pub machines: Vec<String>,
 }
 
-/// State of a machine in the cloud's list.
+/// The state of a machine in the machine list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Created and not running yet.
+    /// The machine has been created and is not running yet.
     #[serde(rename = "starting")]
     Booting,
-    /// Running; its worker may have started.
+    /// The machine is running, and its worker may have started.
     Running,
-    /// Crashed or terminated by the cloud, as a reclaimed spot instance is.
+    /// The machine has crashed, or the cloud has terminated it, such as a reclaimed spot instance.
     Failed,
     /// A state that this version does not know.
     #[serde(other)]
@@ -101,26 +102,26 @@
 /// An entry of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Name of the machine; names sort by time of creation.
+    /// Name of the machine. Names sort by the creation time of the machines.
     #[serde(rename = "name_id")]
     pub name: String,
-    /// Address of its worker; `None` until it has one.
+    /// Address of the machine's worker; `None` until the worker has one.
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
-    /// Machine type.
+    /// Type of the machine.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// State.
+    /// State of the machine.
     #[serde(rename = "trim")]
     pub state: MachineState,
-    /// Seconds since the request that created it, at the time that the list describes
-    /// (which lies [`list_lag_s`](crate::settings::CloudLimits::list_lag_s) in the past).
+    /// Seconds from the request that created the machine to the time that the list describes,
+    /// which lies [`list_lag_s`](crate::settings::CloudLimits::list_lag_s) in the past.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
--- a/crates/gladekeel-wire/src/store.rs
+++ b/crates/gladekeel-wire/src/store.rs
@@ -9,10 +9,10 @@
 /// A precondition of a compare-and-swap transaction: the key has exactly this version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Precondition {
-    /// The key that is compared.
+    /// Key whose version is compared.
     #[serde(rename = "path")]
     pub key: String,
-    /// The version that it must have; 0 if it must not exist.
+    /// Version that the key must have; 0 if the key must not exist.
     #[serde(rename = "entry")]
     pub version: u64,
 }
@@ -28,7 +28,8 @@
         key: String,
         /// The value.
         value: Value,
-        /// Lease that the key is attached to: the key is deleted when the lease expires.
+        /// Lease that the key is attached to: the key is deleted when the lease expires. `None` if
+        /// the key is attached to no lease.
         #[serde(rename = "mooring", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -41,7 +42,7 @@
 }
 
 impl Write {
-    /// The key that is written or deleted.
+    /// Returns the key that is written or deleted.
     pub fn key(&self) -> &str {
         match self {
             Write::Put { key, .. } | Write::Delete { key } => key,
@@ -49,24 +50,24 @@
     }
 }
 
-/// A compare-and-swap transaction: all writes are applied if every precondition holds,
-/// and none otherwise.
+/// A compare-and-swap transaction: all writes are applied if every precondition holds, and none
+/// otherwise.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Versions that the keys must have.
+    /// Versions that keys must have.
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
-    /// Writes, applied together.
+    /// Writes, applied atomically.
     pub writes: Vec<Write>,
 }
 
-/// The response to a transaction. Other responses begin with the same revision.
+/// The response to a transaction. Other responses begin with the same revision field.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TransactionResponse {
-    /// Revision of the store when it answered; of the commit, if there was one.
+    /// Revision of the commit, or of the store when it responded if nothing was committed.
     #[serde(rename = "logline", default)]
     pub revision: u64,
-    /// Keys whose precondition failed; empty if the transaction was committed.
+    /// Keys whose preconditions failed; empty if the transaction was committed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed: Vec<String>,
 }
@@ -79,12 +80,12 @@
     pub key: String,
     /// The value.
     pub value: Value,
-    /// Revision at which it was last written.
+    /// Revision at which the key was last written.
     #[serde(rename = "entry")]
     pub version: u64,
 }
 
-/// A page of a range read.
+/// A page of the response to a range read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValuePage {
     /// The entries, sorted by key.
@@ -98,7 +99,7 @@
     pub revision: u64,
 }
 
-/// A change that a watch delivers.
+/// A change to a key, as delivered by a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum WatchEvent {
@@ -113,7 +114,7 @@
         #[serde(rename = "entry")]
         version: u64,
     },
-    /// A key was deleted, or expired with its lease.
+    /// A key was deleted, by a transaction or because its lease expired.
     Delete {
         /// The key.
         #[serde(rename = "remove")]
@@ -127,10 +128,10 @@
 /// The response to a watch: the changes since the revision that the request names.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Revision that the events lead to; the next watch starts after it.
+    /// Revision of the store after the events; the next watch starts after this revision.
     #[serde(rename = "logline")]
     pub revision: u64,
-    /// Changes in the order of their revisions.
+    /// Changes, in the order of their revisions.
     #[serde(rename = "news", default)]
     pub events: Vec<WatchEvent>,
 }
@@ -145,7 +146,7 @@
 /// A granted lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantedLease {
-    /// Id of the lease, for renewals and [`Write::Put`].
+    /// Id of the lease, used in renewals and in [`Write::Put`].
     #[serde(rename = "mooring")]
     pub id: u64,
 }
--- a/crates/gladekeel-wire/src/worker.rs
+++ b/crates/gladekeel-wire/src/worker.rs
@@ -1,51 +1,51 @@
 //! The worker's API: heartbeats, commands, and redirection to another controller.
 //!
 //! A worker sends a [`Heartbeat`] to a controller at a fixed interval and executes the
-//! commands of the response. Any controller accepts one and relays it to the leader, or
-//! answers 421 with a [`Redirect`]. The leader may also call the worker directly
-//! ([`DirectCommands`]).
+//! commands of the response. Any controller accepts heartbeats; it relays them to the leader or
+//! responds with status 421 and a [`Redirect`]. The leader may also send commands directly to
+//! the worker ([`DirectCommands`]).
 //!
-//! Two numbers protect a worker from stale commands: it refuses those with a fencing token
-//! below the highest it has seen, and direct ones that name another incarnation.
+//! Two numbers protect a worker from stale commands: it refuses commands with a fencing token
+//! below the highest that it has seen, and direct commands that name another incarnation.
 
 use crate::TaskId;
 use serde::{Deserialize, Serialize};
 
-/// State of a task on its machine.
+/// The state of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Its image is being fetched.
+    /// The machine is fetching the task's image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// Its image is there; it waits for the other tasks of its gang.
+    /// The image has been fetched; the task waits for the other tasks of its gang.
     Waiting,
-    /// Running.
+    /// The task is running.
     Running,
-    /// Stopping: it writes a checkpoint within its grace period.
+    /// The task is stopping and writes a checkpoint within its grace period.
     #[serde(rename = "flushing")]
     Saving,
-    /// Exited; [`TaskStatus::cause`] says why.
+    /// The task has exited; [`TaskStatus::cause`] holds the reason.
     Exited,
     /// A state that this version does not know; the task still holds its resources.
     #[serde(other)]
     Other,
 }
 
-/// Why a task exited.
+/// The reason why a task has exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ExitCause {
-    /// Ran to completion.
+    /// The task ran to completion.
     Done,
-    /// Stopped by a command.
+    /// The task was stopped by a command.
     Stopped,
-    /// Failed by itself.
+    /// The task failed on its own.
     Error,
-    /// Another task of its gang exited while it ran.
+    /// Another task of the gang exited while this task was running.
     #[serde(rename = "mates_gone")]
     GangMemberLost,
-    /// The other tasks of its gang did not start in time.
+    /// The other tasks of the gang did not start in time.
     #[serde(rename = "incomplete")]
     GangIncomplete,
     /// Start refused: the machine lacks the resources.
@@ -53,29 +53,29 @@
     InsufficientResources,
     /// Start refused: another attempt of the task is on this machine.
     Busy,
-    /// Start refused: there is no such task.
+    /// Start refused: the task does not exist.
     Unknown,
     /// A cause that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// A task in a heartbeat.
+/// The status of a task, as reported in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// Id of the task.
     #[serde(rename = "piece")]
     pub task: TaskId,
-    /// Attempt that runs or ran here.
+    /// Attempt that is running or has run on this machine.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State of this attempt.
+    /// State of the attempt.
     #[serde(rename = "trim")]
     pub state: TaskState,
-    /// Why it exited; `None` before that.
+    /// Reason why the attempt exited; `None` until the attempt exits.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
-    /// Whether it wrote a checkpoint when it was stopped.
+    /// Whether the attempt wrote a checkpoint when it was stopped; `None` if not reported.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
@@ -86,33 +86,34 @@
     /// Name of the machine.
     #[serde(rename = "berth")]
     pub machine: String,
-    /// Address at which the worker takes direct commands.
+    /// Address at which the worker receives direct commands.
     #[serde(rename = "endpoint")]
     pub addr: String,
-    /// Machine type.
+    /// Type of the machine.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether the machine is a spot instance.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// Incarnation of the worker. It increases each time the worker's lease expires, when
+    /// Incarnation of the worker. The number increases each time the worker's lease expires, when
     /// the worker kills its tasks and starts over.
     #[serde(rename = "watch")]
     pub incarnation: u64,
-    /// Sequence number within the incarnation; orders heartbeats that arrive by different
-    /// controllers.
+    /// Sequence number of the heartbeat within the incarnation; determines the order of
+    /// heartbeats that arrive through different controllers.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// Highest fencing token that the worker has seen.
     #[serde(rename = "helm", default)]
     pub token: u64,
-    /// Termination notice of a spot instance: seconds until the cloud reclaims the machine.
+    /// Termination notice of a spot instance: seconds until the cloud reclaims the machine; `None`
+    /// without a notice.
     #[serde(rename = "warning_s", default, skip_serializing_if = "Option::is_none")]
     pub termination_notice_s: Option<f64>,
-    /// Every task on the machine, exited ones included until they are forgotten.
+    /// All tasks on the machine, including exited ones until a [`Command::Forget`] removes them.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -144,7 +145,7 @@
         #[serde(rename = "slack_s")]
         grace_s: f64,
     },
-    /// Remove an exited attempt from the heartbeats: its exit has been committed.
+    /// Remove an exited attempt from the heartbeats, because its exit has been committed.
     Forget {
         /// Id of the task.
         #[serde(rename = "piece")]
@@ -155,21 +156,22 @@
     },
 }
 
-/// The response to a heartbeat. It also renews the worker's lease.
+/// The response to a heartbeat. The response also renews the worker's lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Fencing token of the leader that gives the commands.
+    /// Fencing token of the leader that issues the commands.
     #[serde(rename = "helm")]
     pub token: u64,
-    /// Commands, executed in order.
+    /// Commands, which the worker executes in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// The body of a 421 response: the controller to send heartbeats to instead.
+/// The body of a 421 response, which redirects a worker to another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Name of that controller; `None` if it is not known, and the worker tries any other.
+    /// Name of the controller to send heartbeats to; `None` if unknown, in which case the worker
+    /// tries any other controller.
     #[serde(rename = "harbor", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
@@ -180,10 +182,11 @@
     /// Fencing token of the leader.
     #[serde(rename = "helm")]
     pub token: u64,
-    /// Incarnation that the commands are meant for; another one refuses them.
+    /// Incarnation of the worker that the commands are meant for; a worker in another incarnation
+    /// refuses them.
     #[serde(rename = "watch")]
     pub incarnation: u64,
-    /// Commands, executed in order.
+    /// Commands, which the worker executes in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
