--- a/crates/gladekeel-wire/tests/common/mod.rs
+++ b/crates/gladekeel-wire/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Helpers that the tests of earlier versions' frames share.
+//! Helpers shared by the tests that read frames of earlier versions.
 
-#![allow(dead_code, reason = "each test binary uses a part of this module")]
+#![allow(dead_code, reason = "each test binary uses only a part of this module")]
 
 use gladekeel_wire::{
     JobId,
@@ -10,65 +10,72 @@
 use serde::{Serialize, de::DeserializeOwned};
 use zerocopy::IntoBytes;
 
-/// A valid job id.
-pub fn job(id: &str) -> JobId {
+/// Parses a valid job id.
+pub fn job_id(id: &str) -> JobId {
     id.parse().unwrap()
 }
 
-/// Frames that an earlier version sent: a fixture with a name and the frame in hex on each line.
+/// Frames that an earlier version sent, from a fixture with a name and the frame in hex on each
+/// line.
 pub struct RecordedFrames(&'static str);
 
 impl RecordedFrames {
-    /// The frames in a fixture's text.
+    /// Wraps the text of a fixture.
     pub const fn new(fixture: &'static str) -> RecordedFrames {
         RecordedFrames(fixture)
     }
 
-    /// The bytes of the frame with this name.
+    /// Returns the bytes of the frame with this name.
     pub fn frame(&self, name: &str) -> Vec<u8> {
         let mut frames = self.0.lines().filter_map(|line| line.split_once(' '));
-        let (_, hex) = frames.find(|(n, _)| *n == name).expect("the fixture has this frame");
+        let (_, hex) = frames.find(|(n, _)| *n == name).expect("the fixture contains the frame");
         let digits = hex.as_bytes().chunks(2);
         digits
             .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap())
             .collect()
     }
 
-    /// The relayed heartbeat in a frame, which this version writes as it was sent.
+    /// Decodes the relayed heartbeat in a frame, and checks that this version encodes the heartbeat
+    /// to the same bytes.
     pub fn heartbeat(&self, name: &str) -> Heartbeat {
-        self.message(name)
+        self.round_trip_json(name)
     }
 
-    /// The relayed response in a frame, which this version writes as it was sent.
+    /// Decodes the relayed response in a frame, and checks that this version encodes the response to
+    /// the same bytes.
     pub fn response(&self, name: &str) -> HeartbeatResponse {
-        self.message(name)
+        self.round_trip_json(name)
     }
 
-    fn message<T: Serialize + DeserializeOwned>(&self, name: &str) -> T {
+    fn round_trip_json<T: Serialize + DeserializeOwned>(&self, name: &str) -> T {
         let bytes = self.frame(name);
-        let (_, _, payload) = open(&bytes);
-        let message: T = serde_json::from_slice(payload).expect("a message of that version");
-        assert_eq!(serde_json::to_vec(&message).unwrap(), payload, "{name} is written again");
+        let (_, _, payload) = split_frame(&bytes);
+        let message: T = serde_json::from_slice(payload).expect("this version decodes the message");
+        assert_eq!(
+            serde_json::to_vec(&message).unwrap(),
+            payload,
+            "{name} is encoded to other bytes"
+        );
         message
     }
 
-    /// Checks the header of a frame, and that this version writes the same frame.
+    /// Checks the header of a frame, and that this version encodes the same frame.
     pub fn check_header(&self, name: &str, expected: ExpectedHeader) {
         let bytes = self.frame(name);
-        let (header, kind, payload) = open(&bytes);
+        let (header, kind, payload) = split_frame(&bytes);
         assert_eq!(kind, expected.kind, "{name}");
-        let read = ExpectedHeader {
+        let actual = ExpectedHeader {
             kind,
             status: header.status.get(),
             correlation_id: header.correlation_id.get(),
             sender: header.sender.get(),
         };
-        assert_eq!(read, expected, "{name}");
-        assert_eq!(write(expected, payload), bytes, "{name}");
+        assert_eq!(actual, expected, "{name}");
+        assert_eq!(encode_frame(expected, payload), bytes, "{name}");
     }
 }
 
-/// What a frame's header holds besides the length of the payload.
+/// The fields of a frame header, except the constant `magic` and the length of the payload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExpectedHeader {
     pub kind: FrameKind,
@@ -77,22 +84,25 @@
     pub sender: u32,
 }
 
-/// The header and payload of a frame, which is exactly as long as its header says.
-pub fn open(frame: &[u8]) -> (FrameHeader, FrameKind, &[u8]) {
-    let (head, payload) = frame.split_at(FrameHeader::SIZE);
-    let (header, kind) = FrameHeader::read(head.try_into().unwrap()).expect("a readable header");
+/// Splits a frame into its header and payload, and checks that the payload has the length that the
+/// header states.
+pub fn split_frame(frame: &[u8]) -> (FrameHeader, FrameKind, &[u8]) {
+    let (header, payload) = frame.split_at(FrameHeader::SIZE);
+    let (header, kind) =
+        FrameHeader::read(header.try_into().unwrap()).expect("the header is valid");
     assert_eq!(header.payload_len.get() as usize, payload.len());
     (header, kind, payload)
 }
 
-/// A frame as this version writes it.
-pub fn write(header: ExpectedHeader, payload: &[u8]) -> Vec<u8> {
+/// Encodes a frame as this version sends it.
+pub fn encode_frame(header: ExpectedHeader, payload: &[u8]) -> Vec<u8> {
     let ExpectedHeader { kind, status, correlation_id, sender } = header;
     let header = FrameHeader::new(kind, status, correlation_id, sender, payload.len());
     [header.as_bytes(), payload].concat()
 }
 
-/// The header of a peer heartbeat; the status of one says which protocol level its sender knows.
-pub fn peer_heartbeat(status: u16, sender: u32) -> ExpectedHeader {
-    ExpectedHeader { kind: FrameKind::PeerHeartbeat, status, correlation_id: 0, sender }
+/// Returns the header of a peer heartbeat. The status of a peer heartbeat is the protocol level of
+/// its sender.
+pub fn peer_heartbeat_header(level: u16, sender: u32) -> ExpectedHeader {
+    ExpectedHeader { kind: FrameKind::PeerHeartbeat, status: level, correlation_id: 0, sender }
 }
--- a/crates/gladekeel-wire/tests/frames_37c5e95.rs
+++ b/crates/gladekeel-wire/tests/frames_37c5e95.rs
@@ -1,13 +1,15 @@
-//! Frames as version 37c5e95, in production once, sends them, read by this one.
+//! Compatibility with the frames of version 37c5e95, which was once in production.
 //!
-//! `fixtures/37c5e95_frames.txt` holds what two nodes of commit
+//! `fixtures/37c5e95_frames.txt` holds frames that two nodes of commit
 //! 37c5e95213a12123977e782109b725d8fe96dbed, which is called production here, sent each
-//! other: a name and the frame in hex on each line. These bytes never change with the
-//! code.
+//! other: a name and the frame in hex on each line. These bytes must never be changed along
+//! with the code.
 
 mod common;
 
-use common::{ExpectedHeader, RecordedFrames, job, open, peer_heartbeat, write};
+use common::{
+    ExpectedHeader, RecordedFrames, encode_frame, job_id, peer_heartbeat_header, split_frame,
+};
 use gladekeel_wire::{
     mesh::{
         FrameHeader, FrameKind, JobProgressEntry, MAX_PAYLOAD, PROTOCOL_LEVEL, PeerHeartbeat,
@@ -20,11 +22,11 @@
 /// The frames that production sent.
 const FRAMES: RecordedFrames = RecordedFrames::new(include_str!("fixtures/37c5e95_frames.txt"));
 
-/// Guards against a header whose fields move, widen or change their meaning: each frame
-/// of production is read to the values that it was sent with, and this version makes
-/// the same bytes of them.
+/// Guards against a header whose fields move, widen or change their meaning: this version decodes
+/// each frame of production to the values that it was sent with, and encodes these values to the
+/// same bytes.
 #[test]
-fn headers_are_production_s() {
+fn frame_headers_match_production() {
     for (name, kind, status, correlation_id, sender) in [
         ("nudge", FrameKind::StoreChanged, 0, 0, 1),
         ("relay", FrameKind::RelayedHeartbeat, 0, 45, 1),
@@ -37,10 +39,10 @@
     }
 }
 
-/// Guards against kinds that are numbered anew, and limits that a production node's
-/// frame would break.
+/// Guards against frame kinds that are renumbered, and against limits that the frames of a
+/// production node would exceed.
 #[test]
-fn kinds_and_limits_of_production_stay() {
+fn frame_kinds_and_size_limits_match_production() {
     for (number, kind) in [
         (1, FrameKind::StoreChanged),
         (2, FrameKind::RelayedHeartbeat),
@@ -51,7 +53,7 @@
         assert_eq!(FrameKind::from_number(number), Some(kind));
         assert_eq!(kind as u16, number);
     }
-    // Production refuses every other number, so what is new has to be above.
+    // Production refuses every other number, so new kinds must have higher numbers.
     assert_eq!(FrameKind::Cancellations as u16, 6);
     assert_eq!(FrameKind::from_number(0), None);
     assert_eq!(FrameKind::from_number(7), None);
@@ -59,48 +61,57 @@
     assert_eq!((FrameHeader::SIZE, size_of::<PeerHeartbeat>()), (24, 12));
 }
 
-/// Guards against peer heartbeats that one of the versions misreads: a leader that is not heard
-/// costs a takeover.
+/// Guards against peer heartbeats that one of the versions misreads: if its heartbeats are not
+/// understood, a healthy leader is replaced by a takeover.
 #[test]
-fn peer_heartbeats_are_read_and_written_as_production_s() {
-    for (name, sender, contact_ms, leads) in [("hello", 0, 250, 2), ("hello-follower", 1, 299, 0)] {
+fn peer_heartbeats_match_production_except_for_the_protocol_level() {
+    for (name, sender, contact_age_ms, leader_token) in
+        [("hello", 0, 250, 2), ("hello-follower", 1, 299, 0)]
+    {
         let bytes = FRAMES.frame(name);
-        let (header, _, payload) = open(&bytes);
-        // No protocol level is announced: nothing that production cannot read may be sent to it.
+        let (header, _, payload) = split_frame(&bytes);
+        // Production announces no protocol level, so that peers send it no frame that it cannot
+        // read.
         assert!(header.status.get() < 1, "{name}");
-        let heartbeat = PeerHeartbeat::read_from_bytes(payload).expect("production's heartbeat");
+        let heartbeat =
+            PeerHeartbeat::read_from_bytes(payload).expect("the payload is a peer heartbeat");
         assert_eq!(
             (heartbeat.store_contact_age_ms.get(), heartbeat.leader_token.get()),
-            (contact_ms, leads),
+            (contact_age_ms, leader_token),
             "{name}"
         );
 
-        let heartbeat =
-            PeerHeartbeat { store_contact_age_ms: contact_ms.into(), leader_token: leads.into() };
-        let ours = write(peer_heartbeat(PROTOCOL_LEVEL, sender), heartbeat.as_bytes());
-        assert_eq!(ours.len(), bytes.len(), "{name}");
-        let differ: Vec<usize> = (0..ours.len()).filter(|at| ours[*at] != bytes[*at]).collect();
-        assert_eq!(differ, [6], "only the status, which production passes over");
-        assert_eq!(ours[6..8], [2, 0], "the level of this version");
+        let heartbeat = PeerHeartbeat {
+            store_contact_age_ms: contact_age_ms.into(),
+            leader_token: leader_token.into(),
+        };
+        let header = peer_heartbeat_header(PROTOCOL_LEVEL, sender);
+        let encoded = encode_frame(header, heartbeat.as_bytes());
+        assert_eq!(encoded.len(), bytes.len(), "{name}");
+        let differing: Vec<usize> =
+            (0..encoded.len()).filter(|at| encoded[*at] != bytes[*at]).collect();
+        assert_eq!(differing, [6], "only the status may differ, which production ignores");
+        assert_eq!(encoded[6..8], [2, 0], "the status is the protocol level of this version");
     }
 }
 
-/// Guards against rows of job progress that shift: the ids follow rows of a fixed size.
+/// Guards against job progress entries that shift against each other: an id of variable length
+/// follows the fixed-size part of each entry.
 #[test]
-fn job_progress_is_read_and_written_as_production_s() {
+fn job_progress_matches_production() {
     let bytes = FRAMES.frame("counts");
-    let (_, _, payload) = open(&bytes);
-    let rows = decode_job_progress(payload).expect("production's counts");
-    let entry = |id, running| JobProgressEntry { id: job(id), done: 0, running };
-    assert_eq!(rows, [entry("job-000412", 3), entry("job-a_b.c-9", 1)]);
-    let ours = encode_job_progress(rows.iter().cloned());
-    assert_eq!(ours, [payload.to_vec()]);
+    let (_, _, payload) = split_frame(&bytes);
+    let entries = decode_job_progress(payload).expect("the payload is job progress");
+    let entry = |id, running| JobProgressEntry { id: job_id(id), done: 0, running };
+    assert_eq!(entries, [entry("job-000412", 3), entry("job-a_b.c-9", 1)]);
+    let encoded = encode_job_progress(entries.iter().cloned());
+    assert_eq!(encoded, [payload.to_vec()]);
 }
 
-/// Guards against heartbeats and responses that one of the versions cannot pass on: a worker
-/// may heartbeat to a node of either, and be led by the other.
+/// Guards against heartbeats and responses that one of the versions cannot relay: a worker may send
+/// its heartbeats to a node of one version while the leader runs the other.
 #[test]
-fn relayed_heartbeats_and_responses_are_read() {
+fn relayed_heartbeats_and_responses_of_production_round_trip() {
     let heartbeat = FRAMES.heartbeat("relay");
     assert_eq!(
         (heartbeat.machine.as_str(), heartbeat.addr.as_str()),
@@ -129,10 +140,10 @@
         .iter()
         .map(|command| match command {
             Command::Start { task, attempt } => (task.to_string(), *attempt),
-            other => panic!("not a start: {other:?}"),
+            other => panic!("expected a start command, got {other:?}"),
         })
         .collect();
     let [.., last] = &expected;
-    let (first, rest) = starts.split_first().expect("four starts");
+    let (first, rest) = starts.split_first().expect("the response has four start commands");
     assert_eq!((first, rest), (last, &expected[..3]));
 }
--- a/crates/gladekeel-wire/tests/frames_fe9a16c.rs
+++ b/crates/gladekeel-wire/tests/frames_fe9a16c.rs
@@ -1,14 +1,16 @@
-//! Frames as version fe9a16c sends them, read by this one and written again.
+//! Compatibility with the frames of version fe9a16c.
 //!
-//! `fixtures/fe9a16c_frames.txt` holds what three nodes of commit
+//! `fixtures/fe9a16c_frames.txt` holds frames that three nodes of commit
 //! fe9a16c011fb47333bb3733953d6dba020195efa sent each other while gangs waited, ran, were
-//! stopped and were cancelled: a name and the frame in hex on each line. While a
-//! deployment is updated both versions run side by side, so these bytes never change with
-//! the code.
+//! stopped and were cancelled: a name and the frame in hex on each line. Both versions run side
+//! by side while a deployment is upgraded, so these bytes must never be changed along with the
+//! code.
 
 mod common;
 
-use common::{ExpectedHeader, RecordedFrames, job, open, peer_heartbeat, write};
+use common::{
+    ExpectedHeader, RecordedFrames, encode_frame, job_id, peer_heartbeat_header, split_frame,
+};
 use gladekeel_wire::{
     mesh::{
         FrameHeader, FrameKind, JobProgressEntry, MAX_PAYLOAD, PROTOCOL_LEVEL, PeerHeartbeat,
@@ -18,14 +20,15 @@
 };
 use zerocopy::{FromBytes, IntoBytes};
 
-/// The token under which fe9a16c led, and the first number of an attempt under it.
+/// The fencing token under which the node of fe9a16c led.
 const TOKEN: u64 = 2;
-const FIRST: u64 = TOKEN << 24;
+/// The lowest attempt number under [`TOKEN`].
+const FIRST_ATTEMPT: u64 = TOKEN << 24;
 
 /// The frames that fe9a16c sent.
 const FRAMES: RecordedFrames = RecordedFrames::new(include_str!("fixtures/fe9a16c_frames.txt"));
 
-fn task(
+fn task_status(
     id: &str,
     attempt: u64,
     state: TaskState,
@@ -37,7 +40,7 @@
 
 /// Guards against a header whose fields move, widen or change their meaning.
 #[test]
-fn headers_are_read_and_written() {
+fn frame_headers_round_trip() {
     for (name, kind, status, correlation_id, sender) in [
         ("nudge", FrameKind::StoreChanged, 0, 0, 0),
         ("relay-waiting", FrameKind::RelayedHeartbeat, 0, 0x83, 2),
@@ -53,10 +56,10 @@
     }
 }
 
-/// Guards against a frame that ends the connection: fe9a16c reads these kinds, up to this
-/// size, and no others.
+/// Guards against frames on which fe9a16c closes the connection: it accepts frames of these kinds
+/// and up to this size, and no others.
 #[test]
-fn kinds_and_sizes_are_those_that_fe9a16c_reads() {
+fn frame_kinds_and_size_limits_match_fe9a16c() {
     let known = [
         (1, FrameKind::StoreChanged),
         (2, FrameKind::RelayedHeartbeat),
@@ -69,96 +72,107 @@
         assert_eq!(FrameKind::from_number(number), Some(kind));
         assert_eq!(kind as u16, number);
     }
-    // A kind that fe9a16c does not know must come with a level above 1, which peers of
-    // fe9a16c never announce.
-    let newer =
+    // A kind that fe9a16c does not know requires a protocol level above 1, which fe9a16c never
+    // announces.
+    let new_kinds =
         (0..=u16::MAX).filter(|n| FrameKind::from_number(*n).is_some()).count() - known.len();
-    assert!(newer == 0 || PROTOCOL_LEVEL > 1, "{newer} kinds are new");
+    assert!(new_kinds == 0 || PROTOCOL_LEVEL > 1, "{new_kinds} new kinds without a new level");
     assert_eq!(MAX_PAYLOAD, 262_144);
     assert_eq!((FrameHeader::SIZE, size_of::<PeerHeartbeat>()), (24, 12));
 }
 
-/// Guards against a level that fe9a16c would take for less than it understands, and
-/// against peer heartbeats that one of the versions misreads.
+/// Guards against a protocol level so low that fe9a16c would not send cancellations to this version,
+/// and against peer heartbeats that one of the versions misreads.
 #[test]
-fn peer_heartbeats_announce_the_level() {
-    for (name, sender, leads) in [("hello-leader", 1, TOKEN), ("hello-follower", 0, 0)] {
+fn peer_heartbeats_announce_the_protocol_level() {
+    for (name, sender, leader_token) in [("hello-leader", 1, TOKEN), ("hello-follower", 0, 0)] {
         let bytes = FRAMES.frame(name);
-        let (header, _, payload) = open(&bytes);
+        let (header, _, payload) = split_frame(&bytes);
         assert_eq!(header.status.get(), 1, "{name}");
-        let heartbeat = PeerHeartbeat::read_from_bytes(payload).expect("a peer heartbeat");
+        let heartbeat =
+            PeerHeartbeat::read_from_bytes(payload).expect("the payload is a peer heartbeat");
         assert_eq!(
             (heartbeat.store_contact_age_ms.get(), heartbeat.leader_token.get()),
-            (199, leads),
+            (199, leader_token),
             "{name}"
         );
         let heartbeat =
-            PeerHeartbeat { store_contact_age_ms: 199.into(), leader_token: leads.into() };
-        assert_eq!(write(peer_heartbeat(1, sender), heartbeat.as_bytes()), bytes, "{name}");
+            PeerHeartbeat { store_contact_age_ms: 199.into(), leader_token: leader_token.into() };
+        let encoded = encode_frame(peer_heartbeat_header(1, sender), heartbeat.as_bytes());
+        assert_eq!(encoded, bytes, "{name}");
     }
-    let ours = PROTOCOL_LEVEL;
-    assert!(ours >= 1, "cancellations go to peers of level 1 and more");
+    let level = PROTOCOL_LEVEL;
+    assert!(level >= 1, "fe9a16c sends cancellations only to peers of level 1 or above");
 }
 
-/// Guards against cancellations that the other version does not find in the frame.
+/// Guards against cancellations that the other version cannot read from the frame.
 #[test]
-fn cancelled_jobs_are_read_and_written() {
+fn cancellations_round_trip() {
     let bytes = FRAMES.frame("cancelled");
-    let (_, _, payload) = open(&bytes);
-    let jobs = decode_job_ids(payload).expect("ids");
-    assert_eq!(jobs, [job("job-g_2")]);
+    let (_, _, payload) = split_frame(&bytes);
+    let jobs = decode_job_ids(payload).expect("the payload is a list of job ids");
+    assert_eq!(jobs, [job_id("job-g_2")]);
     assert_eq!(encode_job_ids(jobs.iter()), payload);
-    // Several of them stand one a line; the fixture has one alone.
-    let two = [job("job-g_2"), job("job-s.4")];
+    // Several ids are separated by newlines; the frame in the fixture holds only one.
+    let two = [job_id("job-g_2"), job_id("job-s.4")];
     assert_eq!(encode_job_ids(two.iter()), b"job-g_2\njob-s.4");
 }
 
-/// Guards against rows of job progress that shift: the ids follow rows of a fixed size.
+/// Guards against job progress entries that shift against each other: an id of variable length
+/// follows the fixed-size part of each entry.
 #[test]
-fn job_progress_is_read_and_written() {
+fn job_progress_round_trips() {
     let bytes = FRAMES.frame("counts");
-    let (_, _, payload) = open(&bytes);
-    let rows = decode_job_progress(payload).expect("counts");
-    let entry = |id, done, running| JobProgressEntry { id: job(id), done, running };
-    assert_eq!(rows, [entry("job-g_2", 0, 2), entry("job-a-3", 0, 4), entry("job-s.4", 0, 2)]);
-    let ours = encode_job_progress(rows.iter().cloned());
-    assert_eq!(ours, [payload.to_vec()]);
+    let (_, _, payload) = split_frame(&bytes);
+    let entries = decode_job_progress(payload).expect("the payload is job progress");
+    let entry = |id, done, running| JobProgressEntry { id: job_id(id), done, running };
+    assert_eq!(entries, [entry("job-g_2", 0, 2), entry("job-a-3", 0, 4), entry("job-s.4", 0, 2)]);
+    let encoded = encode_job_progress(entries.iter().cloned());
+    assert_eq!(encoded, [payload.to_vec()]);
 }
 
-/// Guards against states of a gang's tasks that get lost on the way to a leader of the
-/// other version: one that waits holds its machine, one that saved has its progress.
+/// Guards against states of a gang's tasks that are lost on the way to a leader of the other
+/// version: a waiting task holds resources of its machine, and a task that wrote a checkpoint
+/// keeps its progress.
 #[test]
-fn relayed_heartbeats_of_gangs_are_read_and_written() {
+fn relayed_heartbeats_of_gangs_round_trip() {
     let waiting = FRAMES.heartbeat("relay-waiting");
     assert_eq!((waiting.machine.as_str(), waiting.zone.as_str()), ("n-000002", "b"));
     assert_eq!((waiting.incarnation, waiting.sequence, waiting.token), (1, 11, TOKEN));
-    let attempt = FIRST + 12;
+    let attempt = FIRST_ATTEMPT + 12;
     assert_eq!(
         waiting.tasks,
-        ["job-g_2/0", "job-g_2/1"].map(|id| task(id, attempt, TaskState::Waiting, None, None)),
-        "the tasks of a gang share their number"
+        ["job-g_2/0", "job-g_2/1"].map(|id| task_status(
+            id,
+            attempt,
+            TaskState::Waiting,
+            None,
+            None
+        )),
+        "the tasks of a gang share their attempt number"
     );
 
     let (state, cause, saved) = (TaskState::Exited, Some(ExitCause::Stopped), Some(true));
     assert_eq!(
         FRAMES.heartbeat("relay-stopped").tasks,
         [
-            task("job-g_2/0", FIRST, state, cause, saved),
-            task("job-g_2/1", FIRST, state, cause, saved),
-            task("job-s.4/0", FIRST + 2, TaskState::Running, None, None),
-            task("job-s.4/1", FIRST + 3, TaskState::Running, None, None),
+            task_status("job-g_2/0", FIRST_ATTEMPT, state, cause, saved),
+            task_status("job-g_2/1", FIRST_ATTEMPT, state, cause, saved),
+            task_status("job-s.4/0", FIRST_ATTEMPT + 2, TaskState::Running, None, None),
+            task_status("job-s.4/1", FIRST_ATTEMPT + 3, TaskState::Running, None, None),
         ]
     );
 }
 
-/// Guards against commands to gangs that a node of the other version cannot hand to a
-/// worker: the response is read and written by the node that the worker heartbeats to.
+/// Guards against commands to gangs that a node of the other version cannot relay to a worker: the
+/// node to which the worker sends its heartbeats decodes the leader's response and encodes it
+/// again.
 #[test]
-fn relayed_commands_to_gangs_are_read_and_written() {
+fn relayed_commands_to_gangs_round_trip() {
     let (first, second) = ("job-g_2/0".parse().unwrap(), "job-g_2/1".parse().unwrap());
     let run = FRAMES.response("relayed-run");
     assert_eq!(run.token, TOKEN);
-    let attempt = FIRST + 12;
+    let attempt = FIRST_ATTEMPT + 12;
     let starts =
         [Command::Start { task: first, attempt }, Command::Start { task: second, attempt }];
     assert_eq!(run.commands, starts);
@@ -166,13 +180,13 @@
     let halt = FRAMES.response("relayed-halt");
     let stops = ["job-g_2/0", "job-g_2/1"].map(|id| Command::Stop {
         task: id.parse().unwrap(),
-        attempt: FIRST,
+        attempt: FIRST_ATTEMPT,
         grace_s: 4.0,
     });
     assert_eq!(halt.commands[..2], stops);
     let forgets = [0, 1, 2, 3].map(|n| Command::Forget {
         task: format!("job-a-3/{n}").parse().unwrap(),
-        attempt: FIRST + 4 + n,
+        attempt: FIRST_ATTEMPT + 4 + n,
     });
     assert_eq!(halt.commands[2..], forgets);
 }
--- a/crates/gladekeel-wire/tests/settings.rs
+++ b/crates/gladekeel-wire/tests/settings.rs
@@ -1,8 +1,9 @@
-//! The settings file: a wrong value is named by its field.
+//! Parsing and validation of the settings file.
 
 use gladekeel_wire::settings::{ObjectiveKind, Settings};
 
-const GOOD: &str = r#"
+/// A valid settings file with a field that this version does not know.
+const VALID: &str = r#"
     node = "n-0"
     site = "a"
     bind = "127.0.0.1:80"
@@ -22,9 +23,11 @@
     limits = { cpu_share = 0.2, ram_mb = 200.0, max_connections = 3000 }
 "#;
 
+/// Guards against a controller that starts with settings it cannot work with, and against errors
+/// that do not tell the operator which field of the file is wrong.
 #[test]
-fn wrong_values_are_named() {
-    toml::from_str::<Settings>(GOOD).unwrap().check().unwrap();
+fn invalid_settings_are_rejected_with_the_path_of_the_field() {
+    toml::from_str::<Settings>(VALID).unwrap().check().unwrap();
     for (from, to, field) in [
         ("node = \"n-0\"", "node = \"\"", "node"),
         ("node = \"n-1\"", "node = \"n-0\"", "siblings"),
@@ -39,7 +42,7 @@
         ("list_lag_s = 6.0", "list_lag_s = -1.0", "deployment.cloud.list_lag_s"),
         ("max_connections = 3000", "max_connections = 3", "deployment.limits.max_connections"),
     ] {
-        let text = GOOD.replace(from, to);
+        let text = VALID.replace(from, to);
         let settings: Settings = toml::from_str(&text).unwrap();
         assert_eq!(settings.check().unwrap_err().field, field, "{to}");
     }
@@ -49,12 +52,14 @@
         ("node = \"n-0\"", "node = 7"),
         ("cancel_s = 50.0", "cancelled = 50.0"),
     ] {
-        assert!(toml::from_str::<Settings>(&GOOD.replacen(from, to, 1)).is_err(), "{to}");
+        assert!(toml::from_str::<Settings>(&VALID.replacen(from, to, 1)).is_err(), "{to}");
     }
 }
 
+/// Guards against a settings file that cannot be read because the platform has introduced an
+/// objective that this version does not know.
 #[test]
-fn kinds_of_objectives_are_typed_and_unknown_ones_accepted() {
+fn unknown_objective_kinds_are_accepted_and_known_ones_recognised() {
     for (name, kind) in [
         ("finished", ObjectiveKind::Completion),
         ("wait", ObjectiveKind::Start),
@@ -64,10 +69,12 @@
         ("Wait", ObjectiveKind::Other("Wait".to_owned())),
     ] {
         let objectives = format!("count = 2\nobjectives = [{{ kind = \"{name}\", times = 2.0 }}]");
-        let text = GOOD.replace("count = 2", &objectives);
+        let text = VALID.replace("count = 2", &objectives);
         let settings: Settings = toml::from_str(&text).unwrap();
         settings.check().unwrap();
-        let [objective] = &settings.deployment.objectives[..] else { panic!("one is named") };
+        let [objective] = &settings.deployment.objectives[..] else {
+            panic!("expected a single objective")
+        };
         assert_eq!((&objective.kind, objective.deadline_multiple), (&kind, Some(2.0)));
     }
 }
--- a/crates/gladekeel-wire/tests/upcoming_limits.rs
+++ b/crates/gladekeel-wire/tests/upcoming_limits.rs
@@ -1,8 +1,8 @@
-//! Upcoming limits of the store are kept from the start.
+//! Upcoming limits of the store are observed from the start.
 
 use gladekeel_wire::settings::Settings;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
     node = "n-0"
     site = "a"
     bind = "127.0.0.1:80"
@@ -16,14 +16,16 @@
     limits = { cpu_share = 0.2, ram_mb = 200.0, max_connections = 3000 }
 "#;
 
+/// Guards against a controller that exceeds a limit of the store because the limit was lowered at a
+/// time that was not announced.
 #[test]
-fn upcoming_limits_are_kept_from_the_start() {
-    let settings = |next: &str| {
-        let text = GOOD.replace("txn_ops = 8", &format!("txn_ops = 8{next}"));
+fn lower_upcoming_limits_apply_from_the_start() {
+    let store_limits = |next: &str| {
+        let text = VALID.replace("txn_ops = 8", &format!("txn_ops = 8{next}"));
         toml::from_str::<Settings>(&text).unwrap().deployment.store
     };
-    assert_eq!(settings("").lowest(), settings(""));
-    let kept =
-        settings(", next = { value_kb = 2.0, write_rps = 99.0, txn_ops = 3, x = 1 }").lowest();
-    assert_eq!((kept.value_kb, kept.write_rps, kept.txn_ops, kept.rps), (2.0, 9.0, 3, 9.0));
+    assert_eq!(store_limits("").lowest(), store_limits(""));
+    let lowest =
+        store_limits(", next = { value_kb = 2.0, write_rps = 99.0, txn_ops = 3, x = 1 }").lowest();
+    assert_eq!((lowest.value_kb, lowest.write_rps, lowest.txn_ops, lowest.rps), (2.0, 9.0, 3, 9.0));
 }
--- a/crates/gladekeel-wire/tests/worker.rs
+++ b/crates/gladekeel-wire/tests/worker.rs
@@ -1,7 +1,9 @@
-//! Heartbeats and commands: their JSON is the one of the protocol.
+//! JSON of heartbeats and commands.
 
 use gladekeel_wire::worker::{Command, ExitCause, Heartbeat};
 
+/// Guards against field names that differ from those of the protocol, and against a heartbeat that
+/// is refused because of a field that this version does not know.
 #[test]
 fn heartbeats_and_commands_have_the_json_names_of_the_protocol() {
     let heartbeat: Heartbeat = serde_json::from_str(
