--- a/crates/gladekeel/src/arguments.rs
+++ b/crates/gladekeel/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The arguments of the command line: subcommands, flags and their values.
 
 use clap::{Args, Parser, Subcommand};
 use gladekeel_wire::JobId;
@@ -65,7 +65,7 @@
     },
 }
 
-/// Commands about jobs.
+/// Subcommands of `gladekeel jobs`.
 #[derive(Subcommand)]
 pub enum JobCommand {
     /// Submit a job.
@@ -85,12 +85,12 @@
     },
 }
 
-/// Commands about runtime settings.
+/// Subcommands of `gladekeel settings`.
 #[derive(Subcommand)]
 pub enum SettingsCommand {
     /// Show all settings.
     Get,
-    /// Change settings, all of them or none.
+    /// Change settings: either all changes are applied or none.
     Set {
         /// New values of settings.
         #[arg(required = true, value_name = "NAME=VALUE")]
@@ -98,14 +98,14 @@
     },
 }
 
-/// A new value of a runtime setting, written `NAME=VALUE`.
+/// A new value of a runtime setting, written as `NAME=VALUE`.
 #[derive(Debug, Clone)]
 pub struct SettingAssignment {
     pub name: String,
     pub value: f64,
 }
 
-/// Why a text is not a [`SettingAssignment`].
+/// Why a text cannot be parsed as a [`SettingAssignment`].
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidAssignment {
     #[error("expected NAME=VALUE")]
@@ -124,13 +124,13 @@
     }
 }
 
-/// The name of a machine: characters that need no escaping in a URL path.
+/// The name of a machine, restricted to characters that need no escaping in a URL path.
 #[derive(Debug, Clone)]
 pub struct MachineName(String);
 
-/// A text is not a [`MachineName`].
+/// The error for a text that is not a [`MachineName`].
 #[derive(Debug, thiserror::Error)]
-#[error("a name consists of letters, digits, '-', '_' and '.'")]
+#[error("a machine name consists of one or more letters, digits, '-', '_' and '.'")]
 pub struct InvalidMachineName;
 
 impl FromStr for MachineName {
--- a/crates/gladekeel/src/commands.rs
+++ b/crates/gladekeel/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands: which calls each one makes, and what it prints.
+//! The commands: the calls to the service that each command makes, and the output.
 
 use crate::{
     arguments::{JobCommand, MachineName, ServiceArguments, SettingAssignment, SettingsCommand},
@@ -13,24 +13,24 @@
 };
 use std::path::Path;
 
-/// `gladekeel check`.
+/// Runs `gladekeel check`.
 pub fn check(config: &Path) -> Result<(), CommandError> {
     settings_file::load(config)?;
     println!("settings are fine");
     Ok(())
 }
 
-/// `gladekeel status`.
+/// Runs `gladekeel status`.
 pub fn status(service: &ServiceArguments) -> Result<(), CommandError> {
     service.print(&Call::get("/admin/status"), output::status)
 }
 
-/// `gladekeel machines`.
+/// Runs `gladekeel machines`.
 pub fn machines(service: &ServiceArguments) -> Result<(), CommandError> {
     service.print(&Call::get("/admin/machines"), output::machines)
 }
 
-/// `gladekeel jobs`.
+/// Runs a subcommand of `gladekeel jobs`.
 pub fn jobs(service: &ServiceArguments, command: &JobCommand) -> Result<(), CommandError> {
     match command {
         JobCommand::Submit { file } => submit(service, file),
@@ -44,15 +44,17 @@
     }
 }
 
+/// Validates a job file locally, and submits it unchanged.
 fn submit(service: &ServiceArguments, file: &Path) -> Result<(), CommandError> {
-    let path = || file.to_owned();
-    let body =
-        std::fs::read(file).map_err(|source| CommandError::ReadFile { path: path(), source })?;
-    JobSpec::parse(&body).map_err(|source| CommandError::InvalidJob { path: path(), source })?;
+    let owned_path = || file.to_owned();
+    let body = std::fs::read(file)
+        .map_err(|source| CommandError::ReadFile { path: owned_path(), source })?;
+    JobSpec::parse(&body)
+        .map_err(|source| CommandError::InvalidJob { path: owned_path(), source })?;
     service.print(&Call { method: "POST", path: "/api/jobs", body: &body }, output::job)
 }
 
-/// `gladekeel settings`.
+/// Runs a subcommand of `gladekeel settings`.
 pub fn settings(service: &ServiceArguments, command: &SettingsCommand) -> Result<(), CommandError> {
     match command {
         SettingsCommand::Get => service.print(&Call::get("/admin/settings"), output::settings),
@@ -60,8 +62,8 @@
     }
 }
 
-/// Changes settings under the version that was read, so that a change that somebody else
-/// makes meanwhile is not overwritten.
+/// Changes settings on condition that their version is still the one read before, so that a
+/// concurrent change by another operator is not overwritten.
 fn change_settings(
     service: &ServiceArguments,
     values: &[SettingAssignment],
@@ -73,14 +75,14 @@
     service.print(&Call { method: "PUT", path: "/admin/settings", body: &body }, output::settings)
 }
 
-/// `gladekeel drain`.
+/// Runs `gladekeel drain`.
 pub fn drain(service: &ServiceArguments, machine: &MachineName) -> Result<(), CommandError> {
     let path = format!("/admin/machines/{machine}/drain");
     let call = Call { method: "POST", path: &path, body: b"" };
     service.print(&call, |_: serde_json::Value| format!("{machine}: draining"))
 }
 
-/// `gladekeel undrain`.
+/// Runs `gladekeel undrain`.
 pub fn undrain(service: &ServiceArguments, machine: &MachineName) -> Result<(), CommandError> {
     let path = format!("/admin/machines/{machine}/undrain");
     let call = Call { method: "POST", path: &path, body: b"" };
--- a/crates/gladekeel/src/controller.rs
+++ b/crates/gladekeel/src/controller.rs
@@ -6,14 +6,14 @@
 use tokio::runtime::{Builder, LocalOptions};
 use tracing::Level;
 
-/// Environment variable with the log level: `error`, `warn`, `info` or `debug`.
+/// Environment variable that sets the log level: `error`, `warn`, `info` (the default) or `debug`.
 const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
-/// Runs a controller until the process is killed.
+/// Runs a controller until the process is killed. Returns only if the controller cannot start.
 pub fn run(settings: Settings) -> Result<(), CommandError> {
     start_logging();
-    // A local runtime instead of a `LocalSet`: each wake of a `LocalSet` writes to the
-    // runtime's event socket, which costs two system calls an event.
+    // A local runtime is used instead of a `LocalSet`: each wake-up of a `LocalSet` writes
+    // to the runtime's event socket, which costs two system calls per event.
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build_local(LocalOptions::default())
--- a/crates/gladekeel/src/main.rs
+++ b/crates/gladekeel/src/main.rs
@@ -1,4 +1,4 @@
-//! The gladekeel program: a controller, and the commands that call a running one.
+//! The `gladekeel` program, which runs a controller or a command that calls a running controller.
 
 mod arguments;
 mod commands;
--- a/crates/gladekeel/src/output.rs
+++ b/crates/gladekeel/src/output.rs
@@ -1,4 +1,4 @@
-//! Responses of the service as text for people.
+//! Formatting of the service's responses as human-readable text.
 
 use gladekeel_wire::{
     admin::{MachineStatus, Machines, NodeStatus, Status, TeamStatus},
@@ -15,7 +15,7 @@
     format!("{}: {}{tasks}", status.id, state.as_str().unwrap_or("unknown"))
 }
 
-/// The part of a response that lists runtime settings.
+/// The part of a response that contains the values of the runtime settings.
 #[derive(serde::Deserialize)]
 pub struct SettingValues {
     settings: BTreeMap<String, f64>,
--- a/crates/gladekeel/src/service.rs
+++ b/crates/gladekeel/src/service.rs
@@ -6,10 +6,10 @@
 use serde::de::DeserializeOwned;
 use std::{net::SocketAddr, time::Duration};
 
-/// Maximum time for a response.
-const TIMEOUT: Duration = Duration::from_secs(8);
+/// Timeout of a call, from connecting to the complete response.
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A call to the service.
+/// A request to the service.
 pub struct Call<'a> {
     pub method: &'static str,
     pub path: &'a str,
@@ -28,7 +28,8 @@
         self.parse(&self.send(call)?)
     }
 
-    /// Calls the service and prints the response: the JSON itself, or what `format` makes of it.
+    /// Calls the service and prints the response: with `--json` the JSON unchanged, otherwise the
+    /// text that `format` returns.
     pub fn print<T: DeserializeOwned>(
         &self,
         call: &Call<'_>,
@@ -44,6 +45,7 @@
         Ok(())
     }
 
+    /// Calls the service. A response with a status of 300 or above is an error.
     fn send(&self, call: &Call<'_>) -> Result<ReceivedResponse, CommandError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -51,9 +53,9 @@
             .map_err(CommandError::Runtime)?;
         let client = Client::new(self.server, 0);
         let response = runtime
-            .block_on(client.send(call.method, call.path, call.body, TIMEOUT))
-            .map_err(|error| no_response(self.server, error))?;
-        if response.status < 300 { Ok(response) } else { Err(refused(&response)) }
+            .block_on(client.send(call.method, call.path, call.body, CALL_TIMEOUT))
+            .map_err(|error| transport_error(self.server, error))?;
+        if response.status < 300 { Ok(response) } else { Err(refusal(&response)) }
     }
 
     fn parse<T: DeserializeOwned>(&self, response: &ReceivedResponse) -> Result<T, CommandError> {
@@ -62,14 +64,14 @@
     }
 }
 
-fn no_response(server: SocketAddr, error: ClientError) -> CommandError {
+fn transport_error(server: SocketAddr, error: ClientError) -> CommandError {
     match error {
         ClientError::NotSent(source) => CommandError::Unreachable { server, source },
         ClientError::NoAnswer(source) => CommandError::NoResponse { server, source },
     }
 }
 
-fn refused(response: &ReceivedResponse) -> CommandError {
+fn refusal(response: &ReceivedResponse) -> CommandError {
     let message = match serde_json::from_slice::<ErrorBody>(&response.body) {
         Ok(body) => body.error,
         Err(_) => String::from_utf8_lossy(&response.body).into_owned(),
--- a/crates/gladekeel/src/settings_file.rs
+++ b/crates/gladekeel/src/settings_file.rs
@@ -6,10 +6,10 @@
     path::{Path, PathBuf},
 };
 
-/// Why a settings file cannot be used. The message is one line.
+/// Why a settings file cannot be used. The error message is a single line.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsFileError {
-    #[error("{}: {source}", .path.display())]
+    #[error("cannot read {}: {source}", .path.display())]
     Read { path: PathBuf, source: io::Error },
     #[error("{}{location}: {message}", .path.display())]
     Parse { path: PathBuf, location: Location, message: String },
@@ -17,7 +17,7 @@
     Invalid { path: PathBuf, source: InvalidSetting },
 }
 
-/// The line of a syntax error or of a value of the wrong type.
+/// The line number of a syntax error or of a value of the wrong type, if the line is known.
 #[derive(Debug)]
 pub struct Location(Option<usize>);
 
@@ -39,6 +39,7 @@
     Ok(settings)
 }
 
+/// Describes a parse error with its line number and the text of that line.
 fn parse_error(path: &Path, text: &str, error: &toml::de::Error) -> SettingsFileError {
     let line = error.span().map(|span| text[..span.start].matches('\n').count() + 1);
     let source_line = line.and_then(|line| text.lines().nth(line - 1)).unwrap_or("").trim();
