--- a/crates/gladekeel-http/src/client/pool.rs
+++ b/crates/gladekeel-http/src/client/pool.rs
@@ -42,6 +42,7 @@
         self.by_sequence.len()
     }
 
+    /// Removes and returns the idle connection to an address, if there is one.
     fn take(&mut self, addr: &SocketAddr) -> Option<TcpStream> {
         let IdleConnection { sequence, stream } = self.streams.remove(addr)?;
         self.by_sequence.remove(&sequence);
--- a/crates/gladekeel-http/src/connection.rs
+++ b/crates/gladekeel-http/src/connection.rs
@@ -106,7 +106,7 @@
         if !self.buf.is_empty() {
             return Ok(true);
         }
-        // Idle connections hold no buffer, since there may be thousands of them.
+        // Idle connections hold no buffer, because a server may have thousands of idle connections.
         self.buf = BytesMut::new();
         let limits = self.slot.limits();
         let limit =
--- a/crates/gladekeel-http/tests/loopback.rs
+++ b/crates/gladekeel-http/tests/loopback.rs
@@ -131,6 +131,8 @@
     });
 }
 
+/// A client that is refused must receive the response, not a connection reset, so that the client
+/// knows when to retry.
 #[test]
 fn a_connection_beyond_the_limit_gets_503_with_retry_after() {
     run(async {
--- a/crates/gladekeel-store/src/replica.rs
+++ b/crates/gladekeel-store/src/replica.rs
@@ -26,7 +26,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// A replica of the store's keys at one revision.
+/// A replica of the store's keys, and the revision up to which all changes have been applied.
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
     /// The revision to watch from; `None` until a snapshot is complete.
@@ -44,7 +44,7 @@
 struct Snapshot {
     /// The revision of the first page.
     first_revision: u64,
-    /// The last key that was read; `None` as long as all pages were empty.
+    /// The last key that was read; `None` if all pages so far were empty.
     last_key: Option<String>,
     entries: Entries,
 }
--- a/crates/gladekeel/src/controller.rs
+++ b/crates/gladekeel/src/controller.rs
@@ -12,8 +12,8 @@
 /// Runs a controller until the process is killed. Returns only if the controller cannot start.
 pub fn run(settings: Settings) -> Result<(), CommandError> {
     start_logging();
-    // A local runtime is used instead of a `LocalSet`: each wake-up of a `LocalSet` writes
-    // to the runtime's event socket, which costs two system calls per event.
+    // A local runtime is used instead of a `LocalSet`: each wake-up of a `LocalSet` writes to the
+    // runtime's event socket, which costs two system calls per event.
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build_local(LocalOptions::default())
