--- a/crates/gladekeel/src/service.rs
+++ b/crates/gladekeel/src/service.rs
@@ -1,15 +1,15 @@
 //! Calls to a running service.
 
 use crate::{arguments::ServiceArguments, error::CommandError};
-use gladekeel_http::{Client, ClientError, Reply};
+use gladekeel_http::{Client, ClientError, ReceivedResponse};
 use gladekeel_wire::job::ErrorBody;
 use serde::de::DeserializeOwned;
 use std::{net::SocketAddr, time::Duration};
 
-/// Maximum time for a response.
-const TIMEOUT: Duration = Duration::from_secs(8);
+/// Timeout of a call, from connecting to the complete response.
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A call to the service.
+/// A request to the service.
 pub struct Call<'a> {
     pub method: &'static str,
     pub path: &'a str,
@@ -28,51 +28,53 @@
         self.parse(&self.send(call)?)
     }
 
-    /// Calls the service and prints the response: the JSON itself, or what `format` makes of it.
+    /// Calls the service and prints the response: with `--json` the JSON unchanged, otherwise the
+    /// text that `format` returns.
     pub fn print<T: DeserializeOwned>(
         &self,
         call: &Call<'_>,
         format: impl FnOnce(T) -> String,
     ) -> Result<(), CommandError> {
-        let reply = self.send(call)?;
+        let response = self.send(call)?;
         let text = if self.json {
-            String::from_utf8_lossy(&reply.body).into_owned()
+            String::from_utf8_lossy(&response.body).into_owned()
         } else {
-            format(self.parse(&reply)?)
+            format(self.parse(&response)?)
         };
         println!("{}", text.trim_end());
         Ok(())
     }
 
-    fn send(&self, call: &Call<'_>) -> Result<Reply, CommandError> {
+    /// Calls the service. A response with a status of 300 or above is an error.
+    fn send(&self, call: &Call<'_>) -> Result<ReceivedResponse, CommandError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .map_err(CommandError::Runtime)?;
         let client = Client::new(self.server, 0);
-        let reply = runtime
-            .block_on(client.send(call.method, call.path, call.body, TIMEOUT))
-            .map_err(|error| no_response(self.server, error))?;
-        if reply.status < 300 { Ok(reply) } else { Err(refused(&reply)) }
+        let response = runtime
+            .block_on(client.send(call.method, call.path, call.body, CALL_TIMEOUT))
+            .map_err(|error| transport_error(self.server, error))?;
+        if response.status < 300 { Ok(response) } else { Err(refusal(&response)) }
     }
 
-    fn parse<T: DeserializeOwned>(&self, reply: &Reply) -> Result<T, CommandError> {
-        serde_json::from_slice(&reply.body)
+    fn parse<T: DeserializeOwned>(&self, response: &ReceivedResponse) -> Result<T, CommandError> {
+        serde_json::from_slice(&response.body)
             .map_err(|source| CommandError::UnreadableResponse { server: self.server, source })
     }
 }
 
-fn no_response(server: SocketAddr, error: ClientError) -> CommandError {
+fn transport_error(server: SocketAddr, error: ClientError) -> CommandError {
     match error {
         ClientError::NotSent(source) => CommandError::Unreachable { server, source },
         ClientError::NoAnswer(source) => CommandError::NoResponse { server, source },
     }
 }
 
-fn refused(reply: &Reply) -> CommandError {
-    let message = match serde_json::from_slice::<ErrorBody>(&reply.body) {
+fn refusal(response: &ReceivedResponse) -> CommandError {
+    let message = match serde_json::from_slice::<ErrorBody>(&response.body) {
         Ok(body) => body.error,
-        Err(_) => String::from_utf8_lossy(&reply.body).into_owned(),
+        Err(_) => String::from_utf8_lossy(&response.body).into_owned(),
     };
-    CommandError::Refused { status: reply.status, message: message.trim().to_owned() }
+    CommandError::Refused { status: response.status, message: message.trim().to_owned() }
 }
