--- a/crates/gladekeel-sched/src/autoscaling.rs
+++ b/crates/gladekeel-sched/src/autoscaling.rs
@@ -10,8 +10,8 @@
 //! counts as due at the time when a new machine could have completed it. In addition:
 //!
 //! - work that has yet to arrive counts to the extent that it will be due by the same time;
-//! - while there is enough work, as many machines are requested as were busy recently, so that
-//!   lost machines are replaced before work is late;
+//! - as long as there is work for them, as many machines are requested as were busy recently, so
+//!   that lost machines are replaced before work is late;
 //! - a pending gang needs its machines at once, in addition to those that run other tasks.
 
 /// The demand of a job for machines of one type.
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Returns how many of the recently busy machines are missing now and have work to do; zero or
-    /// negative if none is missing.
+    /// Returns how many of the recently busy machines are missing although there is work for them;
+    /// zero or negative if none is missing.
     fn lost_machines(&self, input: &ScalingInput<'_>) -> f64 {
         let with_work = self.smoothed_busy.min(input.running() + input.pending());
         with_work - input.supply.up - input.supply.booting.len() as f64
--- a/crates/gladekeel-sched/src/cycle/binder.rs
+++ b/crates/gladekeel-sched/src/cycle/binder.rs
@@ -32,7 +32,7 @@
         Binder { cycle, candidates, bindings: Vec::new() }
     }
 
-    /// Returns the bindings and how many machines were examined to find them.
+    /// Returns the bindings and how many times a machine or pool was examined to find them.
     pub fn finish(self) -> (Vec<Binding>, u64) {
         (self.bindings, self.candidates.examined())
     }
--- a/crates/gladekeel-sched/src/fair_share.rs
+++ b/crates/gladekeel-sched/src/fair_share.rs
@@ -11,7 +11,7 @@
 //! - if the sum of V exceeds the capacity, jobs get their V, smallest first, until the capacity is
 //!   used up;
 //! - otherwise each job gets capacity in proportion to its V;
-//! - each of N jobs gets at least a floor of S/N − ε of the capacity S, unless its V is less.
+//! - each of N jobs gets at least a floor of (1 − ε) × S/N of the capacity S, unless its V is less.
 //!
 //! [`SchedulingCycle::task_allocations`](crate::cycle::SchedulingCycle::task_allocations) applies
 //! the rule to the jobs of each priority and rounds the result to whole tasks.
--- a/crates/gladekeel-sched/src/lib.rs
+++ b/crates/gladekeel-sched/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`snapshot`] describes the machines, jobs and teams that a decision is based on;
 //! - [`fair_share`] divides the cluster between jobs;
 //! - [`cycle`] binds pending tasks to machines;
-//! - [`preemption`] chooses running tasks to stop in favour of jobs with a better claim;
+//! - [`preemption`] chooses running tasks to stop in favour of jobs that take precedence;
 //! - [`straggler`] finds running tasks that are slow enough to restart;
 //! - [`autoscaling`] plans how many machines there should be.
 //!
--- a/crates/gladekeel-sched/src/preemption.rs
+++ b/crates/gladekeel-sched/src/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption: decides which running tasks are stopped in favour of pending ones with a better
-//! claim.
+//! Preemption: decides which running tasks are stopped in favour of pending ones that take
+//! precedence.
 //!
 //! The leader calls this module after a [`SchedulingCycle`] has run, for jobs that still have
 //! pending tasks and have waited long enough. The caller passes only tasks that may be stopped.
--- a/crates/gladekeel-sched/src/snapshot.rs
+++ b/crates/gladekeel-sched/src/snapshot.rs
@@ -65,7 +65,7 @@
 /// A team's guarantee, limit and usage. Quotas apply to CPUs and GPUs; memory is not counted.
 #[derive(Debug, Clone, Copy)]
 pub struct TeamQuota {
-    /// Resources that the team is guaranteed: other teams cannot keep the team from using them.
+    /// Resources that the team is guaranteed; other teams must not keep it from using them.
     pub guaranteed: Resources,
     /// Maximum resources that the team may use.
     pub limit: Resources,
@@ -106,9 +106,9 @@
     pub task_request: Resources,
     /// Number of tasks that have not completed.
     pub remaining: u32,
-    /// Number of `remaining` tasks that are to be placed; the others count as assigned.
+    /// How many of the `remaining` tasks are to be placed; the others count as assigned.
     pub pending: u32,
-    /// Number of `pending` tasks that are speculative restarts.
+    /// How many of the `pending` tasks are speculative restarts.
     pub speculative_restarts: u32,
     /// Container image of the job.
     pub image: ImageIdx,
--- a/crates/gladekeel-sched/tests/preemption.rs
+++ b/crates/gladekeel-sched/tests/preemption.rs
@@ -11,8 +11,9 @@
 
 use PreemptionScope::{AllTasks, CheckpointingTasks};
 
-/// Guards against preemption without a better claim: tasks of the same priority may be stopped only
-/// if their team has borrowed beyond its guarantee and the job's team stays within its own.
+/// Guards against preemption for a job that does not take precedence: tasks of the same priority
+/// may be stopped only if their team has borrowed beyond its guarantee and the job's team stays
+/// within its own.
 #[test]
 fn only_tasks_of_lower_priority_or_on_borrowed_resources_are_preempted() {
     let mut machines = vec![machine(0, false); 2];
@@ -44,9 +45,9 @@
     assert_eq!(
         preempt(job(0, 16.0, 9), AllTasks),
         [2, 1],
-        "no more tasks than team 1 has borrowed for"
+        "only tasks of team 1, although more tasks are pending"
     );
-    // A team that exceeds its own guarantee may not reclaim resources from other teams.
+    // A team that would exceed its own guarantee may not reclaim resources from other teams.
     assert!(preempt(job(0, 48.0, 1), AllTasks).is_empty());
     let high_priority = |team| SchedulableJob { priority: 2, ..job(team, 16.0, 1) };
     assert_eq!(
--- a/crates/gladekeel-sched/tests/scheduling_cycle.rs
+++ b/crates/gladekeel-sched/tests/scheduling_cycle.rs
@@ -18,7 +18,7 @@
 }
 
 /// Guards against a small job that waits behind a large one, and against a large job that gets no
-/// capacity while smaller jobs are served: it keeps its floor, and here all of the rest.
+/// capacity while smaller jobs run: the large job keeps its floor, and here gets all of the rest.
 #[test]
 fn when_capacity_is_scarce_the_smallest_job_runs_whole_and_the_other_gets_the_rest() {
     let jobs = vec![job(0, 4.0, 40), job(0, 4.0, 4)];
