--- a/crates/gladekeel-controller/src/leader/attempt_numbers.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_numbers.rs
@@ -14,7 +14,7 @@
 }
 
 impl AttemptNumbers {
-    /// Returns all attempt numbers of a token, none of which is in use yet.
+    /// Returns all attempt numbers of a token.
     pub fn of_token(token: u64) -> AttemptNumbers {
         AttemptNumbers { next: token * ATTEMPTS_PER_TOKEN, end: (token + 1) * ATTEMPTS_PER_TOKEN }
     }
--- a/crates/gladekeel-controller/src/leader/attempt_table.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_table.rs
@@ -206,7 +206,7 @@
         change.apply_if(categories.unfinished, &mut of_job.unfinished);
     }
 
-    /// Changes the number of attempts on a machine that were not seen running yet.
+    /// Changes the number of attempts on a machine that were not seen running or exited yet.
     fn count_not_yet_running(&mut self, machine: MachineIdx, image: ImageIdx, change: Change) {
         let images = self.not_yet_running.entry(machine).or_default();
         let attempts = images.entry(image).or_default();
--- a/crates/gladekeel-controller/src/leader/autoscaling/machine_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/machine_pool.rs
@@ -5,9 +5,9 @@
 /// How a machine is paid for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(in crate::leader) enum PurchaseModel {
-    /// At the spot price; the cloud may terminate it.
+    /// At the spot price; the cloud may terminate the machine.
     Spot,
-    /// At the list price, until it is deleted.
+    /// At the list price, until the machine is deleted.
     OnDemand,
 }
 
--- a/crates/gladekeel-controller/src/leader/autoscaling/mod.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/mod.rs
@@ -1,10 +1,10 @@
-//! Autoscaling: decides how many machines of each type there should be, sends the requests that
+//! Autoscaling: decides how many machines of each type there should be, issues the requests that
 //! rent and delete machines, and accounts for their costs.
 //!
 //! The leader calls [`Leader::autoscale`] at each maintenance interval. For each machine type it
 //! compares the [demand] of jobs with the [supply] of machines, makes a [plan], and then scales
 //! [out](scale_out) or [in](scale_in). Both only record which machines to rent or delete;
-//! [`cloud_requests`] sends the requests as the cloud's limits allow.
+//! [`cloud_requests`] issues the requests as the cloud's limits allow.
 
 mod arrivals;
 pub(in crate::leader) mod cloud_requests;
--- a/crates/gladekeel-controller/src/leader/autoscaling/supply.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/supply.rs
@@ -7,10 +7,10 @@
 /// A machine that is not up after this multiple of its type's boot time plus [`BOOT_GRACE_S`] no
 /// longer counts as supply.
 const BOOT_GRACE_FACTOR: f64 = 1.6;
-/// See [`BOOT_GRACE_FACTOR`].
+/// Seconds that a machine may take to boot beyond [`BOOT_GRACE_FACTOR`] times the boot time.
 const BOOT_GRACE_S: f64 = 5.0;
-/// Expected remaining boot time of a machine that should already be up, in seconds.
-const OVERDUE_BOOT_REMAINING_S: f64 = 5.0;
+/// Minimum expected remaining boot time in seconds, also of a machine that should already be up.
+const MIN_BOOT_REMAINING_S: f64 = 5.0;
 
 /// The supply of machines of one type.
 #[derive(Debug, Default)]
@@ -51,7 +51,7 @@
                 } else if !machine.has_booted()
                     && age_s <= boot_s * BOOT_GRACE_FACTOR + BOOT_GRACE_S
                 {
-                    supply.booting.push((boot_s - age_s).max(OVERDUE_BOOT_REMAINING_S));
+                    supply.booting.push((boot_s - age_s).max(MIN_BOOT_REMAINING_S));
                 }
             }
         }
--- a/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -3,8 +3,8 @@
 //! Such a gang would start late if all of its machines had to be freed first, and its image
 //! fetched. Therefore some on-demand machines in each zone are reserved for gangs; how many depends
 //! on the gangs that arrived recently. [`Leader::maintain_warm_pool`] chooses the machines and sets
-//! [`Machine::warm_pool`]. Scheduling reserves these machines for gangs until an array has waited
-//! for too long, and scale-in does not delete them.
+//! [`Machine::warm_pool`]. Scheduling reserves these machines for gangs until an array or service
+//! has waited for too long, and scale-in does not delete them.
 //!
 //! [`Machine::warm_pool`]: crate::leader::Machine::warm_pool
 
--- a/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
@@ -47,8 +47,8 @@
 }
 
 impl Leader {
-    /// Requests machines in zones in which waiting tasks must run and the free capacity does not
-    /// suffice for these tasks.
+    /// Requests machines in zones where waiting tasks must run but the free capacity does not
+    /// suffice for them.
     pub(super) fn scale_out_for_zone_demand(&mut self, now: f64) {
         let demand = self.zone_demand(now);
         if demand.any.is_empty() && demand.on_demand_only.is_empty() {
--- a/crates/gladekeel-controller/src/leader/counters.rs
+++ b/crates/gladekeel-controller/src/leader/counters.rs
@@ -19,7 +19,7 @@
     pub deleted: u64,
     /// Scheduling cycles that were due, including cycles without pending tasks.
     pub scheduling_cycles: u64,
-    /// Machines examined by scheduling cycles; a machine counts each time it is examined.
+    /// Machines and pools examined by scheduling cycles; each counts every time it is examined.
     pub machines_examined: u64,
     /// Attempts looked up; an attempt counts each time it is looked up.
     pub attempt_lookups: u64,
--- a/crates/gladekeel-controller/src/leader/job/mod.rs
+++ b/crates/gladekeel-controller/src/leader/job/mod.rs
@@ -30,8 +30,8 @@
 /// A stopped task gets this multiple of its expected checkpoint write time to save its progress, so
 /// that a slower write is not cut off.
 const CHECKPOINT_WRITE_FACTOR: f64 = 1.5;
-/// Seconds that a stopped task gets on top of that multiple, for checkpoints that take almost no
-/// time to write.
+/// Seconds that a stopped task gets on top of [`CHECKPOINT_WRITE_FACTOR`] times the expected write
+/// time, for checkpoints that take almost no time to write.
 const CHECKPOINT_WRITE_MARGIN_S: f64 = 1.0;
 
 /// A job in the store, from its submission until its records are removed.
--- a/crates/gladekeel-controller/src/leader/job/objectives.rs
+++ b/crates/gladekeel-controller/src/leader/job/objectives.rs
@@ -6,8 +6,8 @@
     settings::{Deployment, Objective, ObjectiveKind},
 };
 
-/// A job without a deadline and a completion objective should be complete within this multiple of
-/// its tasks' run time.
+/// A job with neither a deadline nor a completion objective should be complete within this multiple
+/// of its tasks' run time.
 const DEFAULT_COMPLETION_MULTIPLE: f64 = 4.0;
 /// An image fetch is too long if it takes more than this fraction of the start objective.
 const MAX_FETCH_FRACTION: f64 = 0.6;
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -9,8 +9,8 @@
 
 /// A job that has waited for longer than this without a task on any machine is scheduled first.
 pub(super) const OVERDUE_AFTER_S: f64 = 60.0;
-/// An array that has waited for longer than this without a task on any machine may use the warm
-/// pool.
+/// Once an array or service has waited for longer than this without a task on any machine, all jobs
+/// may use the warm pool.
 const STARVED_AFTER_S: f64 = 75.0;
 
 /// The input of a scheduling cycle, which refers to jobs and machines by position, together with
@@ -63,13 +63,13 @@
         input
     }
 
-    /// Adds the machines in `scope` to the input. Every machine that is seen and not leaving counts
-    /// in the total capacity, whatever the scope.
+    /// Adds the machines in `scope` to the input. Every machine that was seen, is not leaving and
+    /// has a known type and zone counts in the total capacity, whatever the scope.
     fn add_machines(&self, input: &mut CycleInput, now: f64, scope: MachineScope) {
         let unreachable_zones: BTreeSet<ZoneIdx> =
             self.failure_detector.unreachable_zones(now).collect();
-        // The warm pool is open to arrays once any of them is starved, before their wait becomes
-        // too long.
+        // The warm pool is open to all jobs once an array or service is starved, so that its wait
+        // does not become too long.
         let warm_pool_reserved = !self.is_any_array_starved(now);
         for (machine_idx, machine) in &self.cluster.machines {
             let (Some(machine_type), Some(zone)) = (machine.machine_type, machine.zone) else {
@@ -162,7 +162,7 @@
 
 /// Whether a job must not be scheduled now. After a takeover the zone of a machine may not be
 /// known yet; a job that constrains the zones of its tasks relative to one another is held until
-/// the zones of all its tasks are known.
+/// the zones of all its attempts are known.
 fn is_held(job: &Job, now: f64) -> bool {
     let zones_matter = job.spec.single_zone || job.spec.spread;
     job.backoff.is_active(now) || (zones_matter && job.zone_placement.has_unknown_zone())
--- a/crates/gladekeel-controller/src/leader/scheduling/stragglers.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/stragglers.rs
@@ -22,8 +22,8 @@
 }
 
 impl StragglerScan {
-    /// Returns the next batch of machines and advances the cursor past the batch, or resets the
-    /// cursor to the first machine after the last batch.
+    /// Returns the next batch of machines and advances the cursor past it. After the last batch,
+    /// the cursor returns to the first machine.
     fn next_batch(&mut self, machines: &BTreeMap<MachineIdx, Machine>) -> Vec<MachineIdx> {
         let batch_len = machines.len() / CALLS_PER_SCAN + 1;
         let mut rest = machines.range(self.cursor..).map(|(machine_idx, _)| *machine_idx);
