--- a/crates/gladekeel-testkit/src/simulation/heartbeats.rs
+++ b/crates/gladekeel-testkit/src/simulation/heartbeats.rs
@@ -9,15 +9,15 @@
 use rand::Rng;
 use std::ops::Range;
 
-/// Least time between two heartbeats of a worker on which something changes.
+/// Minimum time between two heartbeats of a worker whose state has changed.
 const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.5;
-/// Time between heartbeats as a share of the interval, so that workers do not keep in step.
+/// Time between heartbeats as a share of the interval, so that workers do not send in lockstep.
 const HEARTBEAT_JITTER: Range<f64> = 0.75..1.25;
-/// Pause before a worker tries the node to which it was redirected.
+/// How long a worker waits before it contacts the node to which it was redirected.
 const REDIRECT_PAUSE_S: f64 = 0.2;
-/// Pause before a worker tries the next node after a failure.
+/// How long a worker waits before it contacts the next node after a failure.
 const RETRY_PAUSE_S: f64 = 1.0;
-/// How long after a hung machine resumes its delayed heartbeat is sent.
+/// Time between the moment a hung machine resumes and the sending of its delayed heartbeat.
 const DELAYED_HEARTBEAT_S: Range<f64> = 0.0..3.0;
 
 /// A heartbeat that awaits its response.
@@ -30,7 +30,8 @@
 }
 
 impl Simulation {
-    /// Sends a heartbeat if it is due; returns when the next one is.
+    /// Sends a heartbeat of a worker if one is due. Returns the time at which the next heartbeat is
+    /// due.
     pub(super) fn send_due_heartbeat(&mut self, name: &str, heartbeat_at: f64) -> f64 {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return heartbeat_at };
@@ -42,13 +43,15 @@
         worker.changed = false;
         let heartbeat = worker.heartbeat(now);
         worker.in_flight = Some(heartbeat.sequence);
-        let next = now + self.heartbeat_interval_s * self.rng.random_range(HEARTBEAT_JITTER);
+        let next_heartbeat_at =
+            now + self.heartbeat_interval_s * self.rng.random_range(HEARTBEAT_JITTER);
         self.send_heartbeat(name.to_owned(), &heartbeat);
-        next
+        next_heartbeat_at
     }
 
-    /// The heartbeat that a machine was about to send when it hung is sent when it resumes,
-    /// before newer ones or after them. Its response is too late to count.
+    /// Sends the heartbeat that a machine was about to send when it hung, after the machine has
+    /// resumed; newer heartbeats may arrive first. The response comes after the response timeout
+    /// and is ignored. A heartbeat whose response could still be in time is dropped.
     pub(super) fn send_delayed_heartbeat(&mut self, name: &str) {
         let worker = self.workers.get_mut(name);
         let Some(worker) = worker.filter(|w| !w.hung && !w.outbound_partitioned) else { return };
@@ -61,7 +64,7 @@
         self.send_stale_heartbeat(from, node, &delayed.heartbeat, after_s);
     }
 
-    /// Sends a copy of a heartbeat later; nobody waits for the response.
+    /// Sends a heartbeat after `after_s` seconds; the response is ignored.
     fn send_stale_heartbeat(
         &mut self,
         from: Endpoint,
@@ -100,7 +103,7 @@
         });
     }
 
-    /// A worker cannot open a connection and tries the next node.
+    /// Switches a worker that cannot connect to a node to the next node.
     fn fail_to_connect(&mut self, name: String, node: usize) {
         let nodes = self.nodes.len();
         self.after(RETRY_PAUSE_S, move |sim| {
@@ -155,13 +158,13 @@
         }
     }
 
-    /// A worker goes to the node to which it was redirected, or else to the next one.
+    /// Switches a worker to the node to which the reply redirects it, otherwise to the next node.
     fn follow_redirect(&mut self, in_flight: &HeartbeatInFlight, reply: Option<&Reply>) {
-        let named = reply
+        let target = reply
             .filter(|reply| reply.status == 421)
             .and_then(|reply| serde_json::from_slice::<Redirect>(&reply.body).ok()?.report_to)
             .and_then(|name| self.nodes.iter().position(|node| node.settings.node == name));
-        let redirected_to = named.filter(|named| *named != in_flight.node);
+        let redirected_to = target.filter(|target| *target != in_flight.node);
         let nodes = self.nodes.len();
         let Some(worker) = self.workers.get_mut(&in_flight.worker) else { return };
         worker.node = redirected_to.unwrap_or((in_flight.node + 1) % nodes);
--- a/crates/gladekeel-testkit/src/simulation/machines.rs
+++ b/crates/gladekeel-testkit/src/simulation/machines.rs
@@ -1,4 +1,4 @@
-//! Machines: how they come and go, hang and resume, and what happens on them.
+//! Machines: how they boot, hang, resume and are removed, and the events of their workers.
 
 use super::Simulation;
 use crate::stand_ins::{
@@ -9,13 +9,15 @@
 use rand::Rng;
 
 impl Simulation {
-    /// Boots a rented machine, unless it is one that never boots.
+    /// Starts the worker of a rented machine once the machine has booted. Does nothing if the
+    /// machine never boots.
     pub(super) fn boot(&mut self, name: String) {
         let Some(rented) = self.cloud.machines.get(&name).cloned() else { return };
         let Some(up_at) = rented.up_at else { return };
         self.after(up_at - self.now, move |sim| sim.start_worker(name, rented));
     }
 
+    /// Starts the worker of a machine that has booted, unless the machine is gone by then.
     fn start_worker(&mut self, name: String, rented: RentedMachine) {
         let present = self.cloud.machines.get(&name).is_some_and(|m| m.gone_at.is_none());
         let machine_type = self.cloud.types.iter().find(|t| t.name == rented.machine_type);
@@ -38,20 +40,20 @@
         self.step_worker(name, 0.0);
     }
 
-    /// How many workers send their heartbeats to the leader itself.
+    /// Returns the number of workers that send their heartbeats to the leader.
     pub fn workers_at_leader(&self) -> usize {
-        let leading = self.leader_node();
-        self.workers.values().filter(|worker| Some(worker.node) == leading).count()
+        let leader = self.leader_node();
+        self.workers.values().filter(|worker| Some(worker.node) == leader).count()
     }
 
-    /// A machine is gone with everything on it.
+    /// Removes a machine and kills its tasks.
     pub fn remove_worker(&mut self, name: &str) {
         let Some(mut worker) = self.workers.remove(name) else { return };
         let events = worker.kill_all();
         self.record_events(&worker.machine, events);
     }
 
-    /// A machine is back from a restart at once.
+    /// Reboots a machine within an instant.
     pub fn reboot(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -60,7 +62,8 @@
         self.record_events(&machine, events);
     }
 
-    /// The cloud takes a machine back, with a notice or without.
+    /// Reclaims a machine for the cloud: announces the termination and removes the machine
+    /// `notice_s` seconds later, or removes it at once if `notice_s` is 0.
     pub fn reclaim_machine(&mut self, name: String, notice_s: f64) {
         if let Some(worker) = self.workers.get_mut(&name)
             && notice_s > 0.0
@@ -74,7 +77,7 @@
         });
     }
 
-    /// Machines hang for a while.
+    /// Makes machines hang for `duration_s` seconds.
     pub fn hang(&mut self, names: Vec<String>, duration_s: f64) {
         self.mark_fault_active(duration_s);
         let set_hung = move |sim: &mut Simulation, hung: bool| {
@@ -89,7 +92,8 @@
         self.after(duration_s, move |sim| set_hung(sim, false));
     }
 
-    /// Lets time pass on a machine, and sends its next heartbeat when that is due.
+    /// Advances a machine to the present, sends a heartbeat if one is due, and schedules the next
+    /// step.
     pub(super) fn step_worker(&mut self, name: String, heartbeat_at: f64) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&name) else { return };
@@ -103,7 +107,8 @@
         self.after(self.worker_step_s, move |sim| sim.step_worker(name, next_heartbeat_at));
     }
 
-    /// Lets all gangs go on. Only scheduled in simulations that have one.
+    /// Advances all gangs to the present and schedules the next step. Only runs in simulations that
+    /// have a gang.
     pub(super) fn step_gangs(&mut self) {
         for (name, event) in self.gangs.step(self.now, &mut self.workers) {
             let Some(worker) = self.workers.get(&name) else { continue };
@@ -113,7 +118,7 @@
         self.after(self.worker_step_s, Simulation::step_gangs);
     }
 
-    /// Tells the invariant checker what happened on a machine.
+    /// Passes the events of a machine's worker to the invariant checker.
     pub(super) fn record_events(&mut self, machine: &MachineIdentity, events: Vec<WorkerEvent>) {
         for event in events {
             match event {
--- a/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
+++ b/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
@@ -1,4 +1,4 @@
-//! Malformed and repeated requests, each with the one status that it must get.
+//! Malformed and repeated requests, each with the one status that its response must have.
 
 use super::{Endpoint, Simulation, requests::HttpRequest};
 use crate::{invariants::Invariant, scenario::example_job};
@@ -7,10 +7,10 @@
     job::{JobSpec, JobState},
 };
 
-/// How long the sender waits for an answer.
+/// How long the sender waits for a response.
 const TIMEOUT_S: f64 = 5.0;
 
-/// Fields that no submission may lack.
+/// JSON fields without which a submission is refused.
 const REQUIRED_FIELDS: [&str; 17] = [
     "name_id",
     "rig",
@@ -31,20 +31,20 @@
     "stow_s",
 ];
 
-/// A submission that lacks a field, another one each time.
-fn job_without_field(turn: usize) -> Vec<u8> {
-    let job = example_job(&format!("job-7{turn:05}"));
+/// Returns a submission that lacks one required field; `round` selects the field.
+fn job_without_field(round: usize) -> Vec<u8> {
+    let job = example_job(&format!("job-7{round:05}"));
     let mut value = serde_json::to_value(&job).unwrap_or_default();
     if let Some(object) = value.as_object_mut() {
-        object.remove(REQUIRED_FIELDS[turn % REQUIRED_FIELDS.len()]);
+        object.remove(REQUIRED_FIELDS[round % REQUIRED_FIELDS.len()]);
     }
     value.to_string().into_bytes()
 }
 
-/// A job that can never run, for another reason each time.
-fn impossible_job(turn: usize) -> JobSpec {
-    let mut job = example_job(&format!("job-8{turn:05}"));
-    match turn % 4 {
+/// Returns a job that can never run; `round` selects the reason.
+fn impossible_job(round: usize) -> JobSpec {
+    let mut job = example_job(&format!("job-8{round:05}"));
+    match round % 4 {
         0 => job.cpus = 33.0,
         1 => job.machine_types = Some(vec!["none".into()]),
         2 => job.zone = Some("nowhere".into()),
@@ -54,49 +54,52 @@
 }
 
 impl Simulation {
-    /// Sends malformed and repeated requests, one of each kind a second: a repeat of an
-    /// unfinished job, a cancellation of a done one, jobs that lack a field or fit no machine.
+    /// Sends malformed and repeated requests, one of each kind a second, up to the time `until`: a
+    /// resubmission of an unfinished job, a cancellation of a done job, a submission that lacks a
+    /// field, and a job that can never run, which is also queried.
     pub fn send_malformed_requests(&mut self, until: f64) {
         if self.now >= until {
             return;
         }
         self.malformed_requests += 1;
-        let turn = self.malformed_requests as usize;
-        let unfinished = self.nth_job(turn, |state| !state.is_final());
-        let done = self.nth_job(turn, |state| state == JobState::Done);
+        let round = self.malformed_requests as usize;
+        let unfinished = self.select_job(round, |state| !state.is_final());
+        let done = self.select_job(round, |state| state == JobState::Done);
         if let Some(id) = unfinished {
             self.resubmit(id);
         }
         if let Some(id) = done {
             self.cancel(id);
         }
-        self.expect_refusal(job_without_field(turn), 400);
-        let impossible = impossible_job(turn);
+        self.expect_refusal(job_without_field(round), 400);
+        let impossible = impossible_job(round);
         self.poll_once(impossible.id.clone());
         self.expect_refusal(serde_json::to_vec(&impossible).unwrap_or_default(), 422);
         self.after(1.0, move |sim| sim.send_malformed_requests(until));
     }
 
-    /// One of the submitted jobs whose user knows it to be in such a state, another each time.
-    fn nth_job(&self, turn: usize, is_wanted: fn(JobState) -> bool) -> Option<JobId> {
+    /// Returns a submitted job whose last observed state satisfies `is_wanted`; `round` selects
+    /// the job. Returns `None` if there is no such job.
+    fn select_job(&self, round: usize, is_wanted: fn(JobState) -> bool) -> Option<JobId> {
         let jobs = self.submitted_jobs.iter();
         let jobs: Vec<&JobId> =
             jobs.filter(|id| self.invariants.last_state(id).is_some_and(is_wanted)).collect();
-        jobs.get(turn % jobs.len().max(1)).copied().cloned()
+        jobs.get(round % jobs.len().max(1)).copied().cloned()
     }
 
-    /// Sends a submission that has to be refused with this status, or be put off.
-    fn expect_refusal(&mut self, body: Vec<u8>, wanted: u16) {
-        let Some(node) = self.any_node() else { return };
+    /// Sends a submission that must be refused with the status `expected`, unless it is deferred,
+    /// rate limited, or gets no response.
+    fn expect_refusal(&mut self, body: Vec<u8>, expected: u16) {
+        let Some(node) = self.pick_running_node() else { return };
         let text = String::from_utf8_lossy(&body).into_owned();
         let request = HttpRequest::post("/api/jobs", body);
         self.request(Endpoint::Users, node, request, TIMEOUT_S, move |sim, reply| {
-            let got = reply.map_or(0, |reply| reply.status);
-            sim.invariants.check_status(sim.now, wanted, got, &text);
+            let status = reply.map_or(0, |reply| reply.status);
+            sim.invariants.check_status(sim.now, expected, status, &text);
         });
     }
 
-    /// Sends bytes that are no request to a node, on every path.
+    /// Sends bodies that are not a valid request to a node, on several paths.
     pub fn send_invalid_bytes(&mut self, node: usize) {
         let bodies: [&[u8]; 5] = [b"", b"{", b"[1,2]", b"\xff\xfe\x00", b"{\"name_id\":7}"];
         for path in ["/api/jobs", "/checkin", "/api/jobs/job-%/cancel", "/api/jobs//", "/"] {
@@ -110,14 +113,14 @@
         }
     }
 
-    /// Sends a request to a node, whose answer must have this status.
+    /// Sends a request to a node; the response must have the status `expected`.
     pub fn expect_status(
         &mut self,
         node: usize,
         method: &'static str,
         path: String,
         body: Vec<u8>,
-        status: u16,
+        expected: u16,
     ) {
         let description = format!("{method} {path}");
         self.request(
@@ -126,10 +129,11 @@
             HttpRequest { method, path, body },
             TIMEOUT_S,
             move |sim, reply| {
-                let got = reply.as_ref().map_or(0, |reply| reply.status);
-                if got != status {
+                let status = reply.as_ref().map_or(0, |reply| reply.status);
+                if status != expected {
                     let body = reply.map(|reply| String::from_utf8_lossy(&reply.body).into_owned());
-                    let details = format!("{description}: {got} {body:?}, not {status}");
+                    let details =
+                        format!("{description}: status {status} {body:?}, expected {expected}");
                     sim.invariants.report(Invariant::ScenarioResponse, details);
                 }
             },
--- a/crates/gladekeel-testkit/src/simulation/message_faults.rs
+++ b/crates/gladekeel-testkit/src/simulation/message_faults.rs
@@ -1,6 +1,6 @@
-//! Faults of single messages: a response that is lost although its request was executed, a
-//! direct command that is delayed, a heartbeat that arrives once more when the next leader
-//! begins.
+//! Faults that affect single messages: a response that is lost although its request was executed,
+//! a direct command that is delayed, and a heartbeat that is replayed when the next leader takes
+//! over.
 
 use super::{Endpoint, RESPONSE_TIMEOUT_S, Simulation, requests::HttpRequest};
 use gladekeel_controller::leader::{WorkerOutcome, WorkerRequest};
@@ -8,47 +8,49 @@
 use rand::Rng;
 use std::ops::Range;
 
-/// How late a delayed direct command is executed.
+/// Time between the sending of a delayed direct command and its execution.
 const COMMAND_DELAY_S: Range<f64> = 2.0..16.0;
-/// How long after a leader begins the retained heartbeats reach the nodes.
+/// Time between a takeover and the replay of the retained heartbeats.
 const RETAINED_HEARTBEAT_DELAY_S: Range<f64> = 0.0..1.0;
 
-/// A copy of a heartbeat that is sent when the next leader begins.
+/// A copy of a heartbeat that is sent when the next leader takes over.
 #[derive(Debug)]
 struct RetainedHeartbeat {
     from: Endpoint,
     request: HttpRequest,
 }
 
-/// Shares of messages that meet a fault, and how many did.
+/// Shares of the messages that faults affect, and the number of messages affected so far.
 #[derive(Debug, Default)]
 pub struct MessageFaults {
     /// Share of the transactions that are committed at once and whose response is lost.
     pub dropped_commit_response_share: f64,
-    /// Share of the direct commands that get no response and are executed once, later, if
-    /// token and incarnation still match then.
+    /// Share of the direct commands that get no response and are executed once, later, if the
+    /// worker still accepts their token and incarnation by then.
     pub delayed_command_share: f64,
-    /// Share of the heartbeats of which a copy reaches every node when the next leader begins.
+    /// Share of the heartbeats of which a copy is sent to every node when the next leader takes
+    /// over.
     pub replayed_heartbeat_share: f64,
-    /// Transactions whose response was lost.
+    /// Number of committed transactions whose response was lost.
     pub commit_responses_dropped: u64,
-    /// Delayed direct commands that were executed.
+    /// Number of delayed direct commands that were executed.
     pub commands_delayed: u64,
-    /// Delayed direct commands of an old token or for an earlier incarnation.
+    /// Number of delayed direct commands that were refused: their token was old, or they were for
+    /// an earlier incarnation.
     pub commands_refused: u64,
-    /// Copies of heartbeats that were sent when a leader began.
+    /// Number of copies of heartbeats that were sent when a leader took over.
     pub heartbeats_replayed: u64,
     retained_heartbeats: Vec<RetainedHeartbeat>,
 }
 
 impl Simulation {
-    /// Draws whether what occurs in this share of all cases occurs now.
+    /// Returns true with probability `share`. Draws no random number if `share` is 0.
     pub(super) fn occurs(&mut self, share: f64) -> bool {
         share > 0.0 && self.rng.random::<f64>() < share
     }
 
-    /// Executes a direct command much later, without a response. A machine that hangs by then
-    /// executes it when it resumes.
+    /// Executes direct commands later, without a response. A machine that hangs by then executes
+    /// the commands when it resumes; with an inbound partition, the commands are lost.
     pub(super) fn delay_command(&mut self, request: WorkerRequest) {
         let delay_s = self.rng.random_range(COMMAND_DELAY_S);
         self.after(delay_s, move |sim| {
@@ -69,7 +71,8 @@
         });
     }
 
-    /// Retains a copy of a heartbeat for the next leader, if it is one of that share.
+    /// Retains a copy of a heartbeat, with probability `replayed_heartbeat_share`, to be replayed
+    /// when the next leader takes over.
     pub(super) fn maybe_retain_heartbeat(&mut self, from: Endpoint, heartbeat: &Heartbeat) {
         if self.occurs(self.message_faults.replayed_heartbeat_share) {
             let request = HttpRequest::heartbeat(heartbeat);
@@ -77,7 +80,8 @@
         }
     }
 
-    /// A new leader begins: the retained heartbeats arrive at every node, as old as they are.
+    /// Sends the retained heartbeats, unchanged, to every node. Called when a new leader takes
+    /// over.
     pub(super) fn replay_retained_heartbeats(&mut self) {
         for RetainedHeartbeat { from, request } in
             std::mem::take(&mut self.message_faults.retained_heartbeats)
--- a/crates/gladekeel-testkit/src/simulation/mod.rs
+++ b/crates/gladekeel-testkit/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! The simulation: events in virtual time between nodes, fakes and users, over a network that
-//! delays, loses and holds back messages. What each participant does is in a module of its own.
+//! The simulation: nodes, fakes and users exchange messages in virtual time, over a network that
+//! delays, loses and buffers messages. Each kind of participant has a module of its own.
 
 mod decision_trace;
 mod heartbeats;
@@ -34,34 +34,34 @@
 use rand::{SeedableRng, rngs::StdRng};
 use std::collections::BTreeMap;
 
-/// What happens at a point in time.
+/// An event that is scheduled for a point in virtual time.
 type ScheduledEvent = Box<dyn FnOnce(&mut Simulation)>;
-/// What the sender of a request does with the reply, or without one.
+/// Handles the reply to a request, or `None` if the sender received no reply.
 type ResponseHandler = Box<dyn FnOnce(&mut Simulation, Option<Reply>)>;
 
-/// Microseconds of a second.
-const MICROSECONDS: f64 = 1e6;
-/// Time between ticks of a node and steps of a worker.
+/// Microseconds per second.
+const MICROSECONDS_PER_S: f64 = 1e6;
+/// Time between the ticks of a node, and by default between the steps of a worker.
 const STEP_S: f64 = 0.1;
-/// Time that a worker waits for the response to a heartbeat.
+/// How long a worker waits for the response to a heartbeat.
 const RESPONSE_TIMEOUT_S: f64 = 4.0;
 
-/// A node and its host: the node may be restarted or paused.
+/// A host and the node on it. The node may crash, restart or be paused.
 struct SimulatedNode {
-    /// The running node; none while it is down.
+    /// The running node; `None` while the node is down.
     process: Option<Node>,
     settings: Settings,
-    /// Counts the starts, so that what was meant for an earlier process is dropped.
+    /// Number of times the node was started. Events for an earlier process of the node are dropped.
     incarnation: u64,
     started_at: f64,
-    /// The process is paused until then, while its clock runs on.
+    /// Time until which the process is paused, while its clock runs on.
     paused_until: f64,
     pending_requests: BTreeMap<RequestId, ResponseHandler>,
     next_request: RequestId,
 }
 
 impl SimulatedNode {
-    /// A node that has not been started.
+    /// Returns a host whose node has not been started.
     fn new(settings: Settings) -> SimulatedNode {
         SimulatedNode {
             process: None,
@@ -75,61 +75,64 @@
     }
 }
 
-/// A cluster with everything around it.
+/// A simulated cluster: nodes, store, cloud, workers and users, and the network between them.
 pub struct Simulation {
-    /// Seconds since the beginning.
+    /// Virtual time in seconds since the start of the simulation.
     pub now: f64,
-    /// Events by microsecond, in the order of their scheduling.
+    /// Scheduled events by time in microseconds, then by the order in which they were scheduled.
     queue: BTreeMap<(u64, u64), ScheduledEvent>,
     scheduled_events: u64,
     rng: StdRng,
     nodes: Vec<SimulatedNode>,
-    /// The store.
+    /// The fake store.
     pub store: FakeStore,
-    /// While set, the store executes requests and does not answer.
+    /// While set, the store executes requests, and its responses are lost.
     pub store_responses_dropped: bool,
-    /// The leader ends once so many more of its transactions have been made, before it
-    /// learns of the last one, and comes back after so many seconds.
+    /// Crashes the leader when this many more of its transactions have been committed, before the
+    /// leader receives the last response. The second value is the downtime in seconds. `None` if
+    /// no crash is scheduled.
     pub crash_after_commits: Option<(u32, f64)>,
-    /// Share of the transactions that get no answer and are executed 2 to 12 s later.
+    /// Share of the transactions that get no response and are executed 2 to 12 s later.
     pub delayed_commit_share: f64,
-    /// By which factor requests to the store and their answers take longer.
+    /// Factor by which requests to the store and their responses take longer.
     pub store_slowdown: f64,
-    /// By which factor every message takes longer.
+    /// Factor by which every message takes longer.
     pub network_slowdown: f64,
-    /// Share of the jobs that are cancelled at the moment at which their last task ends.
+    /// Share of the jobs that users cancel, query and submit again as their last task completes.
     pub cancel_at_completion_share: f64,
-    /// Faults of single messages.
+    /// Faults that affect single messages.
     pub message_faults: MessageFaults,
-    /// Queries of all nodes right after a client learned something new.
+    /// The probe that queries all nodes as soon as a response reports a new state.
     pub read_your_writes: ReadYourWritesProbe,
-    /// The cloud.
+    /// The fake cloud.
     pub cloud: FakeCloud,
-    /// Workers that are up.
+    /// Workers of the machines that are up, by machine name.
     pub workers: BTreeMap<String, FakeWorker>,
-    /// What the tasks of gangs do together.
+    /// The gangs, whose tasks start, stop and fail together.
     pub gangs: GangRuntime,
     /// How long a task waits for the others of its gang.
     pub gang_wait_s: f64,
-    gangs_stepping: bool,
-    /// Checks the invariants.
+    /// Whether steps of the gangs are scheduled; true once a gang has been submitted.
+    gang_steps_scheduled: bool,
+    /// The checker of the invariants.
     pub invariants: InvariantChecker,
     partitions: Vec<ActivePartition>,
     /// Share of the requests to store and cloud that arrive a second time, later.
     pub duplicated_request_share: f64,
-    /// Share of the heartbeats that arrive again, at any node, up to three leases later.
+    /// Share of the heartbeats that arrive a second time, at any node, up to three lease durations
+    /// later.
     pub duplicated_heartbeat_share: f64,
-    /// Time between steps of a worker.
+    /// Time between the steps of a worker, and of the gangs, in seconds.
     pub worker_step_s: f64,
-    /// Seeded fault: every task is started on a second machine as well.
+    /// Seeded fault: every task is also started on a second machine.
     pub start_tasks_twice: bool,
-    /// Token and node of every leader seen.
+    /// Token and node of every leader so far.
     pub leaders: Vec<(u64, usize)>,
-    /// Submissions that users gave up before they were accepted.
+    /// Number of submissions that users stopped retrying before a node accepted them.
     pub abandoned_submissions: u64,
     /// Jobs that users have submitted.
     pub submitted_jobs: Vec<JobId>,
-    /// Malformed requests sent so far: each is another one.
+    /// Number of rounds of malformed requests so far; each round sends different requests.
     malformed_requests: u64,
     lease_s: f64,
     heartbeat_interval_s: f64,
@@ -137,7 +140,7 @@
 }
 
 impl Simulation {
-    /// A cluster whose nodes have these settings, just started.
+    /// Creates a cluster with a node for each of these settings, and starts the nodes.
     pub fn new(
         settings: Vec<Settings>,
         store: FakeStore,
@@ -164,7 +167,7 @@
             workers: BTreeMap::new(),
             gangs: GangRuntime::new(4.0),
             gang_wait_s: 30.0,
-            gangs_stepping: false,
+            gang_steps_scheduled: false,
             lease_s: params.workers.lease_s,
             heartbeat_interval_s: params.workers.heartbeat_interval_s,
             invariants: InvariantChecker::new(params),
@@ -187,24 +190,24 @@
         sim
     }
 
-    /// Schedules an event.
+    /// Schedules an event for `seconds` from now.
     pub fn after(&mut self, seconds: f64, event: impl FnOnce(&mut Simulation) + 'static) {
-        let at = ((self.now + seconds.max(0.0)) * MICROSECONDS) as u64;
+        let at = ((self.now + seconds.max(0.0)) * MICROSECONDS_PER_S) as u64;
         self.scheduled_events += 1;
         self.queue.insert((at, self.scheduled_events), Box::new(event));
     }
 
-    /// The digest of all that the nodes have sent so far.
+    /// Returns the digest of everything that the nodes have sent so far.
     pub fn trace_digest(&self) -> TraceDigest {
         self.trace.digest()
     }
 
-    /// Runs until a time.
+    /// Runs all events up to the time `until`, checking the invariants after each event.
     pub fn run(&mut self, until: f64) {
-        while let Some(((at, count), event)) = self.queue.pop_first() {
-            let at_s = at as f64 / MICROSECONDS;
+        while let Some(((at, sequence), event)) = self.queue.pop_first() {
+            let at_s = at as f64 / MICROSECONDS_PER_S;
             if at_s > until {
-                self.queue.insert((at, count), event);
+                self.queue.insert((at, sequence), event);
                 break;
             }
             self.now = self.now.max(at_s);
--- a/crates/gladekeel-testkit/src/simulation/network.rs
+++ b/crates/gladekeel-testkit/src/simulation/network.rs
@@ -1,50 +1,51 @@
-//! The network: delays, partitions, and messages that are held back.
+//! The network: message delays, and partitions that lose or buffer messages.
 
 use super::Simulation;
 use rand::Rng;
 
-/// A participant of a connection.
+/// An end of a connection.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Endpoint {
-    /// A node.
+    /// The node with this index.
     Node(usize),
     /// The store.
     Store,
     /// The cloud.
     Cloud,
-    /// A worker in this zone.
+    /// Any worker in this zone.
     Worker(String),
-    /// Users and their load balancer.
+    /// The users and their load balancer.
     Users,
 }
 
-/// What a cut separates.
+/// The endpoints that a partition separates.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Partition {
-    /// A node from one kind of participant, or from all.
+    /// The node with this index from the endpoints in a scope.
     Node(usize, PartitionScope),
-    /// Two zones from one another.
+    /// The nodes and workers in one zone from those in another.
     Zones(String, String),
 }
 
-/// From whom a node is cut off.
+/// The endpoints from which a partition separates a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PartitionScope {
-    /// Everything.
+    /// All endpoints.
     All,
-    /// Workers.
+    /// The workers.
     Workers,
     /// The store.
     Store,
     /// The cloud.
     Cloud,
-    /// Other nodes.
+    /// The other nodes.
     Peers,
-    /// Users.
+    /// The users.
     Users,
 }
 
-/// A cut that lasts until a time; with `buffered`, messages arrive then.
+/// A partition that lasts until a time. With `buffered`, messages arrive when the partition ends;
+/// otherwise they are lost.
 #[derive(Debug, Clone)]
 pub(super) struct ActivePartition {
     partition: Partition,
@@ -52,7 +53,7 @@
     buffered: bool,
 }
 
-/// What becomes of a message.
+/// How partitions affect the delivery of a message.
 enum Delivery {
     Unaffected,
     Lost,
@@ -60,17 +61,19 @@
 }
 
 impl Simulation {
-    fn zone_of(&self, end: &Endpoint) -> Option<String> {
-        match end {
+    /// Returns the zone of a node or worker; `None` for all other endpoints.
+    fn zone_of(&self, endpoint: &Endpoint) -> Option<String> {
+        match endpoint {
             Endpoint::Node(node) => Some(self.nodes[*node].settings.zone.clone()),
             Endpoint::Worker(zone) => Some(zone.clone()),
             _ => None,
         }
     }
 
+    /// Returns how the first active partition between `a` and `b` affects a message.
     fn delivery(&self, a: &Endpoint, b: &Endpoint) -> Delivery {
         for active in self.partitions.iter().filter(|active| self.now < active.until) {
-            let hit = match &active.partition {
+            let separated = match &active.partition {
                 Partition::Node(node, from) => {
                     let other = match (a, b) {
                         (Endpoint::Node(n), other) | (other, Endpoint::Node(n)) if n == node => {
@@ -89,11 +92,11 @@
                 }
                 Partition::Zones(x, y) => {
                     let (a, b) = (self.zone_of(a), self.zone_of(b));
-                    let is = |p: &Option<String>, q: &str| p.as_deref() == Some(q);
-                    (is(&a, x) && is(&b, y)) || (is(&a, y) && is(&b, x))
+                    let is_in = |zone: &Option<String>, name: &str| zone.as_deref() == Some(name);
+                    (is_in(&a, x) && is_in(&b, y)) || (is_in(&a, y) && is_in(&b, x))
                 }
             };
-            if hit {
+            if separated {
                 return if active.buffered {
                     Delivery::BufferedUntil(active.until)
                 } else {
@@ -104,33 +107,38 @@
         Delivery::Unaffected
     }
 
-    /// Cuts connections for a while; with `buffered`, messages arrive afterwards.
+    /// Begins a partition for `duration_s` seconds. With `buffered`, messages arrive when the
+    /// partition ends; otherwise they are lost.
     pub fn partition(&mut self, partition: Partition, duration_s: f64, buffered: bool) {
         self.mark_fault_active(duration_s);
         self.partitions.push(ActivePartition { partition, until: self.now + duration_s, buffered });
     }
 
-    /// Notes that a fault is active for so long: liveness is not checked meanwhile.
+    /// Records that a fault is active for the next `duration_s` seconds. Liveness is not checked
+    /// during this time.
     pub fn mark_fault_active(&mut self, duration_s: f64) {
         self.invariants.faults_cleared_at =
             self.invariants.faults_cleared_at.max(self.now + duration_s);
     }
 
-    pub(super) fn delay(&mut self) -> f64 {
+    /// Draws the network delay of a message in seconds.
+    pub(super) fn draw_delay_s(&mut self) -> f64 {
         let slow = self.rng.random::<f64>() < 0.01;
         self.network_slowdown * (self.rng.random_range(0.001..0.01) + if slow { 0.3 } else { 0.0 })
     }
 
+    /// Calls `receive` when a message has crossed the network, unless a partition loses the
+    /// message.
     pub(super) fn deliver(
         &mut self,
         from: &Endpoint,
         to: &Endpoint,
         receive: impl FnOnce(&mut Simulation) + 'static,
     ) {
-        let delay = self.delay();
+        let delay_s = self.draw_delay_s();
         match self.delivery(from, to) {
-            Delivery::Unaffected => self.after(delay, receive),
-            Delivery::BufferedUntil(until) => self.after(until - self.now + delay, receive),
+            Delivery::Unaffected => self.after(delay_s, receive),
+            Delivery::BufferedUntil(until) => self.after(until - self.now + delay_s, receive),
             Delivery::Lost => {}
         }
     }
--- a/crates/gladekeel-testkit/src/simulation/nodes.rs
+++ b/crates/gladekeel-testkit/src/simulation/nodes.rs
@@ -1,4 +1,5 @@
-//! Nodes: their starts, crashes and pauses, their clocks, the events and actions between them.
+//! Nodes: how they start, crash and pause, which events they handle, and how their actions are
+//! executed.
 
 use super::{Endpoint, ResponseHandler, STEP_S, SimulatedNode, Simulation};
 use gladekeel_controller::node::{Action, Event, Node};
@@ -6,7 +7,7 @@
 use rand::Rng;
 
 impl Simulation {
-    /// Starts a node.
+    /// Starts a node, with a clock that begins at 0.
     pub fn start(&mut self, node: usize) {
         let seed = self.rng.random();
         let host = &mut self.nodes[node];
@@ -19,24 +20,25 @@
         self.tick(node, incarnation);
     }
 
-    /// Pauses a node; what reaches it meanwhile waits.
+    /// Pauses the process of a node. Events that reach the node while it is paused are handled
+    /// when the pause ends.
     pub fn pause(&mut self, node: usize, duration_s: f64) {
         self.mark_fault_active(duration_s);
         self.nodes[node].paused_until = self.now + duration_s;
     }
 
-    /// Crashes a node.
+    /// Crashes a node. The senders of its pending requests get no response.
     pub fn crash(&mut self, node: usize) {
         let host = &mut self.nodes[node];
         host.process = None;
-        let unanswered: Vec<ResponseHandler> =
+        let pending: Vec<ResponseHandler> =
             std::mem::take(&mut host.pending_requests).into_values().collect();
-        for handler in unanswered {
+        for handler in pending {
             handler(self, None);
         }
     }
 
-    /// Crashes a node and starts it again after a while.
+    /// Crashes a node and starts it again after `after_s` seconds.
     pub fn restart(&mut self, node: usize, after_s: f64) {
         self.crash(node);
         self.mark_fault_active(after_s);
@@ -47,34 +49,37 @@
         });
     }
 
-    /// The node that leads: of those that believe so, the one with the highest token.
+    /// Returns the leader: of the nodes that consider themselves leader, the one with the highest
+    /// token. Returns `None` if there is none.
     pub fn leader_node(&self) -> Option<usize> {
-        let leads =
+        let token =
             |host: &SimulatedNode| host.process.as_ref().and_then(|n| n.leader()).map(|l| l.token);
         (0..self.nodes.len())
-            .filter_map(|node| Some((leads(&self.nodes[node])?, node)))
+            .filter_map(|node| Some((token(&self.nodes[node])?, node)))
             .max()
             .map(|(_, node)| node)
     }
 
-    /// The leader's counters.
+    /// Returns the counters of the leader; `None` without a leader.
     pub fn leader_counters(&self) -> Option<gladekeel_controller::leader::LeaderCounters> {
         let node = self.leader_node()?;
         Some(self.nodes[node].process.as_ref()?.leader()?.counters().clone())
     }
 
-    /// Segments of the assignment log in use.
+    /// Returns the number of segments of the assignment log in use; 0 without a leader.
     pub fn log_segments(&self) -> usize {
         let node = self.leader_node().and_then(|node| self.nodes[node].process.as_ref());
         node.and_then(|node| node.leader()).map_or(0, |leader| leader.log_segments())
     }
 
-    /// Age of the oldest open job, as the leader knows it.
+    /// Returns the age in seconds of the oldest open job that the leader knows; `None` without a
+    /// leader.
     pub fn oldest_job_s(&self) -> Option<f64> {
         let host = &self.nodes[self.leader_node()?];
         host.process.as_ref()?.leader()?.oldest_job_s(self.now - host.started_at)
     }
 
+    /// Passes a tick to a node, records a new leader, and schedules the next tick.
     fn tick(&mut self, node: usize, incarnation: u64) {
         if self.nodes[node].incarnation != incarnation || self.nodes[node].process.is_none() {
             return;
@@ -83,19 +88,21 @@
         if paused_s > 0.0 {
             return self.after(paused_s, move |sim| sim.tick(node, incarnation));
         }
-        self.event(node, incarnation, Event::Tick);
+        self.handle_event(node, incarnation, Event::Tick);
         if let Some(leader) = self.nodes[node].process.as_ref().and_then(|n| n.leader()) {
-            let seen = (leader.token, node);
-            self.invariants.on_leadership(self.now, seen.0, leader.since());
-            if !self.leaders.contains(&seen) {
-                self.leaders.push(seen);
+            let leadership = (leader.token, node);
+            self.invariants.on_leadership(self.now, leadership.0, leader.since());
+            if !self.leaders.contains(&leadership) {
+                self.leaders.push(leadership);
                 self.replay_retained_heartbeats();
             }
         }
         self.after(STEP_S, move |sim| sim.tick(node, incarnation));
     }
 
-    pub(super) fn event(&mut self, node: usize, incarnation: u64, event: Event) {
+    /// Passes an event to a node and executes the resulting actions. The event is deferred while the
+    /// node is paused, and dropped if it is for an earlier incarnation of the node.
+    pub(super) fn handle_event(&mut self, node: usize, incarnation: u64, event: Event) {
         let now = self.now;
         let host = &mut self.nodes[node];
         if host.incarnation != incarnation {
@@ -103,16 +110,17 @@
         }
         let paused_s = host.paused_until - now;
         if paused_s > 0.0 {
-            return self.after(paused_s, move |sim| sim.event(node, incarnation, event));
+            return self.after(paused_s, move |sim| sim.handle_event(node, incarnation, event));
         }
         let started_at = host.started_at;
-        let Some(running) = &mut host.process else { return };
-        for action in running.handle(now - started_at, event) {
-            self.act(node, incarnation, action);
+        let Some(process) = &mut host.process else { return };
+        for action in process.handle(now - started_at, event) {
+            self.execute_action(node, incarnation, action);
         }
     }
 
-    fn act(&mut self, node: usize, incarnation: u64, action: Action) {
+    /// Records an action of a node in the decision trace and executes the action.
+    fn execute_action(&mut self, node: usize, incarnation: u64, action: Action) {
         self.trace.record(self.now, node, &action);
         match action {
             Action::Reply { id, reply } => {
@@ -135,10 +143,11 @@
                 let Some(to) = to else { return };
                 self.deliver(&Endpoint::Node(node), &Endpoint::Node(to), move |sim| {
                     let (head, payload) = frame.split_at(FrameHeader::SIZE);
-                    let read = head.try_into().ok().and_then(|head| FrameHeader::read(&head).ok());
-                    let Some((header, kind)) = read else { return };
+                    let parsed =
+                        head.try_into().ok().and_then(|head| FrameHeader::read(&head).ok());
+                    let Some((header, kind)) = parsed else { return };
                     let incarnation = sim.nodes[to].incarnation;
-                    sim.event(
+                    sim.handle_event(
                         to,
                         incarnation,
                         Event::Peer { header, kind, payload: payload.to_vec() },
@@ -148,7 +157,7 @@
         }
     }
 
-    /// The number of nodes.
+    /// Returns the number of nodes, those that are down included.
     pub fn nodes(&self) -> usize {
         self.nodes.len()
     }
--- a/crates/gladekeel-testkit/src/simulation/pending_jobs.rs
+++ b/crates/gladekeel-testkit/src/simulation/pending_jobs.rs
@@ -1,15 +1,17 @@
-//! Collects the free capacity, for the check that no job stays pending next to it.
+//! Collects the free capacity of healthy machines, for the check that no job stays pending although
+//! a machine could take it.
 
 use super::Simulation;
 use crate::invariants::FreeCapacity;
 use gladekeel_wire::worker::TaskState;
 use std::collections::BTreeSet;
 
-/// Time between two checks for starving jobs.
+/// Time between two checks for jobs that stay pending.
 const CHECK_INTERVAL_S: f64 = 5.0;
 
 impl Simulation {
-    /// Checks for starving jobs, now and then.
+    /// Checks for jobs that stay pending although a machine could take them, and schedules the next
+    /// check.
     pub(super) fn check_pending_jobs(&mut self) {
         let (now, lease_s) = (self.now, self.lease_s);
         let mut active = BTreeSet::new();
--- a/crates/gladekeel-testkit/src/simulation/requests.rs
+++ b/crates/gladekeel-testkit/src/simulation/requests.rs
@@ -1,11 +1,11 @@
-//! HTTP requests to a node, and how long their senders wait.
+//! HTTP requests to a node, and the timeouts of their senders.
 
 use super::{Endpoint, ResponseHandler, Simulation};
 use gladekeel_controller::{http_api::Reply, node::Event};
 use gladekeel_wire::{JobId, job::JobSpec, worker::Heartbeat};
 use std::{cell::RefCell, rc::Rc};
 
-/// A request to a node.
+/// An HTTP request to a node.
 #[derive(Debug, Clone)]
 pub(super) struct HttpRequest {
     pub method: &'static str,
@@ -39,8 +39,8 @@
     }
 }
 
-/// A response handler that is called once: with the response or at the timeout, whichever
-/// comes first.
+/// A response handler that is called once: with the response, or without one at the timeout,
+/// whichever comes first.
 #[derive(Clone)]
 struct SharedHandler(Rc<RefCell<Option<ResponseHandler>>>);
 
@@ -58,8 +58,8 @@
 }
 
 impl Simulation {
-    /// Sends a request to a node. The handler gets the reply, or nothing when the timeout has
-    /// passed or the node is not running.
+    /// Sends a request to a node. The handler gets the reply, or `None` if the request times out or
+    /// the node is not running.
     pub(super) fn request(
         &mut self,
         from: Endpoint,
@@ -77,6 +77,7 @@
         });
     }
 
+    /// Passes a request to a node and sends the node's reply to `reply_to`.
     fn receive_request(
         &mut self,
         node: usize,
@@ -97,6 +98,6 @@
         receiver.pending_requests.insert(id, send_reply);
         let HttpRequest { method, path, body } = request;
         let event = Event::Http { id, method: method.into(), path, body };
-        self.event(node, incarnation, event);
+        self.handle_event(node, incarnation, event);
     }
 }
--- a/crates/gladekeel-testkit/src/simulation/worker_commands.rs
+++ b/crates/gladekeel-testkit/src/simulation/worker_commands.rs
@@ -11,7 +11,8 @@
 };
 
 impl Simulation {
-    /// A node sends a direct request to a worker.
+    /// Sends a direct request from a node to a worker. If no response arrives within `timeout_s`, the
+    /// outcome is [`WorkerOutcome::Unknown`].
     pub(super) fn call_worker(
         &mut self,
         node: usize,
@@ -21,19 +22,23 @@
         timeout_s: f64,
     ) {
         self.after(timeout_s, move |sim| {
-            sim.event(node, incarnation, Event::Worker { call, outcome: WorkerOutcome::Unknown });
+            sim.handle_event(
+                node,
+                incarnation,
+                Event::Worker { call, outcome: WorkerOutcome::Unknown },
+            );
         });
         self.record_direct_starts(&request);
         if request.body.is_some() && self.occurs(self.message_faults.delayed_command_share) {
             return self.delay_command(request);
         }
-        // Addresses of workers are their machines' names here.
+        // In the simulation, the address of a worker is the name of its machine.
         let Some(worker) = self.workers.get(&request.addr) else { return };
         let zone = worker.machine.zone.clone();
         self.deliver(&Endpoint::Node(node), &Endpoint::Worker(zone.clone()), move |sim| {
             let Some(outcome) = sim.receive_direct_request(request) else { return };
             sim.deliver(&Endpoint::Worker(zone), &Endpoint::Node(node), move |sim| {
-                sim.event(node, incarnation, Event::Worker { call, outcome });
+                sim.handle_event(node, incarnation, Event::Worker { call, outcome });
             });
         });
     }
@@ -46,7 +51,8 @@
         }
     }
 
-    /// A direct request reaches a worker; returns its response, if it sends one.
+    /// Passes a direct request to a worker. Returns the outcome, or `None` if the worker sends no
+    /// response.
     fn receive_direct_request(&mut self, request: WorkerRequest) -> Option<WorkerOutcome> {
         let worker = self.workers.get_mut(&request.addr)?;
         if worker.hung {
@@ -62,7 +68,7 @@
         })
     }
 
-    /// A worker executes direct commands.
+    /// Executes direct commands on a worker and returns the outcome.
     pub(super) fn execute_direct_commands(
         &mut self,
         name: &str,
@@ -82,7 +88,7 @@
         if executed { WorkerOutcome::Done(heartbeat) } else { WorkerOutcome::NotExecuted }
     }
 
-    /// A machine that resumes executes the commands that arrived while it hung.
+    /// Executes the direct commands that arrived while a machine hung, if the machine has resumed.
     pub(super) fn execute_queued_commands(&mut self, name: &str) {
         let Some(worker) = self.workers.get_mut(name).filter(|worker| !worker.hung) else { return };
         for body in std::mem::take(&mut worker.queued_commands) {
@@ -90,7 +96,8 @@
         }
     }
 
-    /// The seeded fault: starts what a worker was told to start on another worker as well.
+    /// Starts the tasks of a response on another worker as well; the seeded fault
+    /// `start_tasks_twice`.
     pub(super) fn start_on_second_worker(&mut self, name: &str, response: &HeartbeatResponse) {
         if response.commands.is_empty() {
             return;
