--- a/crates/gladekeel-testkit/examples/decision_traces.rs
+++ b/crates/gladekeel-testkit/examples/decision_traces.rs
@@ -1,4 +1,4 @@
-//! Prints the digests of what the nodes do in scenario files, as lines of
+//! Runs scenario files and prints the digests of what the nodes send, in the format of
 //! `tests/fixtures/decision_traces.txt`:
 //!
 //! ```text
--- a/crates/gladekeel-testkit/src/simulation/nodes.rs
+++ b/crates/gladekeel-testkit/src/simulation/nodes.rs
@@ -100,8 +100,8 @@
         self.after(STEP_S, move |sim| sim.tick(node, incarnation));
     }
 
-    /// Passes an event to a node and executes the resulting actions. The event is deferred while the
-    /// node is paused, and dropped if it is for an earlier incarnation of the node.
+    /// Passes an event to a node and executes the resulting actions. Defers the event while the
+    /// node is paused, and drops an event for an earlier incarnation of the node.
     pub(super) fn handle_event(&mut self, node: usize, incarnation: u64, event: Event) {
         let now = self.now;
         let host = &mut self.nodes[node];
--- a/crates/gladekeel-testkit/src/simulation/worker_commands.rs
+++ b/crates/gladekeel-testkit/src/simulation/worker_commands.rs
@@ -11,8 +11,8 @@
 };
 
 impl Simulation {
-    /// Sends a direct request from a node to a worker. If no response arrives within `timeout_s`, the
-    /// outcome is [`WorkerOutcome::Unknown`].
+    /// Sends a direct request from a node to a worker. If no response arrives within `timeout_s`,
+    /// the outcome is [`WorkerOutcome::Unknown`].
     pub(super) fn call_worker(
         &mut self,
         node: usize,
