--- a/crates/gladekeel-testkit/src/simulation/machines.rs
+++ b/crates/gladekeel-testkit/src/simulation/machines.rs
@@ -107,8 +107,8 @@
         self.after(self.worker_step_s, move |sim| sim.step_worker(name, next_heartbeat_at));
     }
 
-    /// Advances all gangs to the present and schedules the next step. Only runs in simulations that
-    /// have a gang.
+    /// Advances all gangs to the present and schedules the next step. Steps are only scheduled in
+    /// simulations that have a gang.
     pub(super) fn step_gangs(&mut self) {
         for (name, event) in self.gangs.step(self.now, &mut self.workers) {
             let Some(worker) = self.workers.get(&name) else { continue };
--- a/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
+++ b/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
@@ -132,8 +132,7 @@
                 let status = reply.as_ref().map_or(0, |reply| reply.status);
                 if status != expected {
                     let body = reply.map(|reply| String::from_utf8_lossy(&reply.body).into_owned());
-                    let details =
-                        format!("{description}: status {status} {body:?}, expected {expected}");
+                    let details = format!("{description}: {status} {body:?}, expected {expected}");
                     sim.invariants.report(Invariant::ScenarioResponse, details);
                 }
             },
--- a/crates/gladekeel-testkit/src/simulation/read_your_writes.rs
+++ b/crates/gladekeel-testkit/src/simulation/read_your_writes.rs
@@ -13,14 +13,14 @@
 /// Share of the newly accepted jobs that are cancelled while the queries are in flight.
 const CANCELLED_SHARE: f64 = 0.2;
 
-/// The probe's end, the states that it has handled, and the number of its queries.
+/// The read-your-writes probe: how long it is active, and which states it has probed.
 #[derive(Debug, Default)]
 pub struct ReadYourWritesProbe {
     /// Time until which new states are probed.
     pub until: f64,
-    /// Jobs of which users have observed that they are accepted.
+    /// Jobs that users have observed as accepted.
     accepted: BTreeSet<JobId>,
-    /// Jobs of which users have observed a final state.
+    /// Jobs that users have observed in a final state.
     finished: BTreeSet<JobId>,
     /// Number of queries scheduled so far.
     pub queries: u64,
