--- a/crates/gladekeel-testkit/src/invariants/invariant.rs
+++ b/crates/gladekeel-testkit/src/invariants/invariant.rs
@@ -34,7 +34,7 @@
     /// Repeated and malformed requests get their one right status.
     ResponseStatus,
     /// Bytes that are no request are refused.
-    JunkRefused,
+    InvalidBytesRefused,
     /// A request of the scenario gets the status that the scenario says.
     ScenarioResponse,
     /// No two leaderships have the same fencing token.
@@ -47,24 +47,24 @@
     /// The name in `expect violated NAME` of a scenario and in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Invariant::SingleExecution => "ran_twice",
-            Invariant::TeamQuota => "quota",
-            Invariant::Placement => "wrong_place",
-            Invariant::CancellationDeadline => "ran_cancelled",
-            Invariant::NoStartAfterCancellation => "started_cancelled",
-            Invariant::AcceptedJobKept => "forgotten",
-            Invariant::NoInventedJob => "invented",
-            Invariant::AcceptedJobCanRun => "cannot_run",
-            Invariant::StateOrder => "went_back",
-            Invariant::DoneIsCompleted => "not_done",
-            Invariant::Availability => "unanswered",
-            Invariant::NoStarvation => "left_waiting",
-            Invariant::GangStart => "ran_alone",
-            Invariant::ResponseStatus => "odd",
-            Invariant::JunkRefused => "junk",
-            Invariant::ScenarioResponse => "http",
-            Invariant::UniqueToken => "token_reused",
-            Invariant::ScenarioTarget => "nobody",
+            Invariant::SingleExecution => "single_execution",
+            Invariant::TeamQuota => "team_quota",
+            Invariant::Placement => "placement",
+            Invariant::CancellationDeadline => "cancellation_deadline",
+            Invariant::NoStartAfterCancellation => "no_start_after_cancellation",
+            Invariant::AcceptedJobKept => "accepted_job_kept",
+            Invariant::NoInventedJob => "no_invented_job",
+            Invariant::AcceptedJobCanRun => "accepted_job_can_run",
+            Invariant::StateOrder => "state_order",
+            Invariant::DoneIsCompleted => "done_is_completed",
+            Invariant::Availability => "availability",
+            Invariant::NoStarvation => "no_starvation",
+            Invariant::GangStart => "gang_start",
+            Invariant::ResponseStatus => "response_status",
+            Invariant::InvalidBytesRefused => "invalid_bytes_refused",
+            Invariant::ScenarioResponse => "scenario_response",
+            Invariant::UniqueToken => "unique_token",
+            Invariant::ScenarioTarget => "scenario_target",
         }
     }
 }
--- a/crates/gladekeel-testkit/src/invariants/response_status.rs
+++ b/crates/gladekeel-testkit/src/invariants/response_status.rs
@@ -19,7 +19,8 @@
     /// Bytes that are no request are answered with `status`: they must be refused, or put off.
     pub fn check_invalid_bytes_status(&mut self, status: u16) {
         if !(400..500).contains(&status) && status != 503 {
-            self.report(Invariant::JunkRefused, format!("junk was answered {status}"));
+            let details = format!("invalid bytes got status {status}");
+            self.report(Invariant::InvalidBytesRefused, details);
         }
     }
 }
--- a/crates/gladekeel-testkit/tests/gangs/invariants.rs
+++ b/crates/gladekeel-testkit/tests/gangs/invariants.rs
@@ -23,5 +23,5 @@
     }
     let violated: Vec<&str> =
         checker.violations.iter().map(|violation| violation.invariant.name()).collect();
-    assert_eq!(violated, ["wrong_place"]);
+    assert_eq!(violated, ["placement"]);
 }
--- a/crates/gladekeel-testkit/tests/invariants/acceptance.rs
+++ b/crates/gladekeel-testkit/tests/invariants/acceptance.rs
@@ -13,14 +13,14 @@
     respond(&mut checker, 1.0, JobRequest::Submit, 201, Some(JobState::Queued));
     respond(&mut checker, 2.0, JobRequest::Other, 404, None);
     respond(&mut checker, 3.0, JobRequest::Submit, 422, None);
-    assert_eq!(violated(&checker), ["forgotten", "forgotten"]);
+    assert_eq!(violated(&checker), ["accepted_job_kept", "accepted_job_kept"]);
 }
 
 #[test]
 fn a_job_that_nobody_submitted_is_a_violation() {
     let mut checker = checker();
     respond(&mut checker, 1.0, JobRequest::Other, 200, Some(JobState::Queued));
-    assert_eq!(violated(&checker), ["invented"]);
+    assert_eq!(violated(&checker), ["no_invented_job"]);
 }
 
 #[test]
@@ -45,7 +45,8 @@
         respond(&mut checker, 1.0, JobRequest::Submit, 422, None);
         assert!(violated(&checker).is_empty(), "to refuse it violates nothing");
         respond(&mut checker, 2.0, JobRequest::Submit, 201, Some(JobState::Queued));
-        let expected: &[&str] = if matches!(index, 0 | 8) { &[] } else { &["cannot_run"] };
+        let expected: &[&str] =
+            if matches!(index, 0 | 8) { &[] } else { &["accepted_job_can_run"] };
         assert_eq!(violated(&checker), expected, "change {index}");
     }
 }
--- a/crates/gladekeel-testkit/tests/invariants/availability.rs
+++ b/crates/gladekeel-testkit/tests/invariants/availability.rs
@@ -12,8 +12,8 @@
     }
     assert!(violated(&checker).is_empty(), "75 s have not passed since");
     respond(&mut checker, 176.0, JobRequest::Other, 503, None);
-    assert_eq!(violated(&checker), ["unanswered"]);
+    assert_eq!(violated(&checker), ["availability"]);
     respond(&mut checker, 177.0, JobRequest::Other, 200, Some(JobState::Queued));
     respond(&mut checker, 250.0, JobRequest::Other, 0, None);
-    assert_eq!(violated(&checker), ["unanswered"]);
+    assert_eq!(violated(&checker), ["availability"]);
 }
--- a/crates/gladekeel-testkit/tests/invariants/cancellation.rs
+++ b/crates/gladekeel-testkit/tests/invariants/cancellation.rs
@@ -16,7 +16,7 @@
     checker.check_cancellation_deadlines(2.0 + cancellation_deadline_s());
     assert!(violated(&checker).is_empty());
     checker.check_cancellation_deadlines(2.1 + cancellation_deadline_s());
-    assert_eq!(violated(&checker), ["ran_cancelled"]);
+    assert_eq!(violated(&checker), ["cancellation_deadline"]);
 }
 
 /// A start that was in flight when the cancellation was confirmed violates nothing: its
@@ -33,7 +33,7 @@
         checker.on_task_started(in_flight_until, &task(0), &machine("n-1", "a", false));
         assert!(violated(&checker).is_empty(), "it was in flight");
         checker.on_task_started(late, &task(1), &machine("n-1", "a", false));
-        assert_eq!(violated(&checker), ["started_cancelled"]);
+        assert_eq!(violated(&checker), ["no_start_after_cancellation"]);
     }
 }
 
@@ -55,7 +55,7 @@
         checker.check_cancellation_deadlines(2.1 + cancellation_deadline_s());
         violated(&checker).join(" ")
     };
-    assert_eq!(violated_by(1.9, false), "ran_cancelled", "it must be gone all the same");
-    assert_eq!(violated_by(2.1, false), "started_cancelled ran_cancelled");
-    assert_eq!(violated_by(1.9, true), "started_cancelled ran_cancelled");
+    assert_eq!(violated_by(1.9, false), "cancellation_deadline", "it must be gone all the same");
+    assert_eq!(violated_by(2.1, false), "no_start_after_cancellation cancellation_deadline");
+    assert_eq!(violated_by(1.9, true), "no_start_after_cancellation cancellation_deadline");
 }
--- a/crates/gladekeel-testkit/tests/invariants/gang_start.rs
+++ b/crates/gladekeel-testkit/tests/invariants/gang_start.rs
@@ -25,20 +25,20 @@
     (0..2).for_each(|n| checker.on_task_started(1.0, &task(n), &machine("n-1", "a", false)));
     checker.on_gang_task_running(2.0, &task(0), 1);
     checker.check_gang_starts(2.0);
-    assert_eq!(violated(&checker), ["ran_alone"]);
+    assert_eq!(violated(&checker), ["gang_start"]);
 
     // The same number of tasks, of two attempts.
     let mut checker = checker_with(&gang(2));
     (0..2).for_each(|n| checker.on_task_started(1.0, &task(n), &machine("n-1", "a", false)));
     (0..2).for_each(|n| checker.on_gang_task_running(2.0, &task(n), u64::from(n)));
     checker.check_gang_starts(2.0);
-    assert_eq!(violated(&checker), ["ran_alone", "ran_alone"]);
+    assert_eq!(violated(&checker), ["gang_start", "gang_start"]);
 
     // A task that is on no machine.
     let mut checker = checker_with(&gang(1));
     checker.on_gang_task_running(2.0, &task(0), 1);
     checker.check_gang_starts(2.0);
-    assert_eq!(violated(&checker), ["ran_alone"]);
+    assert_eq!(violated(&checker), ["gang_start"]);
 }
 
 #[test]
@@ -47,16 +47,16 @@
     let mut checker = checker_with(&gang(2));
     checker.on_task_started(1.0, &task(0), &machine("n-1", "a", false));
     checker.on_task_started(2.0, &task(0), &machine("n-2", "a", false));
-    assert_eq!(violated(&checker), ["ran_twice"]);
+    assert_eq!(violated(&checker), ["single_execution"]);
 
     let mut checker = checker_with(&JobSpec { single_zone: true, ..gang(2) });
     checker.on_task_started(1.0, &task(0), &machine("n-1", "a", false));
     checker.on_task_started(2.0, &task(1), &machine("n-2", "b", false));
-    assert_eq!(violated(&checker), ["wrong_place"]);
+    assert_eq!(violated(&checker), ["placement"]);
 
     let mut checker = checker_with(&JobSpec { cpus: 60.0, ..gang(4) });
     (0..4).for_each(|n| checker.on_task_started(1.0, &task(n), &machine("n-1", "a", false)));
-    assert_eq!(violated(&checker), ["quota"]);
+    assert_eq!(violated(&checker), ["team_quota"]);
 }
 
 #[test]
@@ -68,7 +68,7 @@
     checker.check_cancellation_deadlines(2.0 + 50.0);
     assert!(violated(&checker).is_empty());
     checker.check_cancellation_deadlines(2.1 + 50.0);
-    assert_eq!(violated(&checker), ["ran_cancelled"]);
+    assert_eq!(violated(&checker), ["cancellation_deadline"]);
 }
 
 #[test]
@@ -78,6 +78,6 @@
         (missing..3).for_each(|n| checker.on_task_ended(&task(n), "n-1", true));
         respond(&mut checker, 2.0, JobRequest::Other, 200, Some(JobState::Done));
         assert_eq!(violated(&checker).len(), missing as usize, "{:?}", checker.violations);
-        assert!(violated(&checker).iter().all(|rule| *rule == "not_done"));
+        assert!(violated(&checker).iter().all(|rule| *rule == "done_is_completed"));
     }
 }
--- a/crates/gladekeel-testkit/tests/invariants/placement.rs
+++ b/crates/gladekeel-testkit/tests/invariants/placement.rs
@@ -20,6 +20,6 @@
         for index in 0..tasks {
             checker.on_task_started(1.0, &task(index), &machine("n-1", "a", true));
         }
-        assert_eq!(violated(&checker), ["wrong_place"]);
+        assert_eq!(violated(&checker), ["placement"]);
     }
 }
--- a/crates/gladekeel-testkit/tests/invariants/response_status.rs
+++ b/crates/gladekeel-testkit/tests/invariants/response_status.rs
@@ -16,7 +16,7 @@
     {
         let mut checker = checker();
         checker.check_status(1.0, expected, status, "wrong");
-        assert_eq!(violated(&checker), ["odd"], "{status} instead of {expected}");
+        assert_eq!(violated(&checker), ["response_status"], "{status} instead of {expected}");
     }
 }
 
@@ -30,6 +30,6 @@
     for status in [0, 200, 201, 302, 500, 502] {
         let mut checker = checker();
         checker.check_invalid_bytes_status(status);
-        assert_eq!(violated(&checker), ["junk"], "{status}");
+        assert_eq!(violated(&checker), ["invalid_bytes_refused"], "{status}");
     }
 }
--- a/crates/gladekeel-testkit/tests/invariants/seeded_faults.rs
+++ b/crates/gladekeel-testkit/tests/invariants/seeded_faults.rs
@@ -7,8 +7,11 @@
 fn a_response_that_differs_from_the_scenario_is_a_violation() {
     let text = "world on_demand=1\nat 5 http GET /admin/settings = 201\nuntil 10\n";
     let failure = run(text).unwrap_err().to_string();
-    assert!(failure.contains("invariant http violated: GET /admin/settings: 200"), "{failure}");
-    run(&format!("{text}expect violated http\n")).unwrap();
+    assert!(
+        failure.contains("invariant scenario_response violated: GET /admin/settings: 200"),
+        "{failure}"
+    );
+    run(&format!("{text}expect violated scenario_response\n")).unwrap();
 }
 
 /// A line that refers to a machine of a job that has none.
@@ -17,7 +20,7 @@
     let text = "world on_demand=1\nat 5 reboot host_of:job-1\nuntil 10\n";
     let failure = run(text).unwrap_err().to_string();
     assert!(
-        failure.contains("invariant nobody violated: no machine hosts a task of job-1"),
+        failure.contains("invariant scenario_target violated: no machine hosts a task of job-1"),
         "{failure}"
     );
 }
@@ -30,10 +33,10 @@
                 at 3 submit job-2 tasks=1 cpus=8 run_s=60\n\
                 at 30 submit job-1 tasks=2 cpus=20 run_s=20 kind=gang\n\
                 until 100\n\
-                expect violated ran_alone\n";
+                expect violated gang_start\n";
     run(text).unwrap();
-    let failure = run(&text.replace("expect violated ran_alone\n", "")).unwrap_err();
-    assert!(failure.to_string().contains("invariant ran_alone violated"), "{failure}");
+    let failure = run(&text.replace("expect violated gang_start\n", "")).unwrap_err();
+    assert!(failure.to_string().contains("invariant gang_start violated"), "{failure}");
     let failure = run(&text.replace("run_partial_gangs=yes", "")).unwrap_err();
-    assert!(failure.to_string().contains("ran_alone is not violated"), "{failure}");
+    assert!(failure.to_string().contains("gang_start is not violated"), "{failure}");
 }
--- a/crates/gladekeel-testkit/tests/invariants/starvation.rs
+++ b/crates/gladekeel-testkit/tests/invariants/starvation.rs
@@ -49,7 +49,7 @@
 fn a_job_that_stays_pending_next_to_a_free_machine_is_a_violation() {
     assert!(violated_while_pending(&array(), 90, free_machine).is_empty(), "90 s have not passed");
     let violated = violated_while_pending(&array(), 400, free_machine);
-    assert_eq!(violated, ["left_waiting"], "it is reported once");
+    assert_eq!(violated, ["no_starvation"], "it is reported once");
 }
 
 #[test]
@@ -61,7 +61,7 @@
         }
     };
     assert!(violated_while_pending(&array(), 190, cleared_at(100.0)).is_empty());
-    assert_eq!(violated_while_pending(&array(), 195, cleared_at(100.0)), ["left_waiting"]);
+    assert_eq!(violated_while_pending(&array(), 195, cleared_at(100.0)), ["no_starvation"]);
 }
 
 #[test]
@@ -72,7 +72,7 @@
         (if now == 60 { vec![] } else { vec![machine_with("a", false, 8.0)] }, false)
     };
     assert!(violated_while_pending(&array(), 155, occupied_once).is_empty());
-    assert_eq!(violated_while_pending(&array(), 160, occupied_once), ["left_waiting"]);
+    assert_eq!(violated_while_pending(&array(), 160, occupied_once), ["no_starvation"]);
 }
 
 #[test]
@@ -88,7 +88,7 @@
     let spot = |_: u32, _: &mut InvariantChecker| (vec![machine_with("b", true, 8.0)], false);
     assert!(violated_while_pending(&spec, 400, spot).is_empty());
     let allowed = |_: u32, _: &mut InvariantChecker| (vec![machine_with("b", false, 8.0)], false);
-    assert_eq!(violated_while_pending(&spec, 400, allowed), ["left_waiting"]);
+    assert_eq!(violated_while_pending(&spec, 400, allowed), ["no_starvation"]);
 }
 
 /// The team's limit is 200 CPUs.
@@ -106,7 +106,7 @@
         }
     };
     assert!(violated_while_pending(&array(), 400, team_uses(193.0)).is_empty());
-    assert_eq!(violated_while_pending(&array(), 400, team_uses(192.0)), ["left_waiting"]);
+    assert_eq!(violated_while_pending(&array(), 400, team_uses(192.0)), ["no_starvation"]);
 }
 
 #[test]
@@ -118,7 +118,7 @@
         }
     };
     assert!(violated_while_pending(&gang, 400, second_machine(8.0)).is_empty());
-    assert_eq!(violated_while_pending(&gang, 400, second_machine(16.0)), ["left_waiting"]);
+    assert_eq!(violated_while_pending(&gang, 400, second_machine(16.0)), ["no_starvation"]);
 }
 
 #[test]
--- a/crates/gladekeel-testkit/tests/invariants/state_order.rs
+++ b/crates/gladekeel-testkit/tests/invariants/state_order.rs
@@ -7,7 +7,7 @@
     let mut checker = checker_with(&array_of_four());
     checker.on_task_ended(&task(0), "n-1", true);
     respond(&mut checker, 1.0, JobRequest::Other, 200, Some(JobState::Done));
-    assert_eq!(violated(&checker), ["not_done"]);
+    assert_eq!(violated(&checker), ["done_is_completed"]);
 }
 
 #[test]
@@ -19,14 +19,14 @@
     respond(&mut checker, 1.0, JobRequest::Other, 200, Some(JobState::Done));
     assert!(violated(&checker).is_empty());
     respond(&mut checker, 2.0, JobRequest::Other, 200, Some(JobState::Running));
-    assert_eq!(violated(&checker), ["went_back"]);
+    assert_eq!(violated(&checker), ["state_order"]);
 }
 
 #[test]
 fn a_job_that_is_cancelled_without_a_request_is_a_violation() {
     let mut checker = checker_with(&array_of_four());
     respond(&mut checker, 1.0, JobRequest::Other, 200, Some(JobState::Cancelled));
-    assert_eq!(violated(&checker), ["went_back"], "its user did not cancel it");
+    assert_eq!(violated(&checker), ["state_order"], "its user did not cancel it");
 }
 
 /// Responses to requests that were in flight at once may overtake one another; only the
@@ -46,9 +46,9 @@
     };
     let done = Some(JobState::Done);
     assert_eq!(observe(4.9, 200, Some(JobState::Running)), (String::new(), done));
-    assert_eq!(observe(5.0, 200, Some(JobState::Running)).0, "went_back");
-    assert_eq!(observe(4.9, 200, Some(JobState::Cancelled)).0, "went_back");
+    assert_eq!(observe(5.0, 200, Some(JobState::Running)).0, "state_order");
+    assert_eq!(observe(4.9, 200, Some(JobState::Cancelled)).0, "state_order");
     assert_eq!(observe(0.9, 404, None).0, "");
-    assert_eq!(observe(1.0, 404, None).0, "forgotten");
-    assert_eq!(observe(1.0, 422, None).0, "forgotten");
+    assert_eq!(observe(1.0, 404, None).0, "accepted_job_kept");
+    assert_eq!(observe(1.0, 422, None).0, "accepted_job_kept");
 }
--- a/crates/gladekeel-testkit/tests/invariants/team_quota.rs
+++ b/crates/gladekeel-testkit/tests/invariants/team_quota.rs
@@ -7,5 +7,5 @@
     for index in 0..4 {
         checker.on_task_started(1.0, &task(index), &machine("n-1", "a", false));
     }
-    assert_eq!(violated(&checker), ["quota"]);
+    assert_eq!(violated(&checker), ["team_quota"]);
 }
--- a/crates/gladekeel-testkit/tests/invariants/unique_token.rs
+++ b/crates/gladekeel-testkit/tests/invariants/unique_token.rs
@@ -8,5 +8,5 @@
     checker.on_leadership(3.0, 8, 2.5);
     assert!(violated(&checker).is_empty(), "each leadership has a token of its own");
     checker.on_leadership(4.0, 8, 3.5);
-    assert_eq!(violated(&checker), ["token_reused"]);
+    assert_eq!(violated(&checker), ["unique_token"]);
 }
