--- a/crates/gladekeel-testkit/src/invariants/acceptance.rs
+++ b/crates/gladekeel-testkit/src/invariants/acceptance.rs
@@ -1,5 +1,5 @@
-//! What it means that a job is accepted: somebody submitted it, it can run at all, and it
-//! stays known, whatever fails afterwards.
+//! Checks of accepted jobs: a client has submitted the job, the job can run at all, and it
+//! stays known whatever fails after its acceptance.
 
 use super::{Invariant, InvariantChecker, JobRequest, JobResponse};
 use gladekeel_wire::{
@@ -10,29 +10,36 @@
 };
 
 impl InvariantChecker {
-    /// A job that nobody submitted is unknown: a state of it would be another client's, or garbage.
-    pub(super) fn check_not_invented(&self, job: &JobId) -> Option<Invariant> {
+    /// Checks that a job was submitted if a controller knows it. The state of any other job
+    /// would be that of another client's job, or garbage.
+    pub(super) fn check_no_invented_job(&self, job: &JobId) -> Option<Invariant> {
         let submitted = self.observed_jobs.get(job).is_some_and(|observed| observed.submitted);
         (!submitted).then_some(Invariant::NoInventedJob)
     }
 
-    /// An accepted job is not refused or unknown later: its client relies on it.
-    pub(super) fn check_not_forgotten(
+    /// Checks that an accepted job is not refused or unknown later: its client relies on the
+    /// acceptance.
+    pub(super) fn check_accepted_job_kept(
         &self,
         job: &JobId,
         response: &JobResponse,
     ) -> Option<Invariant> {
         let known = self.observed_jobs.get(job).is_some_and(|job| job.accepted_before(response));
-        let denied = match response.status {
+        let refused_or_unknown = match response.status {
             404 => true,
             400 | 422 => response.request == JobRequest::Submit,
             _ => false,
         };
-        (known && denied).then_some(Invariant::AcceptedJobKept)
+        (known && refused_or_unknown).then_some(Invariant::AcceptedJobKept)
     }
 
-    /// A job that can never run is refused at once, rather than left pending for ever.
-    pub(super) fn check_can_run(&self, job: &JobId, response: &JobResponse) -> Option<Invariant> {
+    /// Checks that a job that can never run is refused at once, rather than accepted and left
+    /// pending for ever.
+    pub(super) fn check_accepted_job_can_run(
+        &self,
+        job: &JobId,
+        response: &JobResponse,
+    ) -> Option<Invariant> {
         let newly_accepted = response.status == 201;
         let impossible = self
             .specs
@@ -42,13 +49,13 @@
     }
 }
 
-/// Whether a job can run at all: its team exists, and its team's limit and some allowed
+/// Whether a job can run at all: its team exists, and the team's limit and at least one allowed
 /// machine type are large enough.
 fn can_run(deployment: &Deployment, machine_types: &[MachineType], spec: &JobSpec) -> bool {
-    let at_once = if spec.kind == JobKind::Array { 1.0 } else { f64::from(spec.tasks) };
+    let tasks_at_once = if spec.kind == JobKind::Array { 1.0 } else { f64::from(spec.tasks) };
     let team = deployment.teams.iter().find(|team| team.name == spec.team);
     let within_limit = team.is_some_and(|team| {
-        spec.cpus * at_once <= team.cpus_max && spec.gpus * at_once <= team.gpus_max
+        spec.cpus * tasks_at_once <= team.cpus_max && spec.gpus * tasks_at_once <= team.gpus_max
     });
     let fits = |machine_type: &MachineType| {
         spec.machine_types.as_ref().is_none_or(|types| types.contains(&machine_type.name))
--- a/crates/gladekeel-testkit/src/invariants/cancellation.rs
+++ b/crates/gladekeel-testkit/src/invariants/cancellation.rs
@@ -1,35 +1,38 @@
-//! Once a client has observed that a job is cancelled, its tasks are gone within the
-//! cancellation deadline, and none begins that was not in flight by then.
+//! Once a client has observed that a job is cancelled, the job's tasks end within the
+//! cancellation deadline, and no task starts whose start was not in flight by then.
 
 use super::{Invariant, InvariantChecker};
 use crate::stand_ins::worker::MachineIdentity;
 use gladekeel_wire::{TaskId, job::JobSpec};
 
-/// How long after a confirmed cancellation a task may still begin, its image's fetch not
-/// counted. Such a start was in flight: its command stood in a heartbeat response, which the
-/// worker drops after 4 s. A direct command is older only if a partition or a hung machine
-/// delayed it; it is excused if it was sent before the cancellation was confirmed, and then
-/// its task has to be gone by the deadline like any other. What else begins later was started
-/// by a controller that should have known of the cancellation.
+/// How long after a confirmed cancellation a task may still start, in seconds, in addition to
+/// the time to fetch its image. Such a start was in flight: its command was in a heartbeat
+/// response, which the worker drops after 4 s. A direct command is older only if a partition or
+/// a hung machine delayed it. It is permitted if it was sent before the cancellation was
+/// confirmed, and its task must end by the deadline like any other. Any other task that starts
+/// later was started by a controller that should have known of the cancellation.
 const IN_FLIGHT_S: f64 = 4.0;
 
 impl InvariantChecker {
-    /// A start leaves a controller for a worker, without waiting for its heartbeat.
+    /// Records that a controller sends a start to a worker as a direct command, without waiting
+    /// for the worker's heartbeat.
     pub fn on_direct_start_sent(&mut self, now: f64, task: &TaskId) {
         self.direct_starts.insert(task.clone(), now);
     }
 
-    /// A start reaches a worker in the response to its heartbeat.
+    /// Records that a worker receives a start in a heartbeat response. A delay of the direct
+    /// command no longer permits the task to start late.
     pub fn on_start_in_heartbeat_response(&mut self, task: &TaskId) {
         self.direct_starts.remove(task);
     }
 
-    /// Checks that the tasks of cancelled jobs are gone in time.
+    /// Reports each task of a cancelled job, once, that is on a machine after the deadline.
     pub fn check_cancellation_deadlines(&mut self, now: f64) {
         let deadline_s = self.deployment.workers.cancellation_deadline_s;
         let overdue = self.cancelled.iter().filter(|job| {
             let observed = self.observed_jobs.get(*job);
-            observed.and_then(|job| job.cancelled_at).is_some_and(|at| now - at > deadline_s)
+            let cancelled_at = observed.and_then(|job| job.cancelled_at);
+            cancelled_at.is_some_and(|cancelled_at| now - cancelled_at > deadline_s)
         });
         let tasks: Vec<TaskId> = overdue
             .flat_map(|job| self.running.of_job(job))
@@ -37,7 +40,8 @@
             .collect();
         for task in tasks {
             if self.reported_after_cancellation.insert(task.clone()) {
-                self.report(Invariant::CancellationDeadline, format!("{now:.2}: {task}"));
+                let details = format!("{now:.2}: {task} is still on a machine");
+                self.report(Invariant::CancellationDeadline, details);
             }
         }
     }
@@ -61,7 +65,7 @@
         }
     }
 
-    /// How long a machine of a type takes to fetch the image of a job.
+    /// How long a machine of this type takes to fetch the image of a job, in seconds.
     fn image_fetch_s(&self, spec: &JobSpec, machine_type: &str) -> f64 {
         let machine_type = self.machine_types.iter().find(|known| known.name == machine_type);
         let gb_per_s = machine_type.map_or(1.0, |machine_type| machine_type.fetch_gb_per_s);
--- a/crates/gladekeel-testkit/src/invariants/invariant.rs
+++ b/crates/gladekeel-testkit/src/invariants/invariant.rs
@@ -7,44 +7,47 @@
 pub enum Invariant {
     /// No task is on two machines at once.
     SingleExecution,
-    /// A team's tasks use no more than the team's limit.
+    /// The tasks of a team use no more CPUs and GPUs than the team's limit.
     TeamQuota,
     /// A task is only on machines that its job allows.
     Placement,
-    /// The tasks of a cancelled job are gone when the deadline has passed.
+    /// No task of a cancelled job is on a machine after the cancellation deadline.
     CancellationDeadline,
-    /// No task of a cancelled job starts, unless its start was in flight.
+    /// No task of a cancelled job starts, unless its start was in flight when the cancellation
+    /// was confirmed.
     NoStartAfterCancellation,
-    /// An accepted job stays known.
+    /// An accepted job is not refused or unknown later.
     AcceptedJobKept,
     /// A job that nobody submitted is unknown.
     NoInventedJob,
     /// A job that can never run is not accepted.
     AcceptedJobCanRun,
-    /// The state of a job does not go back from a final one.
+    /// A final state of a job does not change, and only a job whose cancellation was requested
+    /// is cancelled.
     StateOrder,
     /// A job that is reported as done has completed all its tasks.
     DoneIsCompleted,
-    /// Requests are answered once the faults are over.
+    /// Requests about accepted jobs succeed once the faults are over.
     Availability,
-    /// A job does not stay pending next to a machine that could take it.
+    /// A job does not stay pending while free machines could run it.
     NoStarvation,
     /// The tasks of a gang begin to run together.
     GangStart,
-    /// Repeated and malformed requests get their one right status.
+    /// Repeated and malformed requests get the one status that is correct for them.
     ResponseStatus,
-    /// Bytes that are no request are refused.
+    /// Bytes that are not a valid request are refused.
     InvalidBytesRefused,
-    /// A request of the scenario gets the status that the scenario says.
+    /// A request in a scenario gets the status that its line states.
     ScenarioResponse,
     /// No two leaderships have the same fencing token.
     UniqueToken,
-    /// What a line of the scenario refers to exists when it is executed.
+    /// What a scenario step refers to, such as the host of a task, exists when the step is
+    /// executed.
     ScenarioTarget,
 }
 
 impl Invariant {
-    /// The name in `expect violated NAME` of a scenario and in reports.
+    /// The name of the invariant in `expect violated NAME` of a scenario and in failure reports.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::SingleExecution => "single_execution",
@@ -75,11 +78,11 @@
     }
 }
 
-/// An invariant that did not hold.
+/// A violation of an invariant.
 #[derive(Debug, Clone)]
 pub struct Violation {
-    /// Which invariant.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// When it was violated and by what.
+    /// When and how the invariant was violated.
     pub details: String,
 }
--- a/crates/gladekeel-testkit/src/invariants/mod.rs
+++ b/crates/gladekeel-testkit/src/invariants/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! [`InvariantChecker`] receives everything that clients and machines observe. It keeps
 //! the history that the checks need, and records a [`Violation`] for each invariant that
-//! does not hold. Each invariant has a module of its own with the check and its reason.
-//! `docs/safety.md` says why the controllers keep them.
+//! does not hold. Each module contains the checks of one or a few related invariants and the
+//! reason for them. `docs/safety.md` explains why the controllers uphold the invariants.
 
 mod acceptance;
 mod availability;
@@ -36,47 +36,49 @@
 use running_tasks::RunningTasks;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tolerance for sums of CPUs and GPUs against a limit.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for rounding errors when a sum of CPUs or GPUs is compared with a limit.
+const LIMIT_TOLERANCE: f64 = 1e-6;
 
 /// Observes a simulation and records every violated invariant.
 #[derive(Debug)]
 pub struct InvariantChecker {
     deployment: Deployment,
-    /// Machine types of the cloud; while there are none, no job counts as impossible to run.
+    /// Machine types of the cloud. While there are none, a job counts as able to run if it is
+    /// within its team's limit.
     pub machine_types: Vec<MachineType>,
-    /// How much longer than the one before it each task of a job runs, in seconds.
+    /// How much longer each task of a job runs than the task before it, in seconds.
     pub run_step_s: BTreeMap<JobId, f64>,
-    /// When the last injected fault is over. Liveness is only checked after that.
+    /// When the last injected fault ends. Liveness is only checked after that time.
     pub faults_cleared_at: f64,
-    /// Starts so far.
+    /// Number of task starts so far.
     pub starts: u64,
-    /// Starts that a machine refused for lack of free resources.
+    /// Number of starts that a machine refused for lack of free resources.
     pub starts_refused: u64,
-    /// Violations in the order in which they were found.
+    /// Violations in the order in which they were detected.
     pub violations: Vec<Violation>,
     specs: BTreeMap<JobId, JobSpec>,
     observed_jobs: BTreeMap<JobId, ObservedJob>,
     running: RunningTasks,
     completed: BTreeSet<TaskId>,
     completed_per_job: BTreeMap<JobId, usize>,
-    /// When each job's first task began.
+    /// When the first task of each job started; of a gang, when all its tasks began to run.
     started_at: BTreeMap<JobId, f64>,
     gang_starts: GangStarts,
     /// Jobs whose cancellation a client has observed.
     cancelled: BTreeSet<JobId>,
-    /// Tasks that were reported as running after the deadline of a cancellation.
+    /// Tasks that were reported for running after the cancellation deadline.
     reported_after_cancellation: BTreeSet<TaskId>,
-    /// When each start was sent directly that no heartbeat response has repeated since.
+    /// When each start was sent as a direct command, unless a heartbeat response has repeated
+    /// the start since.
     direct_starts: BTreeMap<TaskId, f64>,
-    /// Since when each job has been pending although a machine could take it.
+    /// Since when each job has been pending although free machines could run it.
     pending_since: BTreeMap<JobId, f64>,
-    /// When the leadership under each fencing token began, by its node's clock.
-    leadership_terms: BTreeMap<u64, f64>,
+    /// When the leadership under each fencing token began, by the clock of its node.
+    leadership_started_at: BTreeMap<u64, f64>,
 }
 
 impl InvariantChecker {
-    /// A checker for a deployment.
+    /// Creates a checker for a deployment that has observed nothing yet.
     pub fn new(deployment: Deployment) -> InvariantChecker {
         InvariantChecker {
             deployment,
@@ -97,7 +99,7 @@
             reported_after_cancellation: BTreeSet::new(),
             direct_starts: BTreeMap::new(),
             pending_since: BTreeMap::new(),
-            leadership_terms: BTreeMap::new(),
+            leadership_started_at: BTreeMap::new(),
         }
     }
 
@@ -106,53 +108,55 @@
         self.violations.push(Violation { invariant, details });
     }
 
-    /// A client sends a submission.
+    /// Records that a client submits a job.
     pub fn on_submission(&mut self, spec: &JobSpec) {
         self.observed_jobs.entry(spec.id.clone()).or_default().submitted = true;
         self.specs.insert(spec.id.clone(), spec.clone());
     }
 
-    /// A client sends a cancellation.
+    /// Records that a client requests the cancellation of a job.
     pub fn on_cancel_request(&mut self, job: &JobId) {
         self.observed_jobs.entry(job.clone()).or_default().cancel_requested = true;
     }
 
-    /// A client receives a response about a job, or gives up waiting for it.
+    /// Records a response about a job, or the timeout of a request about it, and checks it
+    /// against what clients have observed before.
     pub fn on_response(&mut self, job: &JobId, response: &JobResponse) {
         let mut violated = Vec::new();
         violated.extend(self.check_availability(job, response));
         if response.is_success() {
-            violated.extend(self.check_not_invented(job));
+            violated.extend(self.check_no_invented_job(job));
             self.observed_jobs.entry(job.clone()).or_default().accept(response.received_at);
-            violated.extend(self.check_can_run(job, response));
+            violated.extend(self.check_accepted_job_can_run(job, response));
             violated.extend(self.check_state_order(job, response));
-            violated.extend(self.check_done(job, response));
+            violated.extend(self.check_done_is_completed(job, response));
         } else {
-            violated.extend(self.check_not_forgotten(job, response));
+            violated.extend(self.check_accepted_job_kept(job, response));
         }
         for invariant in violated {
             let JobResponse { received_at, status, state, .. } = response;
-            self.report(invariant, format!("{received_at:.2}: {job} told {status} {state:?}"));
+            let details = format!("{received_at:.2}: {job}: status {status}, state {state:?}");
+            self.report(invariant, details);
         }
     }
 
-    /// A task occupies a machine from now on.
+    /// Records that a task is on a machine from now on, and checks the invariants of a start.
     pub fn on_task_started(&mut self, now: f64, task: &TaskId, machine: &MachineIdentity) {
         self.starts += 1;
         let Some(spec) = self.specs.get(&task.job).cloned() else { return };
         self.check_single_execution(now, task, machine);
         self.check_start_after_cancellation(now, task, &spec, machine);
-        // A gang has begun when all its tasks run, not when one waits for the others.
+        // A gang has started when all its tasks run, not when one waits for the others.
         if spec.kind != JobKind::Gang {
             self.started_at.entry(task.job.clone()).or_insert(now);
         }
         self.check_placement(now, task, &spec, machine);
         self.running.add(task, &spec, machine);
-        self.check_quota(now, &spec.team);
+        self.check_team_quota(now, &spec.team);
         self.check_cancellation_deadlines(now);
     }
 
-    /// A task no longer occupies a machine.
+    /// Records that a task is no longer on a machine, and whether it completed.
     pub fn on_task_ended(&mut self, task: &TaskId, machine: &str, completed: bool) {
         self.running.remove(task, machine, self.specs.get(&task.job));
         if completed && self.completed.insert(task.clone()) {
@@ -160,13 +164,13 @@
         }
     }
 
-    /// The description of a job.
+    /// The specification of a job; `None` if no client has submitted the job.
     pub fn spec(&self, job: &JobId) -> Option<JobSpec> {
         self.specs.get(job).cloned()
     }
 
-    /// The description of a task's job, with the task's own run time; none if the job has no
-    /// such task.
+    /// The specification of a task's job, with the run time of this task; `None` if the job has
+    /// no such task.
     pub fn task_spec(&self, task: &TaskId) -> Option<JobSpec> {
         let mut spec = self.spec(&task.job).filter(|spec| task.index < spec.tasks)?;
         let step_s = self.run_step_s.get(&task.job).copied().unwrap_or_default();
@@ -174,17 +178,17 @@
         Some(spec)
     }
 
-    /// The latest state of a job that its client observed.
+    /// The latest state of a job that a client observed; `None` if none did.
     pub fn last_state(&self, job: &JobId) -> Option<JobState> {
         self.observed_jobs.get(job).and_then(|observed| observed.last_state)
     }
 
-    /// How many tasks of a job are on machines.
+    /// Number of a job's tasks on machines. A task on two machines counts twice.
     pub fn tasks_on_machines(&self, job: &JobId) -> usize {
         self.running.of_job(job).map(|(_, placements)| placements.len()).sum()
     }
 
-    /// When a job's first task began, or all tasks of a gang.
+    /// When the first task of a job started; of a gang, when all its tasks began to run.
     pub fn started_at(&self, job: &JobId) -> Option<f64> {
         self.started_at.get(job).copied()
     }
@@ -194,12 +198,12 @@
         self.running.used_by_team(team).cpus
     }
 
-    /// How many jobs are cancelled, as observed by clients.
+    /// Number of jobs that clients have observed as cancelled.
     pub fn cancelled_jobs(&self) -> usize {
         self.cancelled.len()
     }
 
-    /// How many of their tasks are still on machines.
+    /// Number of tasks of these cancelled jobs that are still on machines.
     pub fn cancelled_tasks_on_machines(&self) -> usize {
         self.cancelled.iter().flat_map(|job| self.running.of_job(job)).count()
     }
--- a/crates/gladekeel-testkit/src/invariants/observed_job.rs
+++ b/crates/gladekeel-testkit/src/invariants/observed_job.rs
@@ -1,63 +1,64 @@
 //! What the clients of a job have observed, in the order of the responses.
 //!
 //! Clients have several requests in flight at once, and the responses may overtake one
-//! another. A response contradicts an earlier one only if its request was sent after that
-//! one had arrived.
+//! another. A response contradicts an earlier one only if its request was sent after the
+//! earlier response had arrived.
 
 use gladekeel_wire::job::JobState;
 
-/// What a client asked for.
+/// Kind of a client's request about a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobRequest {
-    /// To accept the job.
+    /// Submission of the job.
     Submit,
-    /// To tell its state or to cancel it.
+    /// Query of the job's state, or cancellation.
     Other,
 }
 
-/// A response about a job, or the end of the wait for one.
+/// A response to a request about a job, or the timeout of the request.
 #[derive(Debug, Clone, Copy)]
 pub struct JobResponse {
-    /// When the request was sent.
+    /// When the request was sent, in seconds.
     pub sent_at: f64,
-    /// When the response arrived.
+    /// When the response arrived or the request timed out, in seconds.
     pub received_at: f64,
-    /// The request.
+    /// Kind of the request.
     pub request: JobRequest,
-    /// The status; 0 if there was no response in time.
+    /// HTTP status of the response; 0 if the request timed out.
     pub status: u16,
-    /// The state of the job, if the response tells it.
+    /// State of the job; `None` if the response does not contain it.
     pub state: Option<JobState>,
 }
 
 impl JobResponse {
-    /// Whether the job is known, by this response.
+    /// Whether the response shows that the job is known.
     pub(super) fn is_success(&self) -> bool {
         matches!(self.status, 200 | 201)
     }
 }
 
-/// The history of a job as its clients observe it.
+/// What clients have observed of a job so far.
 #[derive(Debug, Default)]
 pub(super) struct ObservedJob {
-    /// A client has sent the submission.
+    /// Whether a client has submitted the job.
     pub submitted: bool,
-    /// A client has asked to cancel it.
+    /// Whether a client has requested the cancellation of the job.
     pub cancel_requested: bool,
-    /// Since when requests have had no answer.
-    pub unanswered_since: Option<f64>,
-    /// When a client first observed that it is accepted.
+    /// When the first of the latest requests that all failed ended; `None` if the latest request
+    /// succeeded.
+    pub failing_since: Option<f64>,
+    /// When a client first observed that the job is accepted.
     pub accepted_at: Option<f64>,
-    /// When a client first observed that it is cancelled.
+    /// When a client first observed that the job is cancelled.
     pub cancelled_at: Option<f64>,
-    /// When a client first observed a final state.
+    /// When a client first observed a final state of the job.
     pub final_at: Option<f64>,
-    /// The latest observed state, by the order of the requests.
+    /// Latest observed state. A response that a final state has overtaken does not change it.
     pub last_state: Option<JobState>,
 }
 
 impl ObservedJob {
-    /// A client observes that the job is accepted.
+    /// Records that a client observes that the job is accepted.
     pub fn accept(&mut self, now: f64) {
         self.accepted_at.get_or_insert(now);
     }
@@ -72,7 +73,7 @@
         self.final_at.is_some_and(|final_at| response.sent_at >= final_at)
     }
 
-    /// The final state that was observed, if any.
+    /// The final state that was observed; `None` if there is none.
     pub fn final_state(&self) -> Option<JobState> {
         self.last_state.filter(|state| state.is_final())
     }
--- a/crates/gladekeel-testkit/src/invariants/response_status.rs
+++ b/crates/gladekeel-testkit/src/invariants/response_status.rs
@@ -1,22 +1,24 @@
-//! Repeated and malformed requests have one right status.
+//! Repeated and malformed requests have exactly one correct status.
 //!
-//! Clients repeat what they got no answer to, and rely on 200 for a job that is known. A
-//! request that can't be carried out is refused for its own reason, now or later.
+//! Clients repeat requests that got no response, and rely on status 200 for a job that is
+//! already known. A request that cannot be executed is refused for its own reason, at once or
+//! after retries.
 
 use super::{Invariant, InvariantChecker};
 
 impl InvariantChecker {
-    /// A request whose only right status is `expected` is answered with `status`. It may also
-    /// be rate limited, be put off, or get no answer (0).
+    /// Checks the status of the response to a request whose only correct status is `expected`.
+    /// The request may also be rate limited, get a temporary error or get no response (status 0).
     pub fn check_status(&mut self, now: f64, expected: u16, status: u16, request: &str) {
-        let put_off = matches!(status, 0 | 429 | 503 | 504);
-        if status != expected && !put_off {
+        let is_temporary = matches!(status, 0 | 429 | 503 | 504);
+        if status != expected && !is_temporary {
             let details = format!("{now:.2}: {status} instead of {expected}: {request}");
             self.report(Invariant::ResponseStatus, details);
         }
     }
 
-    /// Bytes that are no request are answered with `status`: they must be refused, or put off.
+    /// Checks the status of the response to bytes that are not a valid request: they must be
+    /// refused, or get the temporary error 503.
     pub fn check_invalid_bytes_status(&mut self, status: u16) {
         if !(400..500).contains(&status) && status != 503 {
             let details = format!("invalid bytes got status {status}");
--- a/crates/gladekeel-testkit/src/invariants/running_tasks.rs
+++ b/crates/gladekeel-testkit/src/invariants/running_tasks.rs
@@ -1,10 +1,10 @@
-//! Which tasks are on which machines, and what they use there.
+//! The tasks on machines and the CPUs and GPUs that they use.
 
 use crate::stand_ins::worker::MachineIdentity;
 use gladekeel_wire::{JobId, TaskId, job::JobSpec};
 use std::collections::BTreeMap;
 
-/// Where a task is.
+/// The machine that a task is on.
 #[derive(Debug, Clone)]
 pub(super) struct TaskPlacement {
     /// Name of the machine.
@@ -19,23 +19,24 @@
     pub gpus: f64,
 }
 
-/// How many other tasks of a task's job are in a zone, and in all other zones.
+/// Number of other tasks of a task's job in a zone and in all other zones.
 pub(super) struct TasksByZone {
     pub same_zone: u32,
     pub other_zones: u32,
 }
 
-/// Every task on a machine. A task that waits for its gang is on its machine.
+/// All tasks on machines. A task that waits for its gang is on its machine too.
 #[derive(Debug, Default)]
 pub(super) struct RunningTasks {
     placements: BTreeMap<TaskId, Vec<TaskPlacement>>,
-    /// How many tasks of each job are in each zone.
+    /// Number of tasks of each job in each zone.
     tasks_by_zone: BTreeMap<JobId, BTreeMap<String, u32>>,
+    /// Usage of each team.
     usage: BTreeMap<String, TeamUsage>,
 }
 
 impl RunningTasks {
-    /// Adds a task that occupies a machine from now on.
+    /// Adds a task that is on a machine from now on.
     pub fn add(&mut self, task: &TaskId, spec: &JobSpec, machine: &MachineIdentity) {
         let zones = self.tasks_by_zone.entry(task.job.clone()).or_default();
         *zones.entry(machine.zone.clone()).or_default() += 1;
@@ -49,7 +50,7 @@
     /// Removes a task from a machine.
     pub fn remove(&mut self, task: &TaskId, machine: &str, spec: Option<&JobSpec>) {
         let Some(placements) = self.placements.get_mut(task) else { return };
-        let before = placements.len();
+        let count_before = placements.len();
         if let Some(zones) = self.tasks_by_zone.get_mut(&task.job) {
             for placement in placements.iter().filter(|placement| placement.machine == machine) {
                 zones.entry(placement.zone.clone()).and_modify(|count| *count -= 1);
@@ -59,7 +60,7 @@
         if let Some(spec) = spec
             && let Some(usage) = self.usage.get_mut(&spec.team)
         {
-            let removed = (before - placements.len()) as f64;
+            let removed = (count_before - placements.len()) as f64;
             usage.cpus -= spec.cpus * removed;
             usage.gpus -= spec.gpus * removed;
         }
@@ -68,35 +69,37 @@
         }
     }
 
-    /// Where a task is; on more than one machine if an invariant is violated.
+    /// The placements of a task: at most one, unless [`Invariant::SingleExecution`] is violated.
+    ///
+    /// [`Invariant::SingleExecution`]: super::Invariant::SingleExecution
     pub fn of_task(&self, task: &TaskId) -> &[TaskPlacement] {
         self.placements.get(task).map_or(&[], Vec::as_slice)
     }
 
-    /// The tasks of a job that are on machines.
+    /// The tasks of a job that are on machines, with their placements.
     pub fn of_job(&self, job: &JobId) -> impl Iterator<Item = (&TaskId, &Vec<TaskPlacement>)> {
         let first = TaskId { job: job.clone(), index: 0 };
         let last = TaskId { job: job.clone(), index: u32::MAX };
         self.placements.range(first..=last)
     }
 
-    /// What a team's tasks use.
+    /// CPUs and GPUs that a team's tasks use.
     pub fn used_by_team(&self, team: &str) -> TeamUsage {
         self.usage.get(team).copied().unwrap_or_default()
     }
 
-    /// The other tasks of a task's job, by whether they are in this zone.
+    /// Number of other tasks of a task's job in this zone and in all other zones.
     pub fn other_tasks_by_zone(&self, task: &TaskId, zone: &str) -> TasksByZone {
         let Some(zones) = self.tasks_by_zone.get(&task.job) else {
             return TasksByZone { same_zone: 0, other_zones: 0 };
         };
         let own = self.of_task(task);
-        let own_here = own.iter().filter(|placement| placement.zone == zone).count() as u32;
-        let here = zones.get(zone).copied().unwrap_or(0);
+        let own_in_zone = own.iter().filter(|placement| placement.zone == zone).count() as u32;
+        let in_zone = zones.get(zone).copied().unwrap_or(0);
         let all: u32 = zones.values().sum();
         TasksByZone {
-            same_zone: here - own_here,
-            other_zones: all - here - (own.len() as u32 - own_here),
+            same_zone: in_zone - own_in_zone,
+            other_zones: all - in_zone - (own.len() as u32 - own_in_zone),
         }
     }
 }
--- a/crates/gladekeel-testkit/src/invariants/starvation.rs
+++ b/crates/gladekeel-testkit/src/invariants/starvation.rs
@@ -1,8 +1,8 @@
-//! A job does not stay pending next to a machine that could take it.
+//! A job does not stay pending while free machines could run it.
 //!
-//! This is a liveness check: it only counts while no fault is active.
+//! This is a liveness check: it only applies while no fault is active.
 
-use super::{Invariant, InvariantChecker, ROUNDING, running_tasks::TeamUsage};
+use super::{Invariant, InvariantChecker, LIMIT_TOLERANCE, running_tasks::TeamUsage};
 use crate::stand_ins::resources::Resources;
 use gladekeel_wire::{
     JobId,
@@ -10,19 +10,19 @@
 };
 use std::collections::BTreeSet;
 
-/// How long a job may be pending next to a machine that could take it.
+/// How long a job may be pending while free machines could run it, in seconds.
 const MAX_PENDING_S: f64 = 90.0;
 
-/// A healthy machine and what is free on it.
+/// A healthy machine with its free resources.
 #[derive(Debug, Clone)]
 pub struct FreeCapacity {
-    /// Its machine type.
+    /// Machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// What no task uses.
+    /// Resources that no task uses.
     pub free: Resources,
 }
 
@@ -33,7 +33,7 @@
             && spec.zone.as_ref().is_none_or(|zone| *zone == self.zone)
     }
 
-    /// How many tasks of a job fit, `max` at most.
+    /// How many tasks of a job fit on the machine, at most `max`.
     fn count_fitting(&self, spec: &JobSpec, max: u32) -> u32 {
         let (mut free, mut count) = (self.free, 0);
         while count < max && free.fits(spec) {
@@ -45,8 +45,9 @@
 }
 
 impl InvariantChecker {
-    /// Checks the pending jobs against the free capacity. `active` are the jobs with tasks on
-    /// machines, those whose image is being fetched too.
+    /// Reports jobs that have been pending for too long although the machines in `free` could
+    /// run them. `active` holds the jobs that have tasks on machines, including tasks whose image
+    /// is being fetched.
     pub fn check_pending(&mut self, now: f64, free: &[FreeCapacity], active: &BTreeSet<JobId>) {
         if now < self.faults_cleared_at {
             return self.pending_since.clear();
@@ -56,24 +57,27 @@
         for job in pending {
             let since = *self.pending_since.entry(job.clone()).or_insert(now);
             if now - since > MAX_PENDING_S {
-                // Reported once.
+                // Prevents a second report.
                 self.pending_since.insert(job.clone(), f64::MAX);
-                self.report(Invariant::NoStarvation, format!("{now:.2}: {job} since {since:.2}"));
+                self.report(
+                    Invariant::NoStarvation,
+                    format!("{now:.2}: {job} pending since {since:.2}"),
+                );
             }
         }
     }
 
-    /// Accepted jobs that have nothing on machines and could begin now.
+    /// Accepted jobs without tasks on machines that could start now.
     fn startable_jobs(&self, free: &[FreeCapacity], active: &BTreeSet<JobId>) -> BTreeSet<JobId> {
         let startable = |job: &JobId| {
             let Some(spec) = self.specs.get(job) else { return false };
-            // A job that fails everywhere is backed off on purpose.
+            // Tasks of this class fail on every machine; the leader backs off such jobs on purpose.
             let backed_off = spec.class == "faulty";
             !backed_off && self.has_capacity(spec, free) && !self.all_tasks_completed(job)
         };
         let unfinished = self.observed_jobs.iter().filter(|(_, observed)| {
-            let over = observed.last_state.is_none_or(JobState::is_final);
-            observed.accepted_at.is_some() && !observed.cancel_requested && !over
+            let finished = observed.last_state.is_none_or(JobState::is_final);
+            observed.accepted_at.is_some() && !observed.cancel_requested && !finished
         });
         unfinished
             .map(|(job, _)| job)
@@ -82,24 +86,24 @@
             .collect()
     }
 
-    /// Whether a job that has nothing on machines could begin now.
+    /// Whether a job without tasks on machines could start now.
     fn has_capacity(&self, spec: &JobSpec, free: &[FreeCapacity]) -> bool {
-        // An array begins with one task, the others with all of them.
-        let at_once = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
+        // An array can start with one task; other jobs need all their tasks to start at once.
+        let tasks_at_once = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
         let mut fitting = 0;
         for machine in free.iter().filter(|machine| machine.is_allowed_by(spec)) {
-            fitting += machine.count_fitting(spec, at_once - fitting);
+            fitting += machine.count_fitting(spec, tasks_at_once - fitting);
         }
-        self.is_within_quota(spec, at_once) && fitting >= at_once
+        self.is_within_quota(spec, tasks_at_once) && fitting >= tasks_at_once
     }
 
-    /// Whether the team's limit allows so many more tasks of a job.
+    /// Whether the team's limit allows this number of additional tasks of a job.
     fn is_within_quota(&self, spec: &JobSpec, tasks: u32) -> bool {
         let TeamUsage { cpus, gpus } = self.running.used_by_team(&spec.team);
         let limit = self.deployment.teams.iter().find(|limit| limit.name == spec.team);
         limit.is_some_and(|limit| {
-            cpus + spec.cpus * f64::from(tasks) <= limit.cpus_max + ROUNDING
-                && gpus + spec.gpus * f64::from(tasks) <= limit.gpus_max + ROUNDING
+            cpus + spec.cpus * f64::from(tasks) <= limit.cpus_max + LIMIT_TOLERANCE
+                && gpus + spec.gpus * f64::from(tasks) <= limit.gpus_max + LIMIT_TOLERANCE
         })
     }
 }
--- a/crates/gladekeel-testkit/src/invariants/state_order.rs
+++ b/crates/gladekeel-testkit/src/invariants/state_order.rs
@@ -1,11 +1,12 @@
-//! The states of a job that clients observe form one history: a final state stays, only a
-//! job whose client asked for it is cancelled, and one that is done has completed.
+//! The states of a job that clients observe are consistent: a final state does not change,
+//! only a job whose client requested its cancellation is cancelled, and a job that is done has
+//! completed all its tasks.
 
 use super::{Invariant, InvariantChecker, JobResponse};
 use gladekeel_wire::{JobId, TaskId, job::JobState};
 
 impl InvariantChecker {
-    /// Checks the state in a response against those observed before, and records it.
+    /// Checks the state in a response against the states observed before, and records it.
     pub(super) fn check_state_order(
         &mut self,
         job: &JobId,
@@ -31,8 +32,13 @@
         (contradicts || unrequested).then_some(Invariant::StateOrder)
     }
 
-    /// A job that is done has completed all its tasks: its client reads the results.
-    pub(super) fn check_done(&self, job: &JobId, response: &JobResponse) -> Option<Invariant> {
+    /// Checks that a job that is done has completed all its tasks: its client then reads the
+    /// results.
+    pub(super) fn check_done_is_completed(
+        &self,
+        job: &JobId,
+        response: &JobResponse,
+    ) -> Option<Invariant> {
         if response.state != Some(JobState::Done) {
             return None;
         }
