--- a/crates/gladekeel-testkit/src/stand_ins/cloud.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/cloud.rs
@@ -1,4 +1,5 @@
-//! A fake cloud: machine types, rented machines, limited capacity and a list that lags.
+//! A fake cloud: machine types, rented machines, limited capacity and a list of machines that
+//! lags behind.
 
 use gladekeel_controller::cloud_api::{CloudOutcome, CloudRequest};
 use gladekeel_wire::cloud::{
@@ -6,33 +7,34 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time to boot of a machine whose type is not known.
+/// Boot time of a machine whose type is unknown, in seconds.
 const DEFAULT_BOOT_S: f64 = 30.0;
 
-/// A machine that was rented at some time.
+/// A machine that was rented, and that may have been deleted or reclaimed since.
 #[derive(Debug, Clone)]
 pub struct RentedMachine {
-    /// Its machine type.
+    /// Machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// When it was rented.
+    /// When the machine was rented.
     pub rented_at: f64,
-    /// When it is up; never if it does not boot.
+    /// When the machine has booted; `None` if it never boots.
     pub up_at: Option<f64>,
-    /// When it went, returned by its controllers or taken by the cloud.
+    /// When a controller deleted the machine or the cloud reclaimed it; `None` while it exists.
     pub gone_at: Option<f64>,
 }
 
 impl RentedMachine {
-    /// Its row in the list of machines as of a time.
+    /// The machine's entry in the list of machines, as of a time.
     fn listed(&self, name: &str, as_of: f64) -> ListedMachine {
         let up = self.up_at.is_some_and(|up_at| up_at <= as_of);
         ListedMachine {
             name: name.to_owned(),
-            // Its worker's address here, known once it is up.
+            // In the simulation, the address of a worker is the name of its machine. It is known
+            // once the machine has booted.
             addr: up.then(|| name.to_owned()),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
@@ -43,21 +45,22 @@
     }
 }
 
-/// The request that a request id was used for, and the machines that it got.
+/// A request to rent machines, kept by its request id, and the machines that it got.
 #[derive(Debug)]
 struct Rental {
+    /// Debug text of the request, to detect another request with the same id.
     request: String,
     machines: Vec<String>,
 }
 
-/// The outcome of a request, and what it changes at once.
+/// The outcome of a request, and the machines that it rented or deleted.
 #[derive(Debug)]
 pub struct CloudResponse {
-    /// What the controller receives.
+    /// Outcome that the controller receives.
     pub outcome: CloudOutcome,
     /// Names of the machines that begin to boot.
     pub rented: Vec<String>,
-    /// Names of the machines that are gone.
+    /// Names of the machines that no longer exist.
     pub deleted: Vec<String>,
 }
 
@@ -67,29 +70,29 @@
     }
 }
 
-/// The cloud.
+/// A fake cloud.
 #[derive(Debug)]
 pub struct FakeCloud {
-    /// Its machine types.
+    /// Machine types that the cloud offers.
     pub types: Vec<MachineType>,
-    /// Free machines by zone and spot.
+    /// Number of free machines, by zone and by whether they are spot machines.
     pub capacity: BTreeMap<(String, bool), u32>,
-    /// All machines ever rented.
+    /// All machines ever rented, by name.
     pub machines: BTreeMap<String, RentedMachine>,
-    /// During an outage every request is refused.
+    /// Whether there is an outage, during which the cloud refuses every request.
     pub down: bool,
-    /// By how much the list of machines is behind, in seconds.
+    /// How far the list of machines lags behind, in seconds.
     pub list_lag_s: f64,
-    /// So many machines that are rented next never boot.
+    /// Number of machines, of those that are rented next, that never boot.
     pub machines_not_booting: u32,
-    /// Requests that no client may send.
+    /// Descriptions of requests that violate the protocol.
     pub protocol_errors: Vec<String>,
     rentals: BTreeMap<String, Rental>,
     machines_rented: u64,
 }
 
 impl FakeCloud {
-    /// A cloud of which no machine is rented.
+    /// Creates a cloud of which no machine is rented.
     pub fn new(
         types: Vec<MachineType>,
         capacity: BTreeMap<(String, bool), u32>,
@@ -125,12 +128,12 @@
         }
     }
 
-    /// Rents machines; a repeated request gets the same ones.
+    /// Rents machines. A repeated request gets the same machines.
     fn rent(&mut self, now: f64, rent: &RentRequest) -> CloudResponse {
         let request = format!("{rent:?}");
         if let Some(rental) = self.rentals.get(&rent.request_id) {
             if rental.request != request {
-                let error = format!("request id {} used twice", rent.request_id);
+                let error = format!("request id {} used for two requests", rent.request_id);
                 self.protocol_errors.push(error);
             }
             return CloudOutcome::Rented(rental.machines.clone()).into();
@@ -174,7 +177,7 @@
         CloudResponse { outcome: CloudOutcome::Deleted, rented: Vec::new(), deleted }
     }
 
-    /// The machines as they were before the lag.
+    /// Lists the machines as they were `list_lag_s` ago, those whose names follow `after`.
     fn list(&self, now: f64, after: Option<&str>) -> MachinePage {
         let as_of = now - self.list_lag_s;
         let listed = self.machines.iter().filter(|(name, machine)| {
@@ -186,7 +189,8 @@
         MachinePage { machines, truncated: false }
     }
 
-    /// A machine goes; returns whether it was there.
+    /// Removes a machine that is deleted or reclaimed, and makes its capacity free again. Returns
+    /// whether the machine existed.
     pub fn remove_machine(&mut self, now: f64, name: &str) -> bool {
         let machine = self.machines.get_mut(name).filter(|machine| machine.gone_at.is_none());
         let Some(machine) = machine else { return false };
@@ -196,7 +200,7 @@
         true
     }
 
-    /// Names of the machines that are there.
+    /// Names of the machines that exist.
     pub fn present(&self) -> BTreeSet<String> {
         let present = self.machines.iter().filter(|(_, machine)| machine.gone_at.is_none());
         present.map(|(name, _)| name.clone()).collect()
--- a/crates/gladekeel-testkit/src/stand_ins/gang.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/gang.rs
@@ -1,8 +1,9 @@
-//! GangRuntime, seen across machines: what the tasks of a job and attempt do together.
+//! What the tasks of a gang do together, across machines.
 //!
-//! A worker alone brings a task of a gang up to `waiting` and takes its commands. What
-//! depends on the other tasks is worked out here, step by step, from the tasks as they
-//! are on the machines; nothing is kept that a machine would have to report first.
+//! A [`FakeWorker`] alone brings a task of a gang up to the state `waiting` and executes
+//! commands for it. [`GangRuntime`] computes, step by step, everything that depends on the other
+//! tasks of the attempt. It reads the tasks directly from the workers and keeps nothing that a
+//! machine would have to send first.
 
 use crate::stand_ins::worker::{FAILS_AFTER_S, FakeTask, FakeWorker, WorkerEvent};
 use gladekeel_wire::{
@@ -15,65 +16,68 @@
     rc::Rc,
 };
 
-/// What the attempts of a gang have achieved so far.
+/// What all attempts of a gang have achieved so far.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct GangRecord {
-    /// Numbers of the attempts that were on machines.
+    /// Numbers of the attempts that had a task on a machine.
     pub attempts: BTreeSet<u64>,
-    /// How often all its tasks began to run.
+    /// How often all tasks of the gang began to run.
     pub runs: u32,
-    /// How often an orderly stop saved its progress.
+    /// How often the gang wrote a checkpoint when it was stopped.
     pub stop_checkpoints: u32,
-    /// Saved progress, from which the next attempt continues, in seconds.
+    /// Progress at the latest checkpoint, from which the next attempt continues, in seconds.
     pub checkpointed_s: f64,
-    /// Progress that was lost, in seconds.
+    /// Progress that the gang lost, in seconds.
     pub lost_progress_s: f64,
-    /// Whether it has completed.
+    /// Whether the gang has completed.
     pub done: bool,
 }
 
 /// An attempt whose tasks have begun to run.
 #[derive(Debug, Clone)]
 struct GangRun {
-    /// Up to when its progress is counted.
+    /// Time up to which the progress is counted.
     counted_until: f64,
-    /// Progress of the job.
+    /// Progress of the job, in seconds.
     progress_s: f64,
-    /// When the first task was told to stop.
+    /// When the first task received a stop command; `None` if none has.
     stop_requested_at: Option<f64>,
-    /// A task has exited with the progress saved.
+    /// Whether the attempt has written a checkpoint on a stop and a task has exited after it.
     saved: bool,
-    /// When it lost a task.
+    /// When the attempt lost a task or failed to write its checkpoint on a stop; `None` if
+    /// neither has happened.
     failed_at: Option<f64>,
 }
 
 /// All gangs of a simulation.
 #[derive(Debug)]
 pub struct GangRuntime {
-    /// Within this time the tasks of a gang notice what befell another one.
+    /// Longest time until a task detects that another task of its gang failed or stopped, in
+    /// seconds.
     pub peer_s: f64,
-    /// Seeded fault: tasks run without waiting for the others.
+    /// Seeded fault: tasks run without waiting for the other tasks of their gang.
     pub run_partial_gangs: bool,
+    /// The attempts whose tasks have begun to run.
     runs: BTreeMap<(JobId, u64), GangRun>,
     jobs: BTreeMap<JobId, GangRecord>,
 }
 
-/// When the first task notices a failure, as a share of the time that it may take.
-const EARLIEST_NOTICE: f64 = 0.25;
-/// By which share of that time the last task notices it later.
-const NOTICE_SPREAD: f64 = 0.7;
+/// Share of `peer_s` before which no task of a gang detects a failure.
+const EARLIEST_DETECTION: f64 = 0.25;
+/// Share of `peer_s` over which the tasks of a gang detect a failure, one after another.
+const DETECTION_SPREAD: f64 = 0.7;
 
-/// Progress that sums of small steps may fall short of the whole by.
+/// Tolerance for rounding errors of progress, which is a sum of small steps, in seconds.
 const ROUNDING_S: f64 = 1e-6;
 
-/// Where a task of a gang is.
+/// Where a task of a gang is located.
 #[derive(Debug, Clone)]
 struct GangMember {
-    /// The task's index in its job.
+    /// Index of the task in its job.
     index: u32,
-    /// Its machine.
+    /// Name of the machine.
     machine: Rc<str>,
-    /// Its position in the machine's list.
+    /// Position of the task in the list of the machine's worker.
     position: usize,
 }
 
@@ -88,7 +92,7 @@
 }
 
 /// Whether a task waits for its gang or runs with it.
-fn takes_part(task: &FakeTask) -> bool {
+fn is_waiting_or_running(task: &FakeTask) -> bool {
     matches!(task.state, TaskState::Waiting | TaskState::Running)
 }
 
@@ -97,7 +101,7 @@
 }
 
 impl GangRuntime {
-    /// No gangs yet.
+    /// Creates a runtime without gangs.
     pub fn new(peer_s: f64) -> GangRuntime {
         GangRuntime {
             peer_s,
@@ -107,12 +111,13 @@
         }
     }
 
-    /// What a job has achieved so far.
+    /// What all attempts of a gang have achieved so far.
     pub fn record(&self, job: &JobId) -> GangRecord {
         self.jobs.get(job).cloned().unwrap_or_default()
     }
 
-    /// Advances all gangs to the present. Returns the events by the name of their machine.
+    /// Advances all gangs to the time `now`. Returns the events, each with the name of its
+    /// machine.
     pub fn step(
         &mut self,
         now: f64,
@@ -122,9 +127,9 @@
         let mut events = Vec::new();
         let keys: BTreeSet<_> = members.keys().chain(self.runs.keys()).cloned().collect();
         for key in keys {
-            let here = members.remove(&key).unwrap_or_default();
+            let present = members.remove(&key).unwrap_or_default();
             let (waiting, running): (Vec<GangMember>, Vec<GangMember>) =
-                here.into_iter().partition(|m| m.task(workers).state == TaskState::Waiting);
+                present.into_iter().partition(|m| m.task(workers).state == TaskState::Waiting);
             if self.runs.contains_key(&key) {
                 self.advance(now, &key, &running, workers, &mut events);
             }
@@ -135,7 +140,8 @@
         events
     }
 
-    /// The tasks on the machines that wait for their gang or run with it, by attempt.
+    /// Finds the tasks on machines that wait for their gang or run with it, by attempt. Records
+    /// every attempt that has a task on a machine.
     fn find_members(
         &mut self,
         workers: &BTreeMap<String, FakeWorker>,
@@ -145,12 +151,13 @@
             let name: Rc<str> = name.as_str().into();
             let tasks = worker.tasks.iter().enumerate();
             let tasks: Vec<_> = tasks.filter(|(_, task)| task.spec.kind == JobKind::Gang).collect();
-            // Tasks of an attempt mostly follow one another: a run of them is added at once.
+            // Tasks of one attempt are mostly adjacent in the list; adjacent ones are added
+            // together.
             for attempt in tasks.chunk_by(|(_, a), (_, b)| is_same_attempt(a, b)) {
                 let Some((_, first)) = attempt.first() else { continue };
                 let job = self.jobs.entry(first.task.job.clone()).or_default();
                 job.attempts.insert(first.attempt);
-                let found = attempt.iter().filter(|(_, task)| takes_part(task));
+                let found = attempt.iter().filter(|(_, task)| is_waiting_or_running(task));
                 let mut found = found
                     .map(|(position, task)| GangMember {
                         index: task.task.index,
@@ -167,7 +174,8 @@
         members
     }
 
-    /// Starts an attempt once all of its tasks wait.
+    /// Starts an attempt once all its tasks wait. If the gang is already done, its waiting tasks
+    /// exit as done.
     fn start_if_complete(
         &mut self,
         now: f64,
@@ -182,7 +190,7 @@
         let spec = first.task(workers).spec.clone();
         let job = self.jobs.entry(key.0.clone()).or_default();
         if job.done {
-            // The result is kept: whoever comes later has nothing left to do.
+            // The result is stored: a task that starts later has nothing left to do.
             for member in responsive {
                 exit(workers, member, ExitCause::Done, None, events);
             }
@@ -202,9 +210,9 @@
             task.state = TaskState::Running;
             task.state_ends_at = if fails { now + FAILS_AFTER_S } else { f64::MAX };
             task.cause = fails.then_some(ExitCause::Error);
-            let what =
+            let event =
                 WorkerEvent::GangTaskRunning { task: task.task.clone(), attempt: task.attempt };
-            events.push((member.machine.to_string(), what));
+            events.push((member.machine.to_string(), event));
         }
         let run = GangRun {
             counted_until: now,
@@ -216,7 +224,7 @@
         self.runs.insert(key.clone(), run);
     }
 
-    /// Advances an attempt that runs: it makes progress, stops, completes or fails.
+    /// Advances an attempt that runs: the attempt makes progress, stops, completes or fails.
     fn advance(
         &mut self,
         now: f64,
@@ -228,7 +236,7 @@
         let Some(run) = self.runs.get_mut(key) else { return };
         let job = self.jobs.entry(key.0.clone()).or_default();
         let Some(first) = running.first() else {
-            // Its last task is gone; what it had not kept is lost.
+            // The last task of the attempt has ended. Progress since the last checkpoint is lost.
             if let Some(run) = self.runs.remove(key)
                 && !run.saved
                 && run.failed_at.is_none()
@@ -249,7 +257,7 @@
             exit_after_failure(now, failed_at, self.peer_s, running, workers, events);
         } else if let Some(stop_requested_at) = run.stop_requested_at {
             let save_deadline = stop_requested_at + self.peer_s;
-            run.stop_in_order(now, save_deadline, job, running, workers, events);
+            run.stop_orderly(now, save_deadline, job, running, workers, events);
         } else if run.progress_s >= spec.estimate_s - ROUNDING_S {
             job.done = true;
             self.runs.remove(key);
@@ -261,8 +269,8 @@
 }
 
 impl GangRun {
-    /// Adds the progress since the last step. It ends with the first halt; what was made
-    /// until a task went is counted up to the last step that saw all of them.
+    /// Adds the progress since the last step. Progress ends with the first stop command. If a
+    /// task is lost, progress counts up to the last step at which all tasks were present.
     fn make_progress(
         &mut self,
         now: f64,
@@ -272,28 +280,28 @@
         workers: &BTreeMap<String, FakeWorker>,
     ) {
         let hung = running.iter().any(|member| member.worker(workers).hung);
-        let whole = running.len() == spec.tasks as usize && !hung;
+        let complete = running.len() == spec.tasks as usize && !hung;
         let until = self.stop_requested_at.map_or(now, |stopped_at| stopped_at.min(now));
-        if whole && until > self.counted_until {
-            let slowest = running.iter().map(|member| member.worker(workers).slowdown);
-            self.progress_s += (until - self.counted_until) / slowest.fold(1.0, f64::max);
+        if complete && until > self.counted_until {
+            let slowdowns = running.iter().map(|member| member.worker(workers).slowdown);
+            self.progress_s += (until - self.counted_until) / slowdowns.fold(1.0, f64::max);
         }
         self.counted_until = now;
-        keep_checkpoints(job, spec, self.progress_s);
-        if !whole {
+        record_checkpoint(job, spec, self.progress_s);
+        if !complete {
             self.fail(now, job);
         }
     }
 
-    /// The gang falls back to its last checkpoint.
+    /// Fails the attempt: the gang loses its progress since the last checkpoint.
     fn fail(&mut self, now: f64, job: &mut GangRecord) {
         self.failed_at = Some(now);
         job.lost_progress_s += self.progress_s - job.checkpointed_s;
     }
 
-    /// Lets an attempt whose first task was told to stop save and exit; the save fails if a task
-    /// is not told by `save_deadline`.
-    fn stop_in_order(
+    /// Lets an attempt of which a task has received a stop command write a checkpoint and exit.
+    /// The checkpoint fails if a task has not received a stop command by `save_deadline`.
+    fn stop_orderly(
         &mut self,
         now: f64,
         save_deadline: f64,
@@ -311,32 +319,33 @@
         };
         let all_requested = self.saved || running.iter().all(stop_requested);
         let all_saved = all_requested && running.iter().all(has_saved);
-        let mut leave = Vec::new();
+        let mut exits = Vec::new();
         for member in running.iter().filter(|member| !member.worker(workers).hung) {
             if all_requested {
                 if has_saved(member) && (all_saved || self.saved || now >= save_deadline) {
-                    leave.push((member, ExitCause::Stopped, Some(true)));
+                    exits.push((member, ExitCause::Stopped, Some(true)));
                 }
             } else if now >= save_deadline && stop_requested(member) {
-                leave.push((member, ExitCause::Stopped, Some(false)));
+                exits.push((member, ExitCause::Stopped, Some(false)));
             } else if now >= save_deadline {
-                leave.push((member, ExitCause::GangMemberLost, None));
+                exits.push((member, ExitCause::GangMemberLost, None));
             }
         }
         if !all_requested && now >= save_deadline {
             self.fail(now, job);
-        } else if !leave.is_empty() && !self.saved {
+        } else if !exits.is_empty() && !self.saved {
             self.saved = true;
             job.stop_checkpoints += 1;
             job.checkpointed_s = self.progress_s;
         }
-        for (member, cause, saved) in leave {
+        for (member, cause, saved) in exits {
             exit(workers, member, cause, saved, events);
         }
     }
 }
 
-/// Ends the tasks of an attempt that has lost one: some notice early, some as late as they may.
+/// Ends the tasks of an attempt that has failed, each when it detects the failure: at different
+/// times, the last of them shortly before `peer_s` has passed.
 fn exit_after_failure(
     now: f64,
     failed_at: f64,
@@ -348,15 +357,16 @@
     for member in running {
         let tasks = member.task(workers).spec.tasks;
         let rank = f64::from(member.index + 1) / f64::from(tasks);
-        let notices_at = failed_at + peer_s * (EARLIEST_NOTICE + NOTICE_SPREAD * rank);
-        if now >= notices_at && !member.worker(workers).hung {
+        let detects_at = failed_at + peer_s * (EARLIEST_DETECTION + DETECTION_SPREAD * rank);
+        if now >= detects_at && !member.worker(workers).hung {
             exit(workers, member, ExitCause::GangMemberLost, None, events);
         }
     }
 }
 
-/// Checkpoints lie at multiples of the job's progress, whichever attempt made it.
-fn keep_checkpoints(job: &mut GangRecord, spec: &JobSpec, progress_s: f64) {
+/// Records the latest checkpoint. The gang writes one at every multiple of
+/// `checkpoint_interval_s` of the job's progress, whichever attempt makes the progress.
+fn record_checkpoint(job: &mut GangRecord, spec: &JobSpec, progress_s: f64) {
     if spec.checkpoint_interval_s > 0.0 {
         let reached = ((progress_s + ROUNDING_S) / spec.checkpoint_interval_s).floor()
             * spec.checkpoint_interval_s;
@@ -364,7 +374,7 @@
     }
 }
 
-/// Ends a task on its machine.
+/// Ends a task on its machine and adds the event.
 fn exit(
     workers: &mut BTreeMap<String, FakeWorker>,
     member: &GangMember,
--- a/crates/gladekeel-testkit/src/stand_ins/mod.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Fakes of everything that a controller talks to. They behave as the protocol says and
-//! know nothing of the simulation that connects them.
+//! Fakes of everything that a controller communicates with: store, cloud and workers. They
+//! behave as the protocol defines and do not depend on the simulation that connects them.
 
 pub mod cloud;
 pub mod gang;
--- a/crates/gladekeel-testkit/src/stand_ins/resources.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/resources.rs
@@ -2,7 +2,7 @@
 
 use gladekeel_wire::job::JobSpec;
 
-/// CPUs, GPUs and memory of a machine, or what is free of them.
+/// CPUs, GPUs and memory of a machine, or the free part of them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Resources {
     /// CPUs.
@@ -14,12 +14,12 @@
 }
 
 impl Resources {
-    /// Whether a task of the job fits.
+    /// Whether these resources suffice for a task of the job.
     pub fn fits(&self, spec: &JobSpec) -> bool {
         spec.cpus <= self.cpus && spec.gpus <= self.gpus && spec.memory_gb <= self.memory_gb
     }
 
-    /// What is left beside a task of the job.
+    /// These resources without those that a task of the job uses.
     #[must_use]
     pub fn without(self, spec: &JobSpec) -> Resources {
         Resources {
--- a/crates/gladekeel-testkit/src/stand_ins/store.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/store.rs
@@ -8,29 +8,29 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Changes that are kept for watches.
+/// Number of changes that are kept for watches.
 const MAX_HISTORY: usize = 10_000;
-/// Entries of a page.
+/// Maximum number of entries in a page.
 const PAGE_ENTRIES: usize = 1000;
-/// Bytes of a transaction's body that no client may exceed.
+/// Maximum size of the body of a transaction, in bytes.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// Preconditions of a transaction for each write that it may have.
+/// Maximum number of preconditions of a transaction, per write that the limits allow.
 const PRECONDITIONS_PER_WRITE: usize = 4;
 
-/// Limits, as in the settings.
+/// Limits of the store, as in the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLimits {
     /// Requests per second.
     pub rps: f64,
     /// Writes per second.
     pub write_rps: f64,
-    /// Writes of a transaction.
+    /// Writes per transaction.
     pub txn_ops: usize,
-    /// Bytes of a value.
+    /// Bytes per value.
     pub value: usize,
 }
 
-/// A stored value.
+/// A stored value with its version and lease.
 #[derive(Debug)]
 struct Entry {
     value: Value,
@@ -38,7 +38,7 @@
     lease: Option<u64>,
 }
 
-/// A lease, with which the keys that are bound to it go.
+/// A lease. When it ends, the keys that are bound to it are deleted.
 #[derive(Debug)]
 struct Lease {
     ttl_s: f64,
@@ -52,7 +52,7 @@
     event: WatchEvent,
 }
 
-/// The store.
+/// A fake store.
 #[derive(Debug)]
 pub struct FakeStore {
     limits: StoreLimits,
@@ -63,25 +63,26 @@
     next_lease: u64,
     request_bucket: TokenBucket,
     write_bucket: TokenBucket,
-    /// During an outage every request is refused.
+    /// Whether there is an outage, during which the store refuses every request.
     pub down: bool,
-    /// Nodes that are refused although the others are served.
+    /// Indices of the nodes whose requests the store refuses while it serves the others.
     pub refused_nodes: Vec<usize>,
-    /// Requests that no client may send.
+    /// Descriptions of requests that violate the protocol.
     pub protocol_errors: Vec<String>,
-    /// Transactions that were refused as too large, once the limits have been lowered.
+    /// Descriptions of transactions that were refused as too large after the limits had been
+    /// lowered.
     pub too_large: Vec<String>,
     limits_lowered: bool,
-    /// Requests beyond a rate limit.
+    /// Number of requests that were refused because they exceeded a rate limit.
     pub rate_limited: u64,
-    /// Writes of committed transactions.
+    /// Number of writes in committed transactions.
     pub committed_writes: u64,
-    /// Bytes of committed transactions.
+    /// Number of bytes in committed transactions.
     pub committed_bytes: u64,
 }
 
 impl FakeStore {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new(limits: StoreLimits) -> FakeStore {
         FakeStore {
             limits,
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Lowers the limits, as `state.next` announces without a time. From now on what is
-    /// too large is refused; what is stored stays readable.
+    /// Lowers the limits. The setting `state.next` announces lower limits, but not when they
+    /// apply. From now on larger requests are refused, while stored values stay readable.
     pub fn lower_limits(&mut self, limits: StoreLimits) {
         if limits.write_rps != self.limits.write_rps {
             self.write_bucket = TokenBucket::new(limits.write_rps, limits.write_rps);
@@ -116,12 +117,12 @@
         self.limits_lowered = true;
     }
 
-    /// The limits as they are now.
+    /// The current limits.
     pub fn limits(&self) -> StoreLimits {
         self.limits
     }
 
-    /// Begins or ends an outage; after it every lease has its full time again.
+    /// Begins or ends an outage. When an outage ends, every lease has its full time to live again.
     pub fn set_outage(&mut self, now: f64, down: bool) {
         self.expire_leases(now);
         self.down = down;
@@ -237,7 +238,7 @@
             && let Some(excess) = self.excess(transaction)
         {
             self.too_large.push(format!("{now:.2}: {excess}"));
-            // The client does not distinguish a 400 to a commit from this.
+            // The client maps a 400 in response to a commit to this outcome.
             return StoreOutcome::LeaseNotFound;
         }
         let bytes = serde_json::to_vec(transaction).map_or(0, |body| body.len());
@@ -258,7 +259,7 @@
         StoreOutcome::Committed(self.apply(transaction))
     }
 
-    /// What of a transaction is beyond the limits, if anything.
+    /// Describes what in a transaction exceeds the limits; `None` if nothing does.
     fn excess(&self, transaction: &Transaction) -> Option<String> {
         let large_value = transaction.writes.iter().find_map(|write| match write {
             Write::Put { key, value, .. } if value.to_string().len() > self.limits.value => {
@@ -267,7 +268,7 @@
             _ => None,
         });
         let (writes, preconditions) = (transaction.writes.len(), transaction.preconditions.len());
-        let counts = format!("{writes} writes, {preconditions} guards");
+        let counts = format!("{writes} writes, {preconditions} preconditions");
         large_value.or(self.has_too_many_operations(transaction).then_some(counts))
     }
 
@@ -277,7 +278,7 @@
             || transaction.preconditions.len() > PRECONDITIONS_PER_WRITE * max_writes
     }
 
-    /// Notes a transaction that no client may send.
+    /// Records a protocol error if a transaction is larger than the protocol allows.
     fn check_transaction_size(&mut self, transaction: &Transaction, bytes: usize) {
         if bytes > MAX_TRANSACTION_BYTES || self.has_too_many_operations(transaction) {
             let writes = transaction.writes.len();
@@ -285,7 +286,8 @@
         }
     }
 
-    /// Checks the values and leases of the writes; returns whether all leases exist.
+    /// Records a protocol error for each value that is too large. Returns whether the leases of
+    /// all writes exist.
     fn check_writes(&mut self, transaction: &Transaction) -> bool {
         for write in &transaction.writes {
             let Write::Put { key, value, lease } = write else { continue };
@@ -299,7 +301,8 @@
         true
     }
 
-    /// Keys that do not have the version that the transaction expects; 0 stands for absent.
+    /// Keys that do not have the version that the transaction expects. Version 0 means that the
+    /// key does not exist.
     fn failed_preconditions(&self, transaction: &Transaction) -> Vec<String> {
         let version = |key: &str| self.entries.get(key).map_or(0, |entry| entry.version);
         let preconditions = transaction.preconditions.iter();
@@ -307,7 +310,7 @@
         failed.map(|expected| expected.key.clone()).collect()
     }
 
-    /// Applies the writes; returns the revision afterwards.
+    /// Applies the writes; returns the revision after them.
     fn apply(&mut self, transaction: &Transaction) -> u64 {
         if !transaction.writes.is_empty() {
             self.revision += 1;
@@ -333,7 +336,8 @@
         revision
     }
 
-    /// Makes every segment of the assignment log unreadable, or readable again.
+    /// Makes every segment of the assignment log unreadable, or readable again if `corrupt` is
+    /// false.
     pub fn corrupt_assignment_log(&mut self, corrupt: bool) {
         for (key, entry) in &mut self.entries {
             let text = entry.value.as_str().filter(|_| key.starts_with("gl/"));
@@ -346,7 +350,7 @@
         }
     }
 
-    /// Forgets all changes up to now, as if many had passed.
+    /// Removes all changes up to now from the history, as if many changes had followed them.
     pub fn compact_history(&mut self) {
         self.revision += 1;
         let event = WatchEvent::Delete { key: "elsewhere".into(), version: self.revision };
--- a/crates/gladekeel-testkit/src/stand_ins/worker/commands.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/commands.rs
@@ -9,14 +9,14 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where the tasks of a worker are in its list while one message is executed. The list is
-/// searched once for all commands: a response about a gang may hold hundreds, for a machine
-/// with thousands of tasks.
+/// Positions of the tasks in a worker's list while the commands of one message are executed.
+/// The list is searched once for all commands: a response about a gang may contain hundreds of
+/// commands, for a machine with thousands of tasks.
 struct TaskPositions {
     positions: BTreeMap<TaskId, Vec<usize>>,
-    /// Positions that the message forgets; they are no longer among those above.
+    /// Positions of the tasks that the worker forgets; `positions` no longer contains them.
     forgotten: BTreeSet<usize>,
-    /// What no task uses, if it is known.
+    /// Resources that no task uses; `None` until they are computed.
     free: Option<Resources>,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl FakeWorker {
-    /// Executes commands in order.
+    /// Executes commands in their order; returns the resulting events.
     pub(super) fn execute(
         &mut self,
         now: f64,
@@ -81,11 +81,11 @@
                 }
             }
         }
-        self.remove(&positions.forgotten);
+        self.remove_tasks(&positions.forgotten);
         events
     }
 
-    /// Starts a task; returns that it was refused, if that was for lack of resources.
+    /// Starts a task, or refuses to. Returns an event only if the machine lacks the resources.
     fn start(
         &mut self,
         now: f64,
@@ -158,7 +158,7 @@
         }
     }
 
-    fn remove(&mut self, forgotten: &BTreeSet<usize>) {
+    fn remove_tasks(&mut self, forgotten: &BTreeSet<usize>) {
         let mut position = 0;
         self.tasks.retain(|_| {
             position += 1;
@@ -166,12 +166,13 @@
         });
     }
 
-    /// How long the image takes to arrive.
+    /// How long the image is fetched, in seconds: 1 s per GB, or 0 if it is cached.
     fn fetch_s(&self, spec: &JobSpec) -> f64 {
         if self.cached_images.contains(&spec.image) { 0.0 } else { spec.image_gb }
     }
 
-    /// Some description, for a task whose own is not known: a refused task has to be listed.
+    /// The specification of any task on the worker, as a placeholder for a task whose own one is
+    /// unknown: the heartbeat must contain a refused task.
     fn any_spec(&self, positions: &TaskPositions) -> Option<JobSpec> {
         let mut tasks = self.tasks.iter().enumerate();
         let kept = tasks.find(|(position, _)| !positions.forgotten.contains(position));
--- a/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
@@ -13,18 +13,18 @@
 };
 use std::collections::BTreeSet;
 
-/// How long a task runs that fails.
+/// How long a task that fails runs, in seconds.
 pub(in crate::stand_ins) const FAILS_AFTER_S: f64 = 0.5;
 
-/// Finds the description of a task's job.
+/// Looks up the specification of a task's job; returns `None` if there is no such task.
 pub type FindSpec<'a> = dyn Fn(&TaskId) -> Option<JobSpec> + 'a;
 
-/// An event on a machine that the invariant checker has to know of.
+/// An event on a machine that the invariant checker must observe.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WorkerEvent {
-    /// A task has its image and occupies resources from now on.
+    /// A task has its image and occupies its machine from now on.
     TaskStarted(TaskId),
-    /// A task of a gang has met the others and begins to run.
+    /// A task of a gang begins to run, together with the other tasks.
     GangTaskRunning {
         /// The task.
         task: TaskId,
@@ -35,83 +35,85 @@
     TaskEnded {
         /// The task.
         task: TaskId,
-        /// Whether it completed, as opposed to having failed or been stopped.
+        /// Whether the task completed, rather than failed or was stopped.
         completed: bool,
     },
     /// A start was refused for lack of free resources.
     StartRefused(TaskId),
 }
 
-/// What of a machine never changes.
+/// The properties of a machine that never change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineIdentity {
-    /// Its name, which is also its worker's address in the simulation.
+    /// Name of the machine, which is also the address of its worker in the simulation.
     pub name: String,
-    /// Its machine type.
+    /// Machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone.
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
 }
 
-/// A heartbeat that a worker was about to send when it hung.
+/// A heartbeat that a worker was about to send when its machine hung.
 #[derive(Debug)]
 pub struct DelayedHeartbeat {
-    /// When it was made.
+    /// When the heartbeat was created.
     pub made_at: f64,
     /// The heartbeat.
     pub heartbeat: Heartbeat,
 }
 
-/// A worker.
+/// A fake worker and its machine.
 #[derive(Debug)]
 pub struct FakeWorker {
-    /// Its machine.
+    /// Identity of the machine.
     pub machine: MachineIdentity,
-    /// What the machine has.
+    /// Resources of the machine.
     pub capacity: Resources,
-    /// Number of the worker's life; a new one begins when its lease has expired.
+    /// Incarnation of the worker; increases when its lease expires or its machine reboots.
     pub incarnation: u64,
-    /// Number of the last heartbeat of this incarnation.
+    /// Sequence number of the last heartbeat of this incarnation.
     pub sequence: u64,
-    /// Highest fencing token seen.
+    /// Highest fencing token that the worker has seen.
     pub token: u64,
-    /// When the last answered heartbeat was sent.
+    /// When the last heartbeat that got a response was sent.
     pub lease_renewed_at: f64,
-    /// Length of its lease in seconds.
+    /// Duration of the worker's lease, in seconds.
     pub lease_s: f64,
-    /// The tasks that it knows, exited ones until they are forgotten.
+    /// All tasks on the worker, exited ones included until they are forgotten.
     pub tasks: Vec<FakeTask>,
-    /// Index of the node that it sends heartbeats to.
+    /// Index of the node that the worker sends its heartbeats to.
     pub node: usize,
-    /// Every task on it fails.
+    /// Whether every task that runs on the machine fails.
     pub fails_tasks: bool,
-    /// It does nothing at present.
+    /// Whether the machine hangs: the worker and its tasks execute nothing.
     pub hung: bool,
-    /// Responses and commands do not reach it, while its heartbeats arrive.
+    /// Whether the worker receives neither responses nor commands, while its heartbeats arrive.
     pub inbound_partitioned: bool,
-    /// Its heartbeats reach no controller, while direct commands reach it and are answered.
+    /// Whether the worker's heartbeats reach no controller, while the worker receives direct
+    /// commands and its responses to them arrive.
     pub outbound_partitioned: bool,
-    /// The heartbeat that it was about to send when it hung.
+    /// The heartbeat that the worker was about to send when its machine hung.
     pub delayed_heartbeat: Option<DelayedHeartbeat>,
-    /// When the cloud takes the machine back, once that is announced.
+    /// When the cloud reclaims the machine; `None` without a termination notice.
     pub terminates_at: Option<f64>,
     /// Whether something has changed since the last heartbeat.
     pub changed: bool,
-    /// Sequence number of the heartbeat that awaits its response.
+    /// Sequence number of the heartbeat that is waiting for its response; `None` if none is.
     pub in_flight: Option<u64>,
-    /// Direct commands that arrived while it hung.
+    /// Direct commands that arrived while the machine hung.
     pub queued_commands: Vec<DirectCommands>,
-    /// By which factor tasks run longer than estimated.
+    /// Factor by which tasks run longer than estimated.
     pub slowdown: f64,
-    /// How long a task waits for the others of its gang.
+    /// How long a task waits for the other tasks of its gang, in seconds.
     pub gang_wait_s: f64,
+    /// Images that the machine has already fetched.
     cached_images: BTreeSet<String>,
 }
 
 impl FakeWorker {
-    /// A worker whose machine has just booted.
+    /// Creates a worker whose machine has just booted.
     pub fn new(
         machine: MachineIdentity,
         capacity: Resources,
@@ -144,7 +146,7 @@
         }
     }
 
-    /// The next heartbeat, as of now.
+    /// Creates the next heartbeat, with the state of the machine at the time `now`.
     pub fn heartbeat(&mut self, now: f64) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -161,7 +163,8 @@
         }
     }
 
-    /// Handles the response to the heartbeat that was sent at `sent_at` in `incarnation`.
+    /// Handles the response to the heartbeat that was sent at `sent_at` in `incarnation`. Ignores
+    /// the response if a new incarnation has begun since or if its fencing token is stale.
     pub fn handle_heartbeat_response(
         &mut self,
         now: f64,
@@ -173,12 +176,13 @@
         if incarnation != self.incarnation || response.token < self.token {
             return Vec::new();
         }
-        self.learn_token(response.token);
+        self.update_token(response.token);
         self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
         self.execute(now, &response.commands, find_spec)
     }
 
-    /// Executes direct commands; returns whether it did, and what came of it.
+    /// Executes direct commands unless they have a stale fencing token or name another
+    /// incarnation. Returns whether they were executed, and the resulting events.
     pub fn handle_direct_commands(
         &mut self,
         now: f64,
@@ -188,25 +192,25 @@
         if direct.token < self.token || direct.incarnation != self.incarnation {
             return (false, Vec::new());
         }
-        self.learn_token(direct.token);
+        self.update_token(direct.token);
         (true, self.execute(now, &direct.commands, find_spec))
     }
 
-    fn learn_token(&mut self, token: u64) {
+    fn update_token(&mut self, token: u64) {
         if token > self.token {
             self.token = token;
             self.changed = true;
         }
     }
 
-    /// What no task uses.
+    /// Resources that no task uses.
     pub fn free(&self) -> Resources {
         let present = self.tasks.iter().filter(|task| task.state != TaskState::Exited);
         present.fold(self.capacity, |free, task| free.without(&task.spec))
     }
 
-    /// Hangs, or resumes. A hung machine keeps its tasks, past the end of its lease too: they
-    /// are only killed when it resumes, or with the machine.
+    /// Makes the machine hang or resume. A hung machine keeps its tasks, even after its lease has
+    /// expired: they are only killed when the machine resumes or is removed.
     pub fn hang(&mut self, now: f64, hung: bool) {
         if hung && !self.hung {
             let heartbeat = self.heartbeat(now);
@@ -215,7 +219,7 @@
         self.hung = hung;
     }
 
-    /// Lets time pass: tasks go on, the lease expires.
+    /// Advances the worker to the time `now`: tasks change their states, and the lease may expire.
     pub fn step(&mut self, now: f64) -> Vec<WorkerEvent> {
         if self.hung {
             return Vec::new();
@@ -226,14 +230,14 @@
         let mut events = Vec::new();
         let mut tasks = std::mem::take(&mut self.tasks);
         for task in tasks.iter_mut().filter(|task| task.state_ends_at <= now) {
-            events.extend(self.end_state(now, task));
+            events.extend(self.advance_task(now, task));
         }
         self.tasks = tasks;
         events
     }
 
-    /// The present state of a task has lasted its time: the next one begins.
-    fn end_state(&mut self, now: f64, task: &mut FakeTask) -> Option<WorkerEvent> {
+    /// Moves a task whose current state has lasted its time to the next state.
+    fn advance_task(&mut self, now: f64, task: &mut FakeTask) -> Option<WorkerEvent> {
         let event = match task.state {
             TaskState::Fetching => {
                 self.cached_images.insert(task.spec.image.clone());
@@ -263,8 +267,8 @@
         task.cause = fails.then_some(ExitCause::Error);
     }
 
-    /// Restarts within an instant: the same address, a new incarnation, and nothing is left
-    /// of what it knew.
+    /// Reboots the machine within an instant. The address stays the same, a new incarnation
+    /// begins, and tasks, cached images and the fencing token are lost.
     pub fn reboot(&mut self, now: f64) -> Vec<WorkerEvent> {
         self.token = 0;
         self.cached_images.clear();
@@ -281,7 +285,7 @@
         ended
     }
 
-    /// Kills and forgets every task.
+    /// Kills and removes every task; returns the events of those that had started.
     pub fn kill_all(&mut self) -> Vec<WorkerEvent> {
         let tasks = std::mem::take(&mut self.tasks);
         let present = tasks.into_iter().filter(FakeTask::has_started);
--- a/crates/gladekeel-testkit/src/stand_ins/worker/task.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/task.rs
@@ -7,29 +7,31 @@
     worker::{ExitCause, TaskState, TaskStatus},
 };
 
-/// A task that a worker was told to start.
+/// A task for which a worker has received a start command.
 #[derive(Debug, Clone)]
 pub struct FakeTask {
-    /// Which task.
+    /// Id of the task.
     pub task: TaskId,
     /// Number of the attempt.
     pub attempt: u64,
-    /// The description of its job.
+    /// Specification of the task's job.
     pub spec: JobSpec,
-    /// Its state.
+    /// Current state.
     pub state: TaskState,
-    /// When this state ends by itself.
+    /// When the current state ends by itself.
     pub state_ends_at: f64,
-    /// Why it has exited, or why it will.
+    /// Why the task has exited, or will exit; `None` if that is not yet known.
     pub cause: Option<ExitCause>,
-    /// Whether it saved its progress before it exited.
+    /// Whether the task wrote a checkpoint when it was stopped; `None` if it did not
+    /// exit on a stop command.
     pub saved: Option<bool>,
-    /// When a task of a gang was told to stop, with time enough to save.
+    /// When a task of a gang received a stop command with a grace period that is long enough to
+    /// write a checkpoint.
     pub stop_requested_at: Option<f64>,
 }
 
 impl FakeTask {
-    /// Its part of a heartbeat.
+    /// The status of the task in a heartbeat.
     pub fn status(&self) -> TaskStatus {
         TaskStatus {
             task: self.task.clone(),
@@ -40,12 +42,12 @@
         }
     }
 
-    /// Whether it has its image and has not exited.
+    /// Whether the task has its image and has not exited.
     pub fn has_started(&self) -> bool {
         matches!(self.state, TaskState::Waiting | TaskState::Running | TaskState::Saving)
     }
 
-    /// Exits.
+    /// Ends the task; returns the event.
     pub fn exit(&mut self, cause: ExitCause, saved: Option<bool>) -> WorkerEvent {
         self.state = TaskState::Exited;
         self.cause = Some(cause);
@@ -53,13 +55,14 @@
         WorkerEvent::TaskEnded { task: self.task.clone(), completed: cause == ExitCause::Done }
     }
 
-    /// Handles a stop command; returns that the task has ended, if it has at once.
+    /// Handles a stop command; returns an event if a task that had started ends at once.
     pub(super) fn stop(&mut self, now: f64, grace_s: f64) -> Option<WorkerEvent> {
         let can_save = self.state == TaskState::Running
             && self.spec.checkpoint_interval_s > 0.0
             && grace_s >= self.spec.checkpoint_write_s;
         if can_save && self.spec.kind == JobKind::Gang {
-            // It reports `running` until it exits; when it may depends on the others.
+            // Heartbeats show the task as running until it exits. When it may exit depends on
+            // the other tasks of its gang.
             self.stop_requested_at = self.stop_requested_at.or(Some(now));
             return None;
         }
