--- a/crates/gladekeel-testkit/src/stand_ins/gang.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/gang.rs
@@ -2,8 +2,8 @@
 //!
 //! A [`FakeWorker`] alone brings a task of a gang up to the state `waiting` and executes
 //! commands for it. [`GangRuntime`] computes, step by step, everything that depends on the other
-//! tasks of the attempt. It reads the tasks directly from the workers and keeps nothing that a
-//! machine would have to send first.
+//! tasks of the attempt. It reads the tasks directly from the workers in every step, so that it
+//! does not depend on any message from a machine.
 
 use crate::stand_ins::worker::{FAILS_AFTER_S, FakeTask, FakeWorker, WorkerEvent};
 use gladekeel_wire::{
--- a/crates/gladekeel-testkit/src/stand_ins/worker/commands.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/commands.rs
@@ -16,7 +16,8 @@
     positions: BTreeMap<TaskId, Vec<usize>>,
     /// Positions of the tasks that the worker forgets; `positions` no longer contains them.
     forgotten: BTreeSet<usize>,
-    /// Resources that no task uses; `None` until they are computed.
+    /// Resources that no task uses; `None` until they are computed, and after a task
+    /// has exited.
     free: Option<Resources>,
 }
 
--- a/crates/gladekeel-testkit/tests/fake_store.rs
+++ b/crates/gladekeel-testkit/tests/fake_store.rs
@@ -1,11 +1,11 @@
-//! The fake store refuses what the real one refuses.
+//! The fake store refuses the same requests as the real store.
 
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_testkit::stand_ins::store::{FakeStore, StoreLimits};
 use gladekeel_wire::store::{Precondition, Transaction, Write};
 
 #[test]
-fn lowered_limits_refuse_larger_writes_and_keep_what_is_stored() {
+fn lowered_limits_refuse_larger_transactions_and_keep_stored_values() {
     let limits = StoreLimits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 };
     let mut store = FakeStore::new(limits);
     let put = |key: &str, bytes: usize| Write::Put {
@@ -21,14 +21,14 @@
     assert!(matches!(store.call(0.0, 0, &large), StoreOutcome::Committed(_)));
     assert!(matches!(store.call(0.0, 0, &many), StoreOutcome::Committed(_)));
     store.lower_limits(StoreLimits { rps: 1000.0, write_rps: 6.0, txn_ops: 4, value: 2048 });
-    // The client does not distinguish a 400 to a commit from this.
+    // The client maps a 400 in response to a commit to this outcome.
     assert_eq!(store.call(10.0, 0, &large), StoreOutcome::LeaseNotFound);
     assert_eq!(store.call(10.0, 0, &many), StoreOutcome::LeaseNotFound);
     assert_eq!(store.too_large.len(), 2);
     let StoreOutcome::Page(rows) =
         store.call(10.0, 0, &StoreRequest::List { prefix: "a".into(), after: None })
     else {
-        panic!("a list is answered")
+        panic!("a list request returns a page")
     };
     assert_eq!(rows.entries[0].value.as_str().map(str::len), Some(3000));
     assert!(matches!(
@@ -40,7 +40,7 @@
     assert_eq!(
         store.call(10.0, 0, &four),
         StoreOutcome::RateLimited,
-        "9 changes in an instant, 6 a second"
+        "9 writes at one instant, 6 per second allowed"
     );
     assert!(store.protocol_errors.is_empty());
 }
--- a/crates/gladekeel-testkit/tests/fake_worker.rs
+++ b/crates/gladekeel-testkit/tests/fake_worker.rs
@@ -1,4 +1,4 @@
-//! Fake workers behave under faults as the protocol says.
+//! Fake workers behave under faults as the protocol defines.
 
 use gladekeel_testkit::{
     scenario::example_job,
@@ -16,8 +16,8 @@
     vec![Command::Start { task: task.clone(), attempt: 1 }]
 }
 
-/// A machine that hangs past its lease keeps its tasks until it resumes; commands that
-/// reached it meanwhile are of an earlier incarnation by then.
+/// A machine that hangs beyond the end of its lease keeps its tasks until it resumes. Commands
+/// that arrived meanwhile name an earlier incarnation by then and are refused.
 #[test]
 fn a_hung_machine_keeps_its_tasks_until_it_resumes() {
     let spec = example_job("job-1");
@@ -31,11 +31,14 @@
     };
     let capacity = Resources { cpus: 32.0, gpus: 0.0, memory_gb: 64.0 };
     let mut worker = FakeWorker::new(machine, capacity, 30.0, 0.0, 0);
-    let answer = HeartbeatResponse { token: 7, commands: start(&task) };
-    assert!(worker.handle_heartbeat_response(0.0, 1, 0.0, &answer, &find).is_empty());
+    let response = HeartbeatResponse { token: 7, commands: start(&task) };
+    assert!(worker.handle_heartbeat_response(0.0, 1, 0.0, &response, &find).is_empty());
     assert_eq!(worker.step(1.5), [WorkerEvent::TaskStarted(task.clone())]);
     worker.hang(2.0, true);
-    assert!(worker.step(100.0).is_empty(), "its lease is long over, its task still there");
+    assert!(
+        worker.step(100.0).is_empty(),
+        "the lease expired long ago, and the task is still there"
+    );
     assert_eq!(worker.tasks.len(), 1);
     worker.hang(100.0, false);
     assert_eq!(
@@ -45,7 +48,7 @@
     assert!(worker.tasks.is_empty());
     let late = DirectCommands { token: 7, incarnation: 1, commands: start(&task) };
     assert!(!worker.handle_direct_commands(100.0, &late, &find).0);
-    // The heartbeat that it was about to send shows what was there then.
+    // The delayed heartbeat contains the state of the machine when it hung.
     let DelayedHeartbeat { made_at, heartbeat } = worker.delayed_heartbeat.take().unwrap();
     assert_eq!((made_at, heartbeat.incarnation, heartbeat.tasks.len()), (2.0, 1, 1));
 }
--- a/crates/gladekeel-testkit/tests/gangs/invariants.rs
+++ b/crates/gladekeel-testkit/tests/gangs/invariants.rs
@@ -1,4 +1,4 @@
-//! What the fakes report of a gang is what the invariant checker has to know.
+//! The events of a gang on fake workers are sufficient for the invariant checker.
 
 use super::GangFixture;
 use gladekeel_testkit::{
--- a/crates/gladekeel-testkit/tests/gangs/main.rs
+++ b/crates/gladekeel-testkit/tests/gangs/main.rs
@@ -1,5 +1,5 @@
-//! Gangs on a handful of fake workers: what the protocol says of waiting, running, failing and
-//! orderly stops, case by case.
+//! Gangs on a few fake workers: they wait, run, fail and stop orderly as the protocol defines,
+//! case by case.
 
 mod invariants;
 mod orderly_stop;
@@ -23,7 +23,7 @@
 
 const STEP_S: f64 = 0.1;
 
-/// The gang `job-1` and machines `n-0`, `n-1`, ... with one of its tasks each at most.
+/// The gang `job-1` and the machines `n-0`, `n-1` and so on, one more than the gang has tasks.
 struct GangFixture {
     now: f64,
     spec: JobSpec,
@@ -49,10 +49,10 @@
     fn command(&mut self, machine: u32, command: Command) {
         let spec = self.spec.clone();
         let worker = self.workers.get_mut(&format!("n-{machine}")).unwrap();
-        let answer = HeartbeatResponse { token: 1, commands: vec![command] };
-        let (session, now) = (worker.incarnation, self.now);
-        let events =
-            worker.handle_heartbeat_response(now, session, now, &answer, &|_| Some(spec.clone()));
+        let response = HeartbeatResponse { token: 1, commands: vec![command] };
+        let (incarnation, now) = (worker.incarnation, self.now);
+        let events = worker
+            .handle_heartbeat_response(now, incarnation, now, &response, &|_| Some(spec.clone()));
         let name = worker.machine.name.clone();
         self.events.extend(events.into_iter().map(|event| (now, name.clone(), event)));
     }
@@ -65,7 +65,7 @@
         self.command(machine, Command::Stop { task: task(index), attempt: 1, grace_s });
     }
 
-    /// Starts a task on each machine and waits until all run.
+    /// Starts the tasks of a gang, each on its own machine, and waits until all run.
     fn running(tasks: u32) -> GangFixture {
         let mut gang = GangFixture::new(tasks);
         (0..tasks).for_each(|n| gang.start(n, n, 1));
@@ -79,10 +79,10 @@
             self.now += STEP_S;
             for (name, worker) in &mut self.workers {
                 let events = worker.step(self.now);
-                self.events.extend(events.into_iter().map(|h| (self.now, name.clone(), h)));
+                self.events.extend(events.into_iter().map(|event| (self.now, name.clone(), event)));
             }
             let events = self.gangs.step(self.now, &mut self.workers);
-            self.events.extend(events.into_iter().map(|(name, h)| (self.now, name, h)));
+            self.events.extend(events.into_iter().map(|(name, event)| (self.now, name, event)));
         }
     }
 
@@ -94,17 +94,18 @@
         self.workers[&format!("n-{machine}")].tasks[0].state
     }
 
-    /// How a machine's last task exited, if it has.
+    /// Why a machine's last task exited and whether it wrote a checkpoint when it was stopped;
+    /// `None` if it has not exited.
     fn exit_of(&self, machine: u32) -> Option<(ExitCause, Option<bool>)> {
         let task = self.workers[&format!("n-{machine}")].tasks.last().unwrap();
         (task.state == TaskState::Exited).then(|| (task.cause.unwrap(), task.saved))
     }
 
-    /// When a machine's task ended.
+    /// When the first task of a machine ended.
     fn ended_at(&self, machine: u32) -> f64 {
         let name = format!("n-{machine}");
-        let ended = |(_, on, what): &&(f64, String, WorkerEvent)| {
-            *on == name && matches!(what, WorkerEvent::TaskEnded { .. })
+        let ended = |(_, machine, event): &&(f64, String, WorkerEvent)| {
+            *machine == name && matches!(event, WorkerEvent::TaskEnded { .. })
         };
         self.events.iter().find(ended).expect("the task has ended").0
     }
@@ -125,6 +126,6 @@
     TaskId { job: "job-1".parse().unwrap(), index }
 }
 
-fn is_near(value: f64, wanted: f64) -> bool {
-    (value - wanted).abs() < 2.5 * STEP_S
+fn is_near(value: f64, expected: f64) -> bool {
+    (value - expected).abs() < 2.5 * STEP_S
 }
--- a/crates/gladekeel-testkit/tests/gangs/running.rs
+++ b/crates/gladekeel-testkit/tests/gangs/running.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_others_exit_when_a_task_of_a_running_gang_is_lost() {
+fn the_other_tasks_exit_when_a_task_of_a_running_gang_is_lost() {
     let mut gang = GangFixture::running(3);
     gang.run_until(25.0);
     gang.worker(1).kill_all();
@@ -22,16 +22,16 @@
     assert_eq!(
         gang.worker(0).heartbeat(25.3).tasks[0].state,
         TaskState::Running,
-        "not yet noticed"
+        "the loss is not yet detected"
     );
     gang.run_until(29.1);
     assert_eq!(gang.exit_of(0), Some((ExitCause::GangMemberLost, None)));
     assert_eq!(gang.exit_of(2), Some((ExitCause::GangMemberLost, None)));
-    assert!(is_near(gang.checkpointed_s(), 20.0), "checkpoints are at 10 and 20 s");
+    assert!(is_near(gang.checkpointed_s(), 20.0), "checkpoints were written at 10 and 20 s");
     let lost_progress_s = gang.gangs.record(&gang.spec.id.clone()).lost_progress_s;
     assert!(is_near(lost_progress_s, 4.0), "{lost_progress_s}");
 
-    // The next attempt goes on from there, and its checkpoints are the job's.
+    // The next attempt continues from the job's last checkpoint, which is kept across attempts.
     (0..3).for_each(|n| gang.start(n, n, 2));
     gang.run_until(31.0);
     assert!(gang.exit_of(1).is_none());
@@ -42,13 +42,13 @@
 }
 
 #[test]
-fn the_others_exit_when_a_machine_of_a_running_gang_hangs() {
+fn the_other_tasks_exit_when_a_machine_of_a_running_gang_hangs() {
     let mut gang = GangFixture::running(2);
     gang.run_until(8.0);
     gang.worker(1).hung = true;
     gang.run_until(12.1);
     assert_eq!(gang.exit_of(0), Some((ExitCause::GangMemberLost, None)));
-    assert_eq!(gang.exit_of(1), None, "it executes nothing");
+    assert_eq!(gang.exit_of(1), None, "a hung machine executes nothing");
     assert!(is_near(gang.checkpointed_s(), 0.0));
     gang.run_until(20.0);
     gang.worker(1).hung = false;
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_task_that_fails_makes_the_others_exit() {
+fn the_other_tasks_exit_when_a_task_fails() {
     let mut gang = GangFixture::new(2);
     gang.worker(1).fails_tasks = true;
     gang.start(0, 0, 1);
--- a/crates/gladekeel-testkit/tests/gangs/waiting.rs
+++ b/crates/gladekeel-testkit/tests/gangs/waiting.rs
@@ -11,13 +11,11 @@
     gang.start(0, 0, 1);
     gang.run_until(5.0);
     assert_eq!(gang.state(0), TaskState::Waiting);
-    let on = (TaskId { job: gang.spec.id.clone(), index: 0 }, 1.0);
+    let (first, image_fetched_at) = (TaskId { job: gang.spec.id.clone(), index: 0 }, 1.0);
     assert!(
-        gang.events
-            .iter()
-            .any(|(at, _, what)| *what == WorkerEvent::TaskStarted(on.0.clone())
-                && is_near(*at, on.1)),
-        "it is on its machine from when it has its image"
+        gang.events.iter().any(|(at, _, event)| *event == WorkerEvent::TaskStarted(first.clone())
+            && is_near(*at, image_fetched_at)),
+        "a task is on its machine as soon as it has its image"
     );
     gang.start(1, 1, 1);
     gang.run_until(5.5);
@@ -26,7 +24,7 @@
     gang.run_until(6.3);
     assert_eq!((gang.state(0), gang.state(1)), (TaskState::Running, TaskState::Running));
     gang.run_until(35.5);
-    assert_eq!(gang.exit_of(0), None, "waiting is no progress");
+    assert_eq!(gang.exit_of(0), None, "waiting makes no progress");
     gang.run_until(36.5);
     assert_eq!(
         (gang.exit_of(0), gang.exit_of(1)),
@@ -45,7 +43,7 @@
     gang.run_until(31.5);
     assert_eq!(gang.exit_of(0), Some((ExitCause::GangIncomplete, None)));
     assert_eq!(gang.exit_of(1), Some((ExitCause::GangIncomplete, None)));
-    assert!(is_near(gang.ended_at(0), 31.0), "30 s from when it had its image");
+    assert!(is_near(gang.ended_at(0), 31.0), "30 s after the task had its image");
 }
 
 #[test]
@@ -59,14 +57,14 @@
 }
 
 #[test]
-fn the_others_keep_waiting_for_a_replacement_of_the_same_attempt() {
+fn the_other_tasks_keep_waiting_for_a_replacement_in_the_same_attempt() {
     let mut gang = GangFixture::new(3);
     gang.start(0, 0, 1);
     gang.start(1, 1, 1);
     gang.run_until(3.0);
-    let gone = gang.worker(1).kill_all();
+    let ended = gang.worker(1).kill_all();
     assert_eq!(
-        gone,
+        ended,
         [WorkerEvent::TaskEnded { task: task(1), completed: false }],
         "a waiting task was on its machine"
     );
@@ -86,7 +84,7 @@
     gang.stop(0, 0, 60.0);
     assert_eq!(gang.exit_of(0), Some((ExitCause::Stopped, Some(false))));
     let ended = (3.0, "n-0".to_owned(), WorkerEvent::TaskEnded { task: task(0), completed: false });
-    assert!(gang.events.iter().any(|h| is_near(h.0, ended.0) && h.2 == ended.2));
+    assert!(gang.events.iter().any(|event| is_near(event.0, ended.0) && event.2 == ended.2));
 }
 
 #[test]
--- a/crates/gladekeel-testkit/tests/invariants/acceptance.rs
+++ b/crates/gladekeel-testkit/tests/invariants/acceptance.rs
@@ -9,7 +9,7 @@
 fn an_accepted_job_that_is_unknown_or_refused_later_is_a_violation() {
     let mut checker = checker_with(&array_of_four());
     respond(&mut checker, 1.0, JobRequest::Other, 404, None);
-    assert!(violated(&checker).is_empty(), "not accepted yet");
+    assert!(violated(&checker).is_empty(), "the job is not accepted yet");
     respond(&mut checker, 1.0, JobRequest::Submit, 201, Some(JobState::Queued));
     respond(&mut checker, 2.0, JobRequest::Other, 404, None);
     respond(&mut checker, 3.0, JobRequest::Submit, 422, None);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_job_that_nobody_submitted_is_a_violation() {
+fn a_known_job_that_nobody_submitted_is_a_violation() {
     let mut checker = checker();
     respond(&mut checker, 1.0, JobRequest::Other, 200, Some(JobState::Queued));
     assert_eq!(violated(&checker), ["no_invented_job"]);
@@ -33,7 +33,7 @@
         |s| s.machine_types = Some(vec!["g8".into()]),
         |s| s.zone = Some("c".into()),
         |s| s.team = "nobody".into(),
-        // The team's limit is 200 CPUs: a gang needs all of its tasks at once.
+        // The team's limit is 200 CPUs. A gang needs all its tasks at once, an array only one.
         |s| (s.kind, s.tasks, s.cpus) = (JobKind::Gang, 20, 16.0),
         |s| (s.kind, s.tasks, s.cpus) = (JobKind::Array, 20, 16.0),
     ];
@@ -43,7 +43,7 @@
         let mut checker = checker_with(&spec);
         checker.machine_types = vec![example_type(vec!["a".into(), "b".into()])];
         respond(&mut checker, 1.0, JobRequest::Submit, 422, None);
-        assert!(violated(&checker).is_empty(), "to refuse it violates nothing");
+        assert!(violated(&checker).is_empty(), "refusing the job is no violation");
         respond(&mut checker, 2.0, JobRequest::Submit, 201, Some(JobState::Queued));
         let expected: &[&str] =
             if matches!(index, 0 | 8) { &[] } else { &["accepted_job_can_run"] };
--- a/crates/gladekeel-testkit/tests/invariants/cancellation.rs
+++ b/crates/gladekeel-testkit/tests/invariants/cancellation.rs
@@ -19,10 +19,10 @@
     assert_eq!(violated(&checker), ["cancellation_deadline"]);
 }
 
-/// A start that was in flight when the cancellation was confirmed violates nothing: its
-/// command may be 4 s old, and then the image is fetched. What begins later does.
+/// A start that was in flight when the cancellation was confirmed is no violation: the command
+/// may be up to 4 s old, and then the image is fetched. A task that starts later is a violation.
 #[test]
-fn a_start_after_a_cancellation_counts_once_none_can_be_in_flight() {
+fn a_start_after_a_cancellation_is_a_violation_once_it_cannot_have_been_in_flight() {
     let spec = JobSpec { tasks: 4, ..example_job("job-1") };
     for (image_gb, in_flight_until, late) in [(1.0, 6.9, 7.1), (10.0, 15.9, 16.1)] {
         let mut checker = checker_with(&JobSpec { image_gb, ..spec.clone() });
@@ -31,17 +31,17 @@
         checker.on_cancel_request(&job_id());
         respond(&mut checker, 2.0, JobRequest::Other, 200, Some(JobState::Cancelled));
         checker.on_task_started(in_flight_until, &task(0), &machine("n-1", "a", false));
-        assert!(violated(&checker).is_empty(), "it was in flight");
+        assert!(violated(&checker).is_empty(), "the start was in flight");
         checker.on_task_started(late, &task(1), &machine("n-1", "a", false));
         assert_eq!(violated(&checker), ["no_start_after_cancellation"]);
     }
 }
 
-/// A start that was sent directly before the cancellation was confirmed may be delayed for
-/// longer, as the protocol says; one sent after it, or repeated in a heartbeat response, may
-/// not.
+/// The protocol permits a longer delay of a start that was sent as a direct command before the
+/// cancellation was confirmed. It does not permit one for a start that was sent later or that a
+/// heartbeat response repeated.
 #[test]
-fn only_a_direct_start_of_before_the_cancellation_may_be_delayed() {
+fn only_a_direct_start_sent_before_the_cancellation_may_be_delayed() {
     let violated_by = |sent_at: f64, repeated_in_response: bool| {
         let mut checker = checker_with(&example_job("job-1"));
         respond(&mut checker, 1.0, JobRequest::Submit, 201, Some(JobState::Queued));
@@ -55,7 +55,11 @@
         checker.check_cancellation_deadlines(2.1 + cancellation_deadline_s());
         violated(&checker).join(" ")
     };
-    assert_eq!(violated_by(1.9, false), "cancellation_deadline", "it must be gone all the same");
+    assert_eq!(
+        violated_by(1.9, false),
+        "cancellation_deadline",
+        "the task must still end by the deadline"
+    );
     assert_eq!(violated_by(2.1, false), "no_start_after_cancellation cancellation_deadline");
     assert_eq!(violated_by(1.9, true), "no_start_after_cancellation cancellation_deadline");
 }
--- a/crates/gladekeel-testkit/tests/invariants/gang_start.rs
+++ b/crates/gladekeel-testkit/tests/invariants/gang_start.rs
@@ -7,12 +7,12 @@
 }
 
 #[test]
-fn a_gang_has_begun_when_all_its_tasks_run() {
+fn a_gang_has_started_when_all_its_tasks_run() {
     let mut checker = checker_with(&gang(2));
     checker.on_task_started(1.0, &task(0), &machine("n-1", "a", false));
     checker.on_task_started(2.0, &task(1), &machine("n-2", "a", false));
     checker.check_gang_starts(2.0);
-    assert_eq!(checker.started_at(&job_id()), None, "both wait");
+    assert_eq!(checker.started_at(&job_id()), None, "both tasks wait");
     (0..2).for_each(|n| checker.on_gang_task_running(3.0, &task(n), 1));
     checker.check_gang_starts(3.0);
     assert_eq!(checker.started_at(&job_id()), Some(3.0));
@@ -20,21 +20,21 @@
 }
 
 #[test]
-fn a_gang_that_runs_in_part_is_a_violation() {
+fn a_gang_of_which_only_some_tasks_run_is_a_violation() {
     let mut checker = checker_with(&gang(2));
     (0..2).for_each(|n| checker.on_task_started(1.0, &task(n), &machine("n-1", "a", false)));
     checker.on_gang_task_running(2.0, &task(0), 1);
     checker.check_gang_starts(2.0);
     assert_eq!(violated(&checker), ["gang_start"]);
 
-    // The same number of tasks, of two attempts.
+    // All tasks run, but in two attempts.
     let mut checker = checker_with(&gang(2));
     (0..2).for_each(|n| checker.on_task_started(1.0, &task(n), &machine("n-1", "a", false)));
     (0..2).for_each(|n| checker.on_gang_task_running(2.0, &task(n), u64::from(n)));
     checker.check_gang_starts(2.0);
     assert_eq!(violated(&checker), ["gang_start", "gang_start"]);
 
-    // A task that is on no machine.
+    // The task that runs is on no machine.
     let mut checker = checker_with(&gang(1));
     checker.on_gang_task_running(2.0, &task(0), 1);
     checker.check_gang_starts(2.0);
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_waiting_task_counts_as_on_its_machine() {
-    // `started` is all that the checker learns of a task that waits.
+    // `on_task_started` is all that the checker observes of a waiting task.
     let mut checker = checker_with(&gang(2));
     checker.on_task_started(1.0, &task(0), &machine("n-1", "a", false));
     checker.on_task_started(2.0, &task(0), &machine("n-2", "a", false));
@@ -72,12 +72,12 @@
 }
 
 #[test]
-fn a_gang_that_is_done_before_all_its_tasks_are_is_a_violation() {
+fn a_gang_that_is_done_before_all_its_tasks_have_completed_is_a_violation() {
     for missing in [0, 1] {
         let mut checker = checker_with(&gang(3));
         (missing..3).for_each(|n| checker.on_task_ended(&task(n), "n-1", true));
         respond(&mut checker, 2.0, JobRequest::Other, 200, Some(JobState::Done));
         assert_eq!(violated(&checker).len(), missing as usize, "{:?}", checker.violations);
-        assert!(violated(&checker).iter().all(|rule| *rule == "done_is_completed"));
+        assert!(violated(&checker).iter().all(|name| *name == "done_is_completed"));
     }
 }
--- a/crates/gladekeel-testkit/tests/invariants/main.rs
+++ b/crates/gladekeel-testkit/tests/invariants/main.rs
@@ -1,5 +1,5 @@
-//! Each invariant is shown to fail on observations that violate it, and to hold on those that
-//! are only close to it.
+//! The checker reports each invariant for observations that violate it, and not for observations
+//! that only come close to a violation.
 
 mod acceptance;
 mod availability;
@@ -35,7 +35,7 @@
     checker
 }
 
-/// An array of four tasks, each of four CPUs.
+/// An array of four tasks with four CPUs each.
 fn array_of_four() -> JobSpec {
     JobSpec { tasks: 4, cpus: 4.0, ..example_job("job-1") }
 }
@@ -56,7 +56,7 @@
     example_settings(0, 1).deployment.workers.cancellation_deadline_s
 }
 
-/// A response to a request of the same instant.
+/// Lets the checker observe a response that arrives at the instant of its request.
 fn respond(
     checker: &mut InvariantChecker,
     now: f64,
@@ -67,7 +67,8 @@
     respond_to(checker, (now, now), request, status, state);
 }
 
-/// A response to a request that was sent and answered at these times.
+/// Lets the checker observe a response, with the times at which the request was sent and the
+/// response arrived.
 fn respond_to(
     checker: &mut InvariantChecker,
     (sent_at, received_at): (f64, f64),
@@ -79,7 +80,7 @@
     checker.on_response(&job_id(), &response);
 }
 
-/// The names of the violated invariants, in their order.
+/// The names of the violated invariants, in the order of the violations.
 fn violated(checker: &InvariantChecker) -> Vec<&str> {
     checker.violations.iter().map(|violation| violation.invariant.name()).collect()
 }
--- a/crates/gladekeel-testkit/tests/invariants/seeded_faults.rs
+++ b/crates/gladekeel-testkit/tests/invariants/seeded_faults.rs
@@ -1,8 +1,8 @@
-//! Scenarios that violate an invariant on purpose, played as a whole.
+//! Complete scenarios that violate an invariant on purpose.
 
 use gladekeel_testkit::scenario::run;
 
-/// A scenario line that is executed against a node, whose answer is another than it says.
+/// The node responds to an `http` step with another status than the line states.
 #[test]
 fn a_response_that_differs_from_the_scenario_is_a_violation() {
     let text = "world on_demand=1\nat 5 http GET /admin/settings = 201\nuntil 10\n";
@@ -14,7 +14,7 @@
     run(&format!("{text}expect violated scenario_response\n")).unwrap();
 }
 
-/// A line that refers to a machine of a job that has none.
+/// A step refers to the host of a job that has no task on a machine.
 #[test]
 fn a_target_that_does_not_exist_is_a_violation() {
     let text = "world on_demand=1\nat 5 reboot host_of:job-1\nuntil 10\n";
@@ -25,10 +25,10 @@
     );
 }
 
-/// A simulation in which tasks do not wait for their gang: one machine has the image when the
-/// gang comes, the other has yet to boot.
+/// Tasks do not wait for their gang because of the seeded fault. They start at different times:
+/// one machine has the image when the gang is submitted, the other has yet to boot.
 #[test]
-fn a_simulation_whose_gangs_run_in_part_violates_the_gang_start() {
+fn a_simulation_with_partial_gangs_violates_gang_start() {
     let text = "world on_demand=4 run_partial_gangs=yes\n\
                 at 3 submit job-2 tasks=1 cpus=8 run_s=60\n\
                 at 30 submit job-1 tasks=2 cpus=20 run_s=20 kind=gang\n\
--- a/crates/gladekeel-testkit/tests/invariants/starvation.rs
+++ b/crates/gladekeel-testkit/tests/invariants/starvation.rs
@@ -19,17 +19,19 @@
     }
 }
 
-/// Checks every 5 s on a job that stays pending, from 0 to `until`; returns what is violated.
+/// Runs the check every 5 s from 0 to `until` on a job that stays pending. `observe` returns the
+/// free machines and whether the job has tasks on machines. Returns the names of the violated
+/// invariants.
 fn violated_while_pending(
     spec: &JobSpec,
     until: u32,
-    look: impl Fn(u32, &mut InvariantChecker) -> (Vec<FreeCapacity>, bool),
+    observe: impl Fn(u32, &mut InvariantChecker) -> (Vec<FreeCapacity>, bool),
 ) -> Vec<String> {
     let mut checker = checker_with(spec);
     respond(&mut checker, 0.0, JobRequest::Submit, 201, Some(JobState::Queued));
     for now in (0..=until).step_by(5) {
-        let (free, holds) = look(now, &mut checker);
-        let active = if holds { BTreeSet::from([spec.id.clone()]) } else { BTreeSet::new() };
+        let (free, is_active) = observe(now, &mut checker);
+        let active = if is_active { BTreeSet::from([spec.id.clone()]) } else { BTreeSet::new() };
         checker.check_pending(f64::from(now), &free, &active);
     }
     violated(&checker).into_iter().map(str::to_owned).collect()
@@ -43,17 +45,17 @@
     (vec![machine_with("a", false, 8.0)], false)
 }
 
-/// Without a fault a job that has nothing on any machine is pending for 90 s at most while a
-/// machine that fits is free. The tests below are the reasons to be pending longer.
+/// Without a fault, a job without tasks on machines may be pending for at most 90 s while a
+/// machine that fits is free. The tests below cover the reasons to be pending for longer.
 #[test]
 fn a_job_that_stays_pending_next_to_a_free_machine_is_a_violation() {
     assert!(violated_while_pending(&array(), 90, free_machine).is_empty(), "90 s have not passed");
     let violated = violated_while_pending(&array(), 400, free_machine);
-    assert_eq!(violated, ["no_starvation"], "it is reported once");
+    assert_eq!(violated, ["no_starvation"], "the violation is reported once");
 }
 
 #[test]
-fn the_time_that_a_job_is_pending_counts_once_faults_are_cleared() {
+fn pending_time_counts_from_when_faults_are_cleared() {
     let cleared_at = |at: f64| {
         move |_: u32, checker: &mut InvariantChecker| {
             checker.faults_cleared_at = at;
@@ -122,7 +124,7 @@
 }
 
 #[test]
-fn a_job_whose_user_cancelled_it_is_not_pending() {
+fn a_job_whose_cancellation_was_requested_is_not_pending() {
     let cancelled = |_: u32, checker: &mut InvariantChecker| {
         checker.on_cancel_request(&job_id());
         (vec![machine_with("a", false, 8.0)], false)
--- a/crates/gladekeel-testkit/tests/invariants/state_order.rs
+++ b/crates/gladekeel-testkit/tests/invariants/state_order.rs
@@ -3,7 +3,7 @@
 use gladekeel_wire::job::{JobSpec, JobState};
 
 #[test]
-fn a_job_that_is_done_before_all_its_tasks_are_is_a_violation() {
+fn a_job_that_is_done_before_all_its_tasks_have_completed_is_a_violation() {
     let mut checker = checker_with(&array_of_four());
     checker.on_task_ended(&task(0), "n-1", true);
     respond(&mut checker, 1.0, JobRequest::Other, 200, Some(JobState::Done));
@@ -26,14 +26,14 @@
 fn a_job_that_is_cancelled_without_a_request_is_a_violation() {
     let mut checker = checker_with(&array_of_four());
     respond(&mut checker, 1.0, JobRequest::Other, 200, Some(JobState::Cancelled));
-    assert_eq!(violated(&checker), ["state_order"], "its user did not cancel it");
+    assert_eq!(violated(&checker), ["state_order"], "no user requested the cancellation");
 }
 
-/// Responses to requests that were in flight at once may overtake one another; only the
-/// response to a request that was sent after a user was told of the end contradicts it. Two
-/// different ends contradict each other in any order.
+/// Responses to requests that were in flight at once may overtake one another. A response
+/// contradicts an observed final state only if its request was sent after a user had observed
+/// that state. Two different final states contradict each other in any order.
 #[test]
-fn responses_that_overtake_one_another_violate_nothing() {
+fn responses_that_overtake_one_another_are_no_violation() {
     let spec = JobSpec { tasks: 1, ..example_job("job-1") };
     let observe = |sent_at: f64, status: u16, state: Option<JobState>| {
         let mut checker = checker_with(&spec);
