--- a/crates/gladekeel-testkit/tests/gangs/invariants.rs
+++ b/crates/gladekeel-testkit/tests/gangs/invariants.rs
@@ -1,4 +1,4 @@
-//! What the fakes report of a gang is what the invariant checker has to know.
+//! The events of a gang on fake workers are sufficient for the invariant checker.
 
 use super::GangFixture;
 use gladekeel_testkit::{
@@ -23,5 +23,5 @@
     }
     let violated: Vec<&str> =
         checker.violations.iter().map(|violation| violation.invariant.name()).collect();
-    assert_eq!(violated, ["wrong_place"]);
+    assert_eq!(violated, ["placement"]);
 }
