--- a/crates/gladekeel-testkit/tests/scenarios.rs
+++ b/crates/gladekeel-testkit/tests/scenarios.rs
@@ -1,9 +1,9 @@
 //! Runs every file below `scenarios/`.
 //!
-//! `SCENARIO=TEXT` runs those whose path contains the text, with the nodes' logs.
-//! `SKIP_SCENARIOS=NAME,NAME` passes over these, each named by its directory and file like
-//! `failover/leader-crash`; only `.ci/cargo-test` sets it, from the list of tests that are
-//! known to fail.
+//! `SCENARIO=TEXT` runs only the scenarios whose path contains the text, and prints the nodes' logs.
+//! `SKIP_SCENARIOS=NAME,NAME` skips these scenarios, each named by its directory and file like
+//! `failover/leader-crash`. Only `.ci/cargo-test` sets this variable, from the list of tests that
+//! are known to fail.
 
 use gladekeel_testkit::scenario::{files_below, run_files, scenario_directory, scenario_name};
 use std::{
@@ -11,35 +11,39 @@
     path::PathBuf,
 };
 
-/// The files to run: those whose path contains `only`, without those that `skipped` names.
-/// An unknown name in `skipped` is an error.
+/// Returns the files to run, sorted: those whose path contains `only`, without those that `skipped`
+/// names, separated by commas.
+///
+/// # Errors
+///
+/// Returns an error if `skipped` names a scenario that does not exist, or if no file remains.
 fn select(mut files: Vec<PathBuf>, only: &str, skipped: &str) -> Result<Vec<PathBuf>, String> {
     let skipped: Vec<&str> = skipped.split(',').filter(|name| !name.is_empty()).collect();
-    for wanted in &skipped {
-        if !files.iter().any(|path| scenario_name(path) == *wanted) {
-            return Err(format!("no such scenario: {wanted}"));
+    for name in &skipped {
+        if !files.iter().any(|path| scenario_name(path) == *name) {
+            return Err(format!("SKIP_SCENARIOS names an unknown scenario: {name}"));
         }
     }
     files.sort();
     files.retain(|path| path.to_string_lossy().contains(only));
     files.retain(|path| !skipped.contains(&scenario_name(path).as_str()));
     if files.is_empty() {
-        return Err("no scenario is left".to_owned());
+        return Err(format!("no scenario to run: SCENARIO={only:?}, SKIP_SCENARIOS={skipped:?}"));
     }
     Ok(files)
 }
 
 #[test]
 fn all_scenarios() {
-    // One scenario alone shows the nodes' logs.
+    // The nodes' logs are printed only if scenarios are selected.
     let only = std::env::var("SCENARIO").unwrap_or_default();
     if !only.is_empty() {
         tracing_subscriber::fmt().without_time().with_ansi(false).init();
     }
     let skipped = std::env::var("SKIP_SCENARIOS").unwrap_or_default();
     if !skipped.is_empty() {
-        // Not `eprintln`, which the test harness keeps to itself when a test passes.
-        writeln!(io::stderr(), "scenarios passed over, known to fail: {skipped}").unwrap();
+        // The test harness captures the output of `eprintln` and hides it if the test passes.
+        writeln!(io::stderr(), "scenarios skipped, known to fail: {skipped}").unwrap();
     }
     let files = files_below(&scenario_directory()).unwrap();
     let files = select(files, &only, &skipped).unwrap();
@@ -52,8 +56,10 @@
     assert!(failed.is_empty(), "{}", failed.join("\n\n"));
 }
 
+/// Guards against skipping more scenarios than `SKIP_SCENARIOS` names, such as those that share a
+/// directory or a prefix with a skipped one, and against a misspelt name without an error.
 #[test]
-fn only_named_scenarios_are_passed_over() {
+fn only_named_scenarios_are_skipped() {
     let files = [
         "scenarios/outage/long.txt",
         "scenarios/outage/long-zone.txt",
