--- a/crates/gladekeel-testkit/tests/decision_trace.rs
+++ b/crates/gladekeel-testkit/tests/decision_trace.rs
@@ -1,8 +1,9 @@
-//! What the nodes do in a fixed set of scenarios is the same, byte for byte and at the same
-//! times, as when `fixtures/decision_traces.txt` was written. A change of the code that is
-//! meant to keep behaviour as it is must leave that file alone.
+//! Regression test of the nodes' behaviour: in a fixed set of scenarios, the nodes must take the
+//! same actions, byte for byte and at the same times, as when `fixtures/decision_traces.txt` was
+//! written. A change of the code that is meant to preserve behaviour must not change that file.
 //!
-//! A change of behaviour says in its commit what differs, and takes the new digests from
+//! If a change alters behaviour on purpose, its commit states what differs and replaces the
+//! digests by the output of
 //! `cargo run -p gladekeel-testkit --example decision_traces -- SCENARIO_FILE...`.
 
 use gladekeel_testkit::scenario;
@@ -10,20 +11,21 @@
 
 const FIXTURE: &str = include_str!("fixtures/decision_traces.txt");
 
-/// Scenario names and the digests of their runs, one for each seed.
+/// Returns the scenarios of the fixture: the name of each, and the expected digest of its run with
+/// each seed.
 fn expected_digests() -> Vec<(&'static str, Vec<&'static str>)> {
     let lines = FIXTURE.lines().filter(|line| !line.starts_with('#'));
     lines
         .map(|line| {
             let mut words = line.split_whitespace();
-            let name = words.next().expect("a line begins with a scenario's name");
+            let name = words.next().expect("each line begins with the name of a scenario");
             (name, words.collect())
         })
         .collect()
 }
 
 #[test]
-fn nodes_act_as_recorded() {
+fn actions_match_the_recorded_digests() {
     let expected = expected_digests();
     assert!(expected.iter().all(|(_, digests)| !digests.is_empty()));
     let directory = scenario::scenario_directory();
@@ -37,16 +39,21 @@
             differing.push(format!("{name} {}", found.join(" ")));
         }
     }
-    assert!(differing.is_empty(), "other actions than recorded:\n{}", differing.join("\n"));
+    assert!(
+        differing.is_empty(),
+        "digests differ from the recorded ones:\n{}",
+        differing.join("\n")
+    );
 }
 
-/// The digest tells one run from another, and a run from itself played anew does not differ.
+/// Guards against a digest that is the same for runs with different events, and against a digest
+/// that changes when the same scenario is run again.
 #[test]
-fn digests_depend_on_what_happens() {
+fn digests_depend_only_on_the_events_and_their_times() {
     let world = "world seed=7 on_demand=2\n";
     let digests = |text: &str| scenario::run(&format!("{world}{text}")).unwrap();
-    let one = digests("at 3 submit job-1 tasks=2 run_s=20\nuntil 30\n");
-    assert_eq!(one, digests("at 3 submit job-1 tasks=2 run_s=20\nuntil 30\n"));
-    assert_ne!(one, digests("at 3 submit job-1 tasks=3 run_s=20\nuntil 30\n"));
-    assert_ne!(one, digests("at 3.5 submit job-1 tasks=2 run_s=20\nuntil 30\n"));
+    let first = digests("at 3 submit job-1 tasks=2 run_s=20\nuntil 30\n");
+    assert_eq!(first, digests("at 3 submit job-1 tasks=2 run_s=20\nuntil 30\n"));
+    assert_ne!(first, digests("at 3 submit job-1 tasks=3 run_s=20\nuntil 30\n"));
+    assert_ne!(first, digests("at 3.5 submit job-1 tasks=2 run_s=20\nuntil 30\n"));
 }
--- a/crates/gladekeel-testkit/tests/heartbeat_balancing.rs
+++ b/crates/gladekeel-testkit/tests/heartbeat_balancing.rs
@@ -1,21 +1,23 @@
-//! Which node each worker sends its heartbeats to.
+//! Load balancing of workers' heartbeats over the leader and its peers.
 
 use gladekeel_controller::node::heartbeats::balancing::{HeartbeatBalancer, HeartbeatReceiver};
 use gladekeel_testkit::scenario::example_settings;
 
+/// The leader has two peers, and both can relay heartbeats.
 const USABLE: [bool; 2] = [true, true];
 
 fn new_balancer(cpu_share: f64) -> HeartbeatBalancer {
-    let mut params = example_settings(0, 3).deployment;
-    params.limits.cpu_share = cpu_share;
-    HeartbeatBalancer::new(&params, USABLE.len())
+    let mut deployment = example_settings(0, 3).deployment;
+    deployment.limits.cpu_share = cpu_share;
+    HeartbeatBalancer::new(&deployment, USABLE.len())
 }
 
-fn name(machine: usize) -> String {
+fn machine_name(machine: usize) -> String {
     format!("n-{machine:06}")
 }
 
-/// Lets each machine send one heartbeat to its receiver; returns how many were redirected.
+/// Sends one heartbeat from each machine to its receiver and applies the redirects to `receivers`.
+/// Returns the number of redirected machines.
 fn send_all_heartbeats(
     balancer: &mut HeartbeatBalancer,
     now: f64,
@@ -24,7 +26,7 @@
 ) -> usize {
     let mut redirected = 0;
     for (machine, receiver) in receivers.iter_mut().enumerate() {
-        if let Some(target) = balancer.rebalance(now, &name(machine), *receiver, usable) {
+        if let Some(target) = balancer.rebalance(now, &machine_name(machine), *receiver, usable) {
             *receiver = target;
             redirected += 1;
         }
@@ -33,38 +35,41 @@
 }
 
 #[test]
-fn a_leader_of_few_workers_receives_their_heartbeats_itself() {
+fn a_leader_with_few_workers_does_not_redirect_them() {
     let mut receivers = vec![HeartbeatReceiver::Leader; 50];
     assert_eq!(send_all_heartbeats(&mut new_balancer(0.2), 0.0, &mut receivers, &USABLE), 0);
 }
 
-/// The leader of 2,400 machines spent its whole small processor on their heartbeats.
+/// Guards against a leader that receives all heartbeats: with 2,400 machines, heartbeats used up the
+/// whole small processor of the leader.
 #[test]
-fn heartbeats_of_many_workers_are_balanced_over_the_other_nodes() {
+fn heartbeats_of_many_workers_are_balanced_over_the_peers() {
     let mut balancer = new_balancer(0.05);
     let mut receivers = vec![HeartbeatReceiver::Leader; 2400];
     for cycle in 0..3 {
         send_all_heartbeats(&mut balancer, f64::from(cycle) * 3.0, &mut receivers, &USABLE);
     }
     let workers = balancer.workers_per_receiver();
-    assert!(workers[2] <= 100, "the leader receives few: {workers:?}");
-    assert!(workers[0].abs_diff(workers[1]) <= 100, "{workers:?}");
+    assert!(workers[2] <= 100, "too many workers for the leader: {workers:?}");
+    assert!(workers[0].abs_diff(workers[1]) <= 100, "unbalanced peers: {workers:?}");
 }
 
-/// With one other node left, that one was overloaded and the leader was not.
+/// Guards against a leader that leaves all heartbeats to the only usable peer: that peer was
+/// overloaded while the leader was not.
 #[test]
-fn a_leader_takes_a_share_if_one_other_node_is_left() {
+fn a_leader_receives_a_share_if_a_single_peer_is_usable() {
     let mut balancer = new_balancer(0.05);
     let mut receivers = vec![HeartbeatReceiver::Peer(0); 900];
     send_all_heartbeats(&mut balancer, 0.0, &mut receivers, &[true, false]);
     let workers = balancer.workers_per_receiver();
-    assert!((100..=300).contains(&workers[2]), "{workers:?}");
-    assert_eq!(workers[1], 0, "{workers:?}");
+    assert!((100..=300).contains(&workers[2]), "share of the leader: {workers:?}");
+    assert_eq!(workers[1], 0, "share of the unusable peer: {workers:?}");
 }
 
-/// After a node has been down all of its workers are with another one.
+/// Guards against a peer that stays idle after an outage, during which all of its workers were
+/// redirected to another node.
 #[test]
-fn a_node_that_is_back_gets_its_share() {
+fn a_peer_that_is_usable_again_receives_its_share() {
     let mut balancer = new_balancer(0.05);
     let mut receivers = vec![HeartbeatReceiver::Peer(0); 1000];
     send_all_heartbeats(&mut balancer, 0.0, &mut receivers, &[true, false]);
@@ -73,23 +78,29 @@
         send_all_heartbeats(&mut balancer, f64::from(cycle) * 3.0, &mut receivers, &USABLE);
     }
     assert!(balancer.workers_per_receiver()[1] >= 350, "{:?}", balancer.workers_per_receiver());
-    assert_eq!(send_all_heartbeats(&mut balancer, 63.0, &mut receivers, &USABLE), 0, "it settles");
+    assert_eq!(
+        send_all_heartbeats(&mut balancer, 63.0, &mut receivers, &USABLE),
+        0,
+        "not converged"
+    );
 }
 
-/// A worker that returns could not reach the node to which it was redirected.
+/// Guards against redirecting a worker again although it may have been unable to reach the node to
+/// which it was redirected before.
 #[test]
 fn a_worker_that_returns_after_a_redirect_is_not_redirected_again() {
     let mut balancer = new_balancer(0.001);
     for machine in 0..100 {
-        balancer.rebalance(0.0, &name(machine), HeartbeatReceiver::Leader, &USABLE);
+        balancer.rebalance(0.0, &machine_name(machine), HeartbeatReceiver::Leader, &USABLE);
     }
-    let redirect = balancer.rebalance(1.0, &name(99), HeartbeatReceiver::Leader, &USABLE);
-    assert_eq!(redirect, None);
+    let second_redirect =
+        balancer.rebalance(1.0, &machine_name(99), HeartbeatReceiver::Leader, &USABLE);
+    assert_eq!(second_redirect, None);
 }
 
-/// Workers that are gone must not count as load of their receiver.
+/// Guards against counting the workers of deleted machines as load of their receiver.
 #[test]
-fn workers_without_heartbeats_are_forgotten() {
+fn workers_without_recent_heartbeats_are_not_counted() {
     let mut balancer = new_balancer(0.05);
     let mut receivers = vec![HeartbeatReceiver::Peer(0); 500];
     send_all_heartbeats(&mut balancer, 0.0, &mut receivers, &USABLE);
--- a/crates/gladekeel-testkit/tests/node_startup.rs
+++ b/crates/gladekeel-testkit/tests/node_startup.rs
@@ -1,4 +1,4 @@
-//! A node that has just started, before it serves.
+//! When a node that has just started is ready to serve requests.
 
 use gladekeel_controller::node::{Action, Event, Node};
 use gladekeel_testkit::{
@@ -12,7 +12,8 @@
     FakeStore::new(StoreLimits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 })
 }
 
-/// Lets a node tick and answers its calls to the store; returns its frames.
+/// Sends a node a tick and the responses to its store requests. Returns the frames that the node has
+/// sent.
 fn tick(node: &mut Node, store: &mut FakeStore, now: f64) -> Vec<Vec<u8>> {
     let mut frames = Vec::new();
     let mut actions = VecDeque::from(node.handle(now, Event::Tick));
@@ -29,33 +30,35 @@
     frames
 }
 
-/// Hands a node the frames of another one.
-fn hand_over(node: &mut Node, now: f64, frames: Vec<Vec<u8>>) {
+/// Delivers frames of another node to a node.
+fn deliver_frames(node: &mut Node, now: f64, frames: Vec<Vec<u8>>) {
     for frame in frames {
         let (head, payload) = frame.split_at(FrameHeader::SIZE);
         let head = head.try_into().expect("a frame begins with a header");
-        let (header, kind) = FrameHeader::read(&head).expect("nodes send sound frames");
+        let (header, kind) = FrameHeader::read(&head).expect("nodes send valid frames");
         node.handle(now, Event::Peer { header, kind, payload: payload.to_vec() });
     }
 }
 
-/// Workers that were taken before anybody led kept a small processor busy for 4 s.
+/// Guards against serving workers while there is no leader: their requests kept a small processor
+/// busy for 4 s.
 #[test]
-fn a_node_is_settled_once_it_leads() {
+fn a_node_is_settled_when_it_becomes_leader() {
     let (mut store, mut node) = (new_store(), Node::new(example_settings(0, 1), 7, 0.0));
     assert!(!node.is_settled(0.0));
     let steps = (0..40).map(|step| f64::from(step) * 0.05);
-    let settled = steps.into_iter().find(|now| {
+    let settled_at = steps.into_iter().find(|now| {
         tick(&mut node, &mut store, *now);
         node.is_settled(*now)
     });
-    assert!(settled.is_some_and(|at| at <= 1.0), "{settled:?}");
+    assert!(settled_at.is_some_and(|at| at <= 1.0), "settled at {settled_at:?}");
     assert!(node.leader().is_some());
 }
 
-/// Without its heartbeat the leader's level is not known, and all workers would be sent to it.
+/// Guards against a follower that serves workers before it knows the protocol level of the leader,
+/// which the leader's heartbeat states: the follower would redirect all workers to the leader.
 #[test]
-fn a_follower_is_settled_after_a_heartbeat_of_the_leader() {
+fn a_follower_is_settled_after_a_heartbeat_from_the_leader() {
     let mut store = new_store();
     let mut leader = Node::new(example_settings(0, 2), 7, 0.0);
     let mut follower = Node::new(example_settings(1, 2), 8, 0.0);
@@ -67,7 +70,7 @@
             tick(&mut follower, &mut store, now);
         }
     }
-    assert!(!follower.is_settled(3.0), "it has read who leads and has no heartbeat of it");
-    hand_over(&mut follower, 3.0, heartbeats);
+    assert!(!follower.is_settled(3.0), "settled without a heartbeat from the leader");
+    deliver_frames(&mut follower, 3.0, heartbeats);
     assert!(follower.is_settled(3.0));
 }
--- a/crates/gladekeel-testkit/tests/scenario_runner.rs
+++ b/crates/gladekeel-testkit/tests/scenario_runner.rs
@@ -1,10 +1,11 @@
-//! The runner of scenarios: seeds, and errors that say what is wrong with a line.
+//! The scenario runner: runs with several seeds, and error messages.
 
 use gladekeel_testkit::scenario;
 
-/// A scenario with several seeds says which of them fails.
+/// Guards against a scenario with several seeds of which only some are run, and against a failure
+/// that does not state its seed.
 #[test]
-fn each_seed_is_run() {
+fn every_seed_is_run_and_failures_state_their_seed() {
     let text = "world seeds=4..6\nuntil 5\nexpect leaders >= 1\nexpect leaders = 9\n";
     let failure = scenario::run(text).unwrap_err().to_string();
     for seed in 4..=6 {
@@ -13,9 +14,10 @@
     assert!(!failure.contains("line 3"), "{failure}");
 }
 
-/// An error names the line, what was expected there, and what was found.
+/// Guards against an invalid line that is ignored, and against an error that does not state the line,
+/// what was expected and what was found.
 #[test]
-fn a_line_that_cannot_be_read_is_an_error() {
+fn an_invalid_line_is_an_error() {
     for (line, expected) in [
         ("at 5 crash", "line 2: expected a node, found the end of the line"),
         ("at 5 fly", "line 2: expected a step, found \"fly\""),
--- a/crates/gladekeel-testkit/tests/token_renewal.rs
+++ b/crates/gladekeel-testkit/tests/token_renewal.rs
@@ -1,4 +1,4 @@
-//! A leader that renews its fencing token.
+//! Renewal of the leader's fencing token.
 
 use gladekeel_controller::{
     cloud_api::{CloudOutcome, CloudRequest},
@@ -16,17 +16,18 @@
 };
 use std::collections::VecDeque;
 
-/// A commit with an unknown outcome makes the leader renew its token, and the cloud responds
-/// after the old token and before the new one. That response once got lost: the list, or the
-/// deletion, counted as in flight for ever, and no other one followed.
+/// Guards against losing a response of the cloud during a token renewal. A commit with an unknown
+/// outcome makes the leader renew its token, and the response arrives when the old token is no longer
+/// in use and the new one not yet. The leader once dropped such a response: it counted the request to
+/// list or delete machines as in flight forever and never sent another one.
 #[test]
-#[allow(clippy::too_many_lines, reason = "one course of events, told in order")]
+#[allow(clippy::too_many_lines, reason = "a single sequence of events")]
 fn cloud_responses_during_a_token_renewal_are_not_lost() {
     let mut store =
         FakeStore::new(StoreLimits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 });
     let mut node = Node::new(example_settings(0, 1), 7, 0.0);
-    let (mut unanswered, mut leaders, mut lists) = (false, 0, 0);
-    let (mut log, mut list) = (None, None);
+    let (mut commit_unanswered, mut log_reads, mut list_requests) = (false, 0, 0);
+    let (mut delayed_log_page, mut unanswered_list) = (None, None);
     for step in 0..600 {
         let now = f64::from(step) * 0.05;
         let mut actions = VecDeque::from(node.handle(now, Event::Tick));
@@ -34,20 +35,20 @@
             let event = match action {
                 Action::CallStore { call, request, .. } => {
                     let outcome = store.call(now, 0, &request);
-                    let types = |write: &Write| matches!(write, Write::Put { key, .. } if key == keys::MACHINE_TYPES);
+                    let puts_machine_types = |write: &Write| matches!(write, Write::Put { key, .. } if key == keys::MACHINE_TYPES);
                     match &request {
                         StoreRequest::Commit(txn)
-                            if !unanswered && txn.writes.iter().any(types) =>
+                            if !commit_unanswered && txn.writes.iter().any(puts_machine_types) =>
                         {
-                            unanswered = true;
+                            commit_unanswered = true;
                             Event::Store { call, outcome: StoreOutcome::Unknown }
                         }
                         StoreRequest::List { prefix, .. }
                             if prefix == keys::ASSIGNMENT_LOG_PREFIX =>
                         {
-                            leaders += 1;
-                            if leaders == 2 {
-                                log = Some((call, outcome));
+                            log_reads += 1;
+                            if log_reads == 2 {
+                                delayed_log_page = Some((call, outcome));
                                 continue;
                             }
                             Event::Store { call, outcome }
@@ -64,23 +65,24 @@
                     }
                 }
                 Action::CallCloud { call, request: CloudRequest::ListMachines { .. }, .. } => {
-                    lists += 1;
-                    list = Some(call);
+                    list_requests += 1;
+                    unanswered_list = Some(call);
                     continue;
                 }
                 _ => continue,
             };
             actions.extend(node.handle(now, event));
         }
-        if let (Some((call, outcome)), Some(open)) = (log.take(), list) {
-            assert!(node.leader().is_none(), "between two tokens");
+        if let (Some((call, outcome)), Some(list_call)) = (delayed_log_page.take(), unanswered_list)
+        {
+            assert!(node.leader().is_none(), "leads before it has read the assignment log again");
             let page = MachinePage { machines: Vec::new(), truncated: false };
-            node.handle(now, Event::Cloud { call: open, outcome: CloudOutcome::List(page) });
+            node.handle(now, Event::Cloud { call: list_call, outcome: CloudOutcome::List(page) });
             node.handle(now, Event::Store { call, outcome });
             assert!(node.leader().is_some());
-            lists = 0;
+            list_requests = 0;
         }
     }
-    assert_eq!((unanswered, leaders), (true, 2));
-    assert!(lists > 0, "the machine list is never read again");
+    assert_eq!((commit_unanswered, log_reads), (true, 2));
+    assert!(list_requests > 0, "the leader never lists the machines again");
 }
