--- a/crates/gladekeel-testkit/tests/documentation.rs
+++ b/crates/gladekeel-testkit/tests/documentation.rs
@@ -79,8 +79,8 @@
     );
 }
 
-/// Returns the last segment of a Rust path such as `Node::handle` or `leader::scheduling`, or `None`
-/// if the span is not a path of several segments.
+/// Returns the last segment of a Rust path such as `Node::handle` or `leader::scheduling`, or
+/// `None` if the span is not a path of several segments.
 fn last_segment(span: &str) -> Option<&str> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'_' || byte == b':';
     let span = span.strip_suffix("()").unwrap_or(span);
--- a/crates/gladekeel-testkit/tests/heartbeat_balancing.rs
+++ b/crates/gladekeel-testkit/tests/heartbeat_balancing.rs
@@ -40,8 +40,8 @@
     assert_eq!(send_all_heartbeats(&mut new_balancer(0.2), 0.0, &mut receivers, &USABLE), 0);
 }
 
-/// Guards against a leader that receives all heartbeats: with 2,400 machines, heartbeats used up the
-/// whole small processor of the leader.
+/// Guards against a leader that receives all heartbeats: with 2,400 machines, heartbeats used up
+/// the whole small processor of the leader.
 #[test]
 fn heartbeats_of_many_workers_are_balanced_over_the_peers() {
     let mut balancer = new_balancer(0.05);
@@ -98,7 +98,7 @@
     assert_eq!(second_redirect, None);
 }
 
-/// Guards against counting the workers of deleted machines as load of their receiver.
+/// Guards against counting workers that no longer exist as load of their receiver.
 #[test]
 fn workers_without_recent_heartbeats_are_not_counted() {
     let mut balancer = new_balancer(0.05);
--- a/crates/gladekeel-testkit/tests/known_failures.rs
+++ b/crates/gladekeel-testkit/tests/known_failures.rs
@@ -1,5 +1,7 @@
-//! `.ci/cargo-test` and its list of tests that are known to fail, on a small package of
-//! its own: two tests that pass, two that fail, and a scenario runner with two files.
+//! Tests of `.ci/cargo-test` and of `KNOWN-RED.txt`, its list of tests that are known to fail. The
+//! script runs on a small package that is written for this purpose. The package has two tests that
+//! pass (one of them aborts if `ABORT` is set), two that fail, one that is ignored, and a scenario
+//! runner with two scenarios, of which one fails.
 
 use std::{
     fs,
@@ -34,6 +36,7 @@
 }
 "#;
 
+/// A scenario runner whose scenario `calm` passes and whose scenario `weather/stormy` fails.
 const RUNNER: &str = r#"
 #[test]
 fn all_scenarios() {
@@ -48,8 +51,8 @@
 }
 "#;
 
-/// A list under which the package passes.
-const COMPLETE: &str = "tests::bad | a fault | #1\n\
+/// A list of all failing tests of the package, with which the script succeeds.
+const COMPLETE_LIST: &str = "tests::bad | a fault | #1\n\
     tests::bad_too | another fault | #2\n\
     scenario:weather/stormy | bad weather | #3\n";
 
@@ -58,9 +61,10 @@
     output: String,
 }
 
-/// Runs the script on the package with this list, or without a file.
-fn run(directory: &str, list: Option<&str>, environment: &[(&str, &str)]) -> Outcome {
-    let package = package(directory);
+/// Writes the package and runs the script on it, with this text as `KNOWN-RED.txt`, or without that
+/// file if `list` is `None`. Tests that run in parallel must use different directories.
+fn run_script(directory: &str, list: Option<&str>, environment: &[(&str, &str)]) -> Outcome {
+    let package = write_package(directory);
     if let Some(list) = list {
         fs::write(package.join("KNOWN-RED.txt"), list).unwrap();
     }
@@ -76,10 +80,11 @@
     Outcome { passed: output.status.success(), output: String::from_utf8_lossy(&text).into_owned() }
 }
 
-fn package(directory: &str) -> PathBuf {
+/// Writes the package without `KNOWN-RED.txt` and returns its path.
+fn write_package(directory: &str) -> PathBuf {
     let package = Path::new(env!("CARGO_TARGET_TMPDIR")).join("known-failures").join(directory);
     let scenarios = package.join("crates/gladekeel-testkit/scenarios");
-    // A file that an earlier run has left must not count as a scenario.
+    // Removes the scenario files of earlier runs, which would count as scenarios too.
     let _ = fs::remove_dir_all(&scenarios);
     for path in [package.join("src"), package.join("tests"), scenarios.join("weather")] {
         fs::create_dir_all(path).unwrap();
@@ -94,15 +99,19 @@
     package
 }
 
+/// Asserts that the script fails with this list and that its output contains `message`.
 fn assert_fails(directory: &str, list: &str, message: &str) {
-    let outcome = run(directory, Some(list), &[]);
+    let outcome = run_script(directory, Some(list), &[]);
     assert!(!outcome.passed, "{list}: {}", outcome.output);
     assert!(outcome.output.contains(message), "{list}: {}", outcome.output);
 }
 
+/// Guards against a run that fails because of a listed test, and against listed failures that go
+/// unnoticed because the script does not print them. `SCENARIO` in the environment must not narrow
+/// the run.
 #[test]
-fn listed_tests_are_printed_and_passed_over() {
-    let outcome = run("complete", Some(COMPLETE), &[("SCENARIO", "calm")]);
+fn listed_failures_are_printed_and_do_not_fail_the_run() {
+    let outcome = run_script("complete", Some(COMPLETE_LIST), &[("SCENARIO", "calm")]);
     assert!(outcome.passed, "{}", outcome.output);
     for line in [
         "known to fail, fails: tests::bad (a fault; #1)",
@@ -111,25 +120,30 @@
     ] {
         assert!(outcome.output.contains(line), "{line}: {}", outcome.output);
     }
-    let last = outcome.output.lines().rfind(|line| line.starts_with("test result"));
-    assert!(last.unwrap().starts_with("test result: ok. 1 passed"), "{}", outcome.output);
+    let last_result = outcome.output.lines().rfind(|line| line.starts_with("test result"));
+    assert!(last_result.unwrap().starts_with("test result: ok. 1 passed"), "{}", outcome.output);
 }
 
+/// Guards against skipping a failing test that is not listed: with an absent or empty list, with a
+/// listed test whose name is a prefix of the failing one, and with a scenario that is not listed.
 #[test]
-fn only_listed_tests_are_passed_over() {
+fn failures_that_are_not_listed_fail_the_run() {
     for list in [None, Some(""), Some("\n")] {
-        let outcome = run("empty", list, &[("SKIP_SCENARIOS", "weather/stormy")]);
+        let outcome = run_script("empty", list, &[("SKIP_SCENARIOS", "weather/stormy")]);
         assert!(!outcome.passed);
         assert!(outcome.output.contains("test tests::bad ... FAILED"), "{}", outcome.output);
     }
-    // The name of one test begins that of another; the scenario is left.
+    // `tests::bad` is a prefix of `tests::bad_too`.
     assert_fails("empty", "tests::bad | a fault | #1", "test tests::bad_too ... FAILED");
-    let tests: String = COMPLETE.lines().take(2).map(|line| format!("{line}\n")).collect();
+    // Both tests are listed, but not the failing scenario.
+    let tests: String = COMPLETE_LIST.lines().take(2).map(|line| format!("{line}\n")).collect();
     assert_fails("empty", &tests, "test all_scenarios ... FAILED");
 }
 
+/// Guards against a list that is out of date: a listed test that passes, is ignored, aborts the
+/// test process or does not exist.
 #[test]
-fn listed_tests_must_exist_and_fail() {
+fn listed_tests_that_do_not_fail_or_do_not_exist_fail_the_run() {
     for (test, message) in [
         ("tests::good", "passes or is ignored, take it off the list: tests::good"),
         ("tests::ignored", "passes or is ignored"),
@@ -142,18 +156,20 @@
         assert_fails("stale", &format!("{test} | a cause | #1\n"), message);
     }
     let list = "tests::aborts | a cause | #1";
-    let outcome = run("stale", Some(list), &[("ABORT", "1")]);
+    let outcome = run_script("stale", Some(list), &[("ABORT", "1")]);
     assert!(!outcome.passed);
     assert!(outcome.output.contains("did not run to its end: tests::aborts"), "{}", outcome.output);
 }
 
+/// Guards against a list that is accepted although it has malformed lines, names a test twice or
+/// has more than three tests.
 #[test]
-fn the_list_is_short_and_well_formed() {
+fn a_malformed_or_too_long_list_fails_the_run() {
     for line in ["tests::bad", "tests::bad | a fault", "tests::bad | | #1", " | a | #1", "a|b|c|d"]
     {
         assert_fails("malformed", &format!("{line}\n"), "malformed, expected");
     }
-    assert_fails("malformed", &COMPLETE.replace("bad_too", "bad"), "listed twice: tests::bad");
-    let four = format!("{COMPLETE}tests::good | a fourth | #4\n");
+    assert_fails("malformed", &COMPLETE_LIST.replace("bad_too", "bad"), "listed twice: tests::bad");
+    let four = format!("{COMPLETE_LIST}tests::good | a fourth | #4\n");
     assert_fails("malformed", &four, "lists 4 tests, at most 3 may be");
 }
--- a/crates/gladekeel-testkit/tests/node_startup.rs
+++ b/crates/gladekeel-testkit/tests/node_startup.rs
@@ -12,8 +12,8 @@
     FakeStore::new(StoreLimits { rps: 1000.0, write_rps: 1000.0, txn_ops: 8, value: 4096 })
 }
 
-/// Sends a node a tick and the responses to its store requests. Returns the frames that the node has
-/// sent.
+/// Sends a node a tick and the responses to its store requests. Returns the frames that the node
+/// has sent.
 fn tick(node: &mut Node, store: &mut FakeStore, now: f64) -> Vec<Vec<u8>> {
     let mut frames = Vec::new();
     let mut actions = VecDeque::from(node.handle(now, Event::Tick));
--- a/crates/gladekeel-testkit/tests/protocol_words.rs
+++ b/crates/gladekeel-testkit/tests/protocol_words.rs
@@ -1,57 +1,59 @@
-//! The code and the docs use the field's terms: the themed words of the platform's protocol
-//! stand only where its JSON is spelled.
+//! Checks that the code and the documentation use the terms of the field. The themed words of the
+//! platform's protocol may occur only where the protocol's JSON is written out.
 //!
-//! Words are looked for in identifiers (each part of `snake_case` and `CamelCase`), comments
-//! and string literals, and in the prose of Markdown pages. The glossary maps the words to
-//! the terms that the code uses.
+//! The check searches identifiers (each part of `snake_case` and `CamelCase`), comments and string
+//! literals of Rust files, and the prose of Markdown pages. The glossary maps the words to the
+//! terms that the code uses.
 
 use std::{
     fmt, fs,
     path::{Path, PathBuf},
 };
 
-/// Words of the protocol, and some of their forms. Words of the protocol that are ordinary
-/// English or Rust (`path`, `entry`, `write`, `rows`, `order`, `try`, `build`, `pattern`,
-/// `mark`, `launch`, `full`, `busy`, `siblings`, `endpoint`) are not on the list: as words they
-/// cannot be told from their usual meaning.
+/// Words of the protocol and some of their inflections. Words of the protocol that are also
+/// ordinary English or Rust (`path`, `entry`, `write`, `rows`, `order`, `try`, `build`, `pattern`,
+/// `mark`, `launch`, `full`, `busy`, `siblings`, `endpoint`) are not in the list, because the check
+/// could not distinguish them from the usual meaning.
 const PROTOCOL_WORDS: &str = "
     berth berths hull hulls yard yards driftwood charter charters rig rigs crew crews
     ensemble ensembles urgency piece pieces scatter scattered reckon reckons reckoned stow
     stows stowed helm helms tally tallies harbor harbors mooring moorings logline loglines
     mark_s launch_s slack_s mates_gone name_id";
 
-/// `trim` is a state in the protocol, and a method of `str`: it may only be called.
+/// `trim` is a state in the protocol and also a method of `str`. It is allowed only as the name of
+/// a function that is called.
 const TRIM: &str = "trim";
 
-/// `watch` is the incarnation of a worker in the protocol, and how the store delivers changes:
-/// it may not stand in files that are about workers and heartbeats.
+/// `watch` is the incarnation of a worker in the protocol, and also the store's mechanism that
+/// delivers changes. It is not allowed in files about workers and heartbeats.
 const WATCH: &str = "watch";
+/// Parts of the paths of files about workers and heartbeats.
 const FILES_WITHOUT_WATCH: [&str; 3] = ["worker", "heartbeat", "incarnation"];
 
-/// `piece` is a task in the protocol, and ordinary English in prose ("resources that become free
-/// in small pieces"): outside the crate that documents the protocol it is found in code and
-/// literals alone.
+/// `piece` is a task in the protocol, and also ordinary English in prose ("resources that become
+/// free in small pieces"). Outside the crate that documents the protocol, the check finds the word
+/// only in code and literals, not in comments.
 const PIECES: [&str; 2] = ["piece", "pieces"];
 
-/// The one crate whose serde attributes may name the protocol's fields.
+/// Sources of the only crate whose serde attributes may contain the protocol's field names.
 const WIRE_SOURCES: &str = "crates/gladekeel-wire/src/";
 
-/// Files whose string literals may be names of JSON fields: error messages cite a field by the
-/// name that the user wrote.
-const CITES_JSON_NAMES: [&str; 1] = ["crates/gladekeel-wire/src/job/json_names.rs"];
+/// Files whose string literals may contain names of JSON fields, because error messages cite a
+/// field by the name that the user wrote.
+const FILES_WITH_JSON_NAMES: [&str; 1] = ["crates/gladekeel-wire/src/job/json_names.rs"];
 
-/// Directories of test code, whose string literals may spell the protocol's JSON: only words
-/// that stand between quotation marks, as names and values in JSON do.
-const SPELLS_JSON: [&str; 3] = ["/tests/", "/examples/", "crates/gladekeel-testkit/src/"];
+/// Directories of test code, whose string literals may contain the protocol's JSON. Only words
+/// between quotation marks, like names and values in JSON, are allowed there.
+const TEST_CODE: [&str; 3] = ["/tests/", "/examples/", "crates/gladekeel-testkit/src/"];
 
-/// This file must name the words.
+/// The path of this file, which is not checked because it contains the list of the words.
 const THIS_FILE: &str = "crates/gladekeel-testkit/tests/protocol_words.rs";
 
-/// Pages that are not checked: the glossary, which maps the words, and records, which stay
-/// as they were written.
+/// Pages that are not checked: the glossary, which maps the words to terms, and historical records,
+/// which are not rewritten.
 const EXEMPT_PAGES: [&str; 3] = ["docs/glossary.md", "docs/incidents/", "CHANGELOG.md"];
 
-/// A word of the protocol where it may not stand.
+/// A word of the protocol in a place where it is not allowed.
 #[derive(Debug, PartialEq)]
 struct Finding {
     file: String,
@@ -97,6 +99,7 @@
     fragments
 }
 
+/// Returns the kind and the length in bytes of the fragment that the text starts with.
 fn next_fragment(rest: &str) -> (FragmentKind, usize) {
     if rest.starts_with("//") {
         return (FragmentKind::Comment, rest.find('\n').unwrap_or(rest.len()));
@@ -113,14 +116,15 @@
     if let Some(len) = char_literal_len(rest) {
         return (FragmentKind::Code, len);
     }
-    // A whole identifier at once, so that its last letters are not taken for a prefix of a
-    // literal; else one character.
+    // Consumes a whole identifier, so that its last letter is not taken for the prefix of a
+    // literal; otherwise one character.
     let identifier = rest.find(|c: char| !is_word_char(c)).unwrap_or(rest.len());
     let first = rest.chars().next().map_or(1, char::len_utf8);
     (FragmentKind::Code, identifier.max(first))
 }
 
-/// Length of the string literal that the text starts with.
+/// Returns the length in bytes of the string literal that the text starts with, or `None` if the
+/// text starts with something else.
 fn literal_len(rest: &str) -> Option<usize> {
     let unprefixed = rest.trim_start_matches(['b', 'c']);
     let prefix = rest.len() - unprefixed.len();
@@ -144,7 +148,8 @@
     None
 }
 
-/// Length of the character literal that the text starts with; lifetimes are none.
+/// Returns the length in bytes of the character literal that the text starts with, or `None` if the
+/// text starts with something else, such as a lifetime.
 fn char_literal_len(rest: &str) -> Option<usize> {
     let body = rest.strip_prefix('\'')?;
     if let Some(escape) = body.strip_prefix('\\') {
@@ -159,17 +164,18 @@
     c.is_alphanumeric() || c == '_'
 }
 
-/// An identifier or a word of a text, and where it starts.
+/// Returns the identifiers and words of a text, each with the byte offset at which it starts.
 fn words(text: &str) -> impl Iterator<Item = (usize, &str)> {
     text.match_indices(is_word_char).filter_map(move |(start, _)| {
-        let begins = !text[..start].ends_with(is_word_char);
+        let starts_word = !text[..start].ends_with(is_word_char);
         let len = text[start..].find(|c| !is_word_char(c)).unwrap_or(text.len() - start);
-        begins.then(|| (start, &text[start..start + len]))
+        starts_word.then(|| (start, &text[start..start + len]))
     })
 }
 
-/// The parts of an identifier, in lower case: `HelmToken` and `helm_token` have the same.
-fn parts(word: &str) -> Vec<String> {
+/// Returns the parts of an identifier in lower case. `HelmToken` and `helm_token` have the same
+/// parts.
+fn identifier_parts(word: &str) -> Vec<String> {
     let mut parts = vec![String::new()];
     let mut previous_is_lower = false;
     for c in word.chars() {
@@ -186,27 +192,28 @@
     parts
 }
 
-/// The word of the protocol that an identifier is or contains.
+/// Returns the word of the protocol that an identifier equals or has as a part, if any.
 fn protocol_word(word: &str) -> Option<&'static str> {
     let whole = word.to_lowercase();
-    let parts = parts(word);
+    let parts = identifier_parts(word);
     PROTOCOL_WORDS.split_whitespace().chain([TRIM, WATCH]).find(|listed| {
         whole == **listed || (*listed != TRIM && parts.iter().any(|part| part == listed))
     })
 }
 
-/// Whether the word at `start` stands between quotation marks, which may be escaped.
+/// Whether the word at `start` is enclosed in quotation marks, which may be escaped.
 fn is_quoted(text: &str, start: usize, word: &str) -> bool {
     let after = &text[start + word.len()..];
     text[..start].ends_with('"') && (after.starts_with('"') || after.starts_with("\\\""))
 }
 
+/// Whether the word at `start` of a fragment is allowed in this file and kind of fragment.
 fn is_allowed(file: &str, fragments: &[Fragment], index: usize, start: usize, word: &str) -> bool {
     let fragment = &fragments[index];
-    let in_test_code = SPELLS_JSON.iter().any(|directory| file.contains(directory));
+    let in_test_code = TEST_CODE.iter().any(|directory| file.contains(directory));
     match fragment.kind {
         FragmentKind::SerdeAttribute => file.starts_with(WIRE_SOURCES),
-        FragmentKind::Literal if CITES_JSON_NAMES.contains(&file) => true,
+        FragmentKind::Literal if FILES_WITH_JSON_NAMES.contains(&file) => true,
         FragmentKind::Literal => in_test_code && is_quoted(&fragment.text, start, word),
         FragmentKind::Code => {
             let next = fragments.get(index + 1).map(|next| next.text.as_str());
@@ -219,25 +226,25 @@
     }
 }
 
-/// Whether the word at `start` is quoted as a key of the scenario language or the protocol.
+/// Whether the word at `start` is enclosed in backticks, like a key of the scenario language or of
+/// the protocol that a comment quotes.
 fn is_in_backticks(text: &str, start: usize, word: &str) -> bool {
     text[..start].ends_with('`') && text[start + word.len()..].starts_with('`')
 }
 
-/// Whether the store's sense of `watch` is the only one that can be meant.
-fn is_watch_of_the_store(file: &str, listed: &str) -> bool {
+/// Whether a listed word is `watch`, in a file where it can only mean a watch of the store.
+fn is_store_watch(file: &str, listed: &str) -> bool {
     listed == WATCH && !FILES_WITHOUT_WATCH.iter().any(|part| file.contains(part))
 }
 
+/// Returns the words of the protocol that are not allowed in a Rust source file.
 fn findings_in_rust(file: &str, source: &str) -> Vec<Finding> {
     let fragments = fragments(source);
     let mut findings = Vec::new();
     for (index, fragment) in fragments.iter().enumerate() {
         for (start, word) in words(&fragment.text) {
             let Some(listed) = protocol_word(word) else { continue };
-            if is_watch_of_the_store(file, listed)
-                || is_allowed(file, &fragments, index, start, word)
-            {
+            if is_store_watch(file, listed) || is_allowed(file, &fragments, index, start, word) {
                 continue;
             }
             let line = fragment.line + fragment.text[..start].matches('\n').count();
@@ -247,13 +254,13 @@
     findings
 }
 
-/// Whether the word at `start` is a part of a hyphenated name, as sites have.
+/// Whether the word at `start` is a part of a hyphenated name, such as the name of a site.
 fn is_hyphenated(text: &str, start: usize, word: &str) -> bool {
     text[..start].ends_with('-') || text[start + word.len()..].starts_with('-')
 }
 
-/// Words in a page. What stands in backticks or in a code block quotes the protocol, and what
-/// is hyphenated is a name.
+/// Returns the words of the protocol that are not allowed in a Markdown page. Allowed are words in
+/// backticks or code blocks, which quote the protocol, and parts of hyphenated names.
 fn findings_in_page(file: &str, text: &str) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut in_block = false;
@@ -287,8 +294,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().unwrap()
 }
 
-/// Files under a path with an extension, in order of their names.
-fn files(path: &Path, extension: &str) -> Vec<PathBuf> {
+/// Returns the files with this extension at or below a path, in order of their names.
+fn files_below(path: &Path, extension: &str) -> Vec<PathBuf> {
     if path.is_file() {
         let matches = path.extension().is_some_and(|found| found == extension);
         return if matches { vec![path.to_owned()] } else { Vec::new() };
@@ -296,13 +303,14 @@
     let mut entries: Vec<PathBuf> =
         fs::read_dir(path).unwrap().map(|entry| entry.unwrap().path()).collect();
     entries.sort();
-    entries.iter().flat_map(|entry| files(entry, extension)).collect()
+    entries.iter().flat_map(|entry| files_below(entry, extension)).collect()
 }
 
-/// The files under some paths, by name within the repository, with their texts.
-fn texts(paths: &[&str], extension: &str) -> Vec<(String, String)> {
+/// Returns the path within the repository and the text of each file with this extension at or below
+/// the paths.
+fn read_files(paths: &[&str], extension: &str) -> Vec<(String, String)> {
     let root = repository();
-    let files = paths.iter().flat_map(|path| files(&root.join(path), extension));
+    let files = paths.iter().flat_map(|path| files_below(&root.join(path), extension));
     files
         .map(|file| {
             let name = file.strip_prefix(&root).unwrap().to_str().unwrap().to_owned();
@@ -311,39 +319,39 @@
         .collect()
 }
 
-fn assert_none(findings: &[Finding]) {
+fn assert_no_findings(findings: &[Finding]) {
     let lines: Vec<String> = findings.iter().map(Finding::to_string).collect();
     assert!(
         findings.is_empty(),
-        "words of the protocol where the field's terms belong (see docs/glossary.md):\n{}",
+        "words of the protocol in place of the field's terms (see docs/glossary.md):\n{}",
         lines.join("\n")
     );
 }
 
 #[test]
 fn rust_code_uses_the_terms_of_the_field() {
-    let sources = texts(&["crates"], "rs");
-    assert!(sources.len() > 50, "the sources are found");
+    let sources = read_files(&["crates"], "rs");
+    assert!(sources.len() > 50, "only {} source files found", sources.len());
     let checked = sources.iter().filter(|(file, _)| file != THIS_FILE);
     let findings: Vec<Finding> =
         checked.flat_map(|(file, source)| findings_in_rust(file, source)).collect();
-    assert_none(&findings);
+    assert_no_findings(&findings);
 }
 
 #[test]
 fn pages_use_the_terms_of_the_field() {
-    let pages = texts(&["README.md", "CONTRIBUTING.md", "docs"], "md");
-    assert!(pages.len() > 3, "the pages are found");
+    let pages = read_files(&["README.md", "CONTRIBUTING.md", "docs"], "md");
+    assert!(pages.len() > 3, "only {} pages found", pages.len());
     let is_exempt = |file: &str| EXEMPT_PAGES.iter().any(|exempt| file.starts_with(exempt));
     let checked = pages.iter().filter(|(file, _)| !is_exempt(file));
     let findings: Vec<Finding> =
         checked.flat_map(|(file, text)| findings_in_page(file, text)).collect();
-    assert_none(&findings);
+    assert_no_findings(&findings);
 }
 
-/// Guards against a check that finds nothing.
+/// Guards against a check that overlooks words of the protocol where they are not allowed.
 #[test]
-fn planted_words_are_found() {
+fn misplaced_words_are_found() {
     let product = "crates/gladekeel-sched/src/cycle.rs";
     let wire = "crates/gladekeel-wire/src/worker.rs";
     let test = "crates/gladekeel-wire/tests/worker.rs";
@@ -372,13 +380,15 @@
         assert_eq!(found, 1, "{file}: {source}");
     }
     assert_eq!(findings_in_page("docs/design.md", "A berth and a `berth`.").len(), 1);
-    let [finding] = &findings_in_rust(product, "\n\"a\n yard\"")[..] else { panic!("one") };
+    let [finding] = &findings_in_rust(product, "\n\"a\n yard\"")[..] else {
+        panic!("expected exactly one finding")
+    };
     assert_eq!(finding.to_string(), "crates/gladekeel-sched/src/cycle.rs:3: `yard`");
 }
 
-/// Guards against a check that refuses what is meant.
+/// Guards against a check that rejects words in places where they are allowed.
 #[test]
-fn allowed_places_are_passed_over() {
+fn words_in_allowed_places_are_accepted() {
     let product = "crates/gladekeel-store/src/replica.rs";
     let wire = "crates/gladekeel-wire/src/worker.rs";
     let test = "crates/gladekeel-wire/tests/worker.rs";
--- a/crates/gladekeel-testkit/tests/scenario_runner.rs
+++ b/crates/gladekeel-testkit/tests/scenario_runner.rs
@@ -14,8 +14,8 @@
     assert!(!failure.contains("line 3"), "{failure}");
 }
 
-/// Guards against an invalid line that is ignored, and against an error that does not state the line,
-/// what was expected and what was found.
+/// Guards against an invalid line that is ignored, and against an error that does not state the
+/// line, what was expected and what was found.
 #[test]
 fn an_invalid_line_is_an_error() {
     for (line, expected) in [
--- a/crates/gladekeel-testkit/tests/token_renewal.rs
+++ b/crates/gladekeel-testkit/tests/token_renewal.rs
@@ -17,9 +17,9 @@
 use std::collections::VecDeque;
 
 /// Guards against losing a response of the cloud during a token renewal. A commit with an unknown
-/// outcome makes the leader renew its token, and the response arrives when the old token is no longer
-/// in use and the new one not yet. The leader once dropped such a response: it counted the request to
-/// list or delete machines as in flight forever and never sent another one.
+/// outcome makes the leader renew its token, and the response arrives when the old token is no
+/// longer in use and the new one is not in use yet. Such a response was once dropped: the request
+/// to list or delete machines counted as in flight forever, and the leader never sent another one.
 #[test]
 #[allow(clippy::too_many_lines, reason = "a single sequence of events")]
 fn cloud_responses_during_a_token_renewal_are_not_lost() {
--- a/crates/gladekeel-testkit/tests/two_versions/main.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/main.rs
@@ -1,6 +1,7 @@
-//! A node by itself, whose peers are of this version or of an earlier one. Version 37c5e95,
-//! called production here, tells level 0 in its heartbeats and ends a connection over a frame
-//! of a kind above 5. Version fe9a16c tells level 1 and knows kind 6.
+//! Compatibility of a node with peers and stored values of other versions. The node runs alone; the
+//! test sends it the heartbeats of its peers. Version 37c5e95, called production here, sends
+//! protocol level 0 in its heartbeats and closes the connection if a frame has a kind above 5.
+//! Version fe9a16c sends level 1 and knows kind 6.
 
 mod peers;
 mod stored_values;
@@ -27,45 +28,48 @@
 use serde_json::Value;
 use std::collections::VecDeque;
 
-/// The last kind of frame that production knows.
+/// Highest number of a frame kind that production knows.
 const MAX_KIND_OF_PRODUCTION: u16 = 5;
 
-/// A heartbeat's payload as production lays it out: milliseconds since the last contact to
-/// the state service and the token, little-endian.
-fn heartbeat(contact_ms: u32, leads: u64) -> Vec<u8> {
-    [contact_ms.to_le_bytes().as_slice(), leads.to_le_bytes().as_slice()].concat()
+/// Returns the payload of a peer heartbeat in production's layout: milliseconds since the last
+/// contact with the state service and the token, both little-endian.
+fn heartbeat_payload(store_contact_age_ms: u32, leader_token: u64) -> Vec<u8> {
+    let age = store_contact_age_ms.to_le_bytes();
+    [age.as_slice(), leader_token.to_le_bytes().as_slice()].concat()
 }
 
 /// A frame that the node has sent.
 struct SentFrame {
-    /// Index of the receiver.
+    /// Index of the peer to which the frame was sent.
     peer: usize,
     header: FrameHeader,
     kind: u16,
     payload: Vec<u8>,
 }
 
-/// A response of the node.
+/// A response of the node to an HTTP request.
 struct Response {
-    request: u64,
+    request_id: u64,
     status: u16,
     body: Vec<u8>,
 }
 
-/// A node among `levels.len()` peers, with a fake store, and what it has sent.
+/// A node with `peer_levels.len()` peers and a fake store, and what the node has sent.
 struct TestNode {
     node: Node,
     store: FakeStore,
-    /// What the peers' heartbeats tell from now on; none for a peer that is silent.
-    levels: Vec<Option<u16>>,
-    /// The number of the peers' processes in their heartbeats; 0 as earlier versions have it.
-    processes: u64,
+    /// The protocol level that each peer sends in its heartbeats; `None` for a peer that sends
+    /// none.
+    peer_levels: Vec<Option<u16>>,
+    /// The incarnation that the peers send in their heartbeats; earlier versions send 0.
+    peer_incarnation: u64,
+    /// The number of steps of 50 ms since the start.
     step: u32,
-    requests: u64,
-    frames: Vec<SentFrame>,
+    last_request_id: u64,
+    sent_frames: Vec<SentFrame>,
     responses: Vec<Response>,
-    /// Commands that were sent to workers directly.
-    direct: Vec<Command>,
+    /// Commands that the node has sent in requests to workers, not in responses to heartbeats.
+    direct_commands: Vec<Command>,
 }
 
 impl TestNode {
@@ -74,27 +78,29 @@
         TestNode {
             node: Node::new(example_settings(0, levels.len() + 1), 7, 0.0),
             store: FakeStore::new(limits),
-            levels: levels.to_vec(),
-            processes: 0,
+            peer_levels: levels.to_vec(),
+            peer_incarnation: 0,
             step: 0,
-            requests: 0,
-            frames: Vec::new(),
+            last_request_id: 0,
+            sent_frames: Vec::new(),
             responses: Vec::new(),
-            direct: Vec::new(),
+            direct_commands: Vec::new(),
         }
     }
 
-    /// Stores a value as another node would.
+    /// Stores a value as another node would, and returns the version of the commit.
     fn put(&mut self, key: &str, value: Value) -> u64 {
         let put = Write::Put { key: key.into(), value, lease: None };
         let txn = Transaction { preconditions: Vec::new(), writes: vec![put] };
         match self.store.call(0.0, 1, &StoreRequest::Commit(txn)) {
             StoreOutcome::Committed(version) => version,
-            other => panic!("not stored: {other:?}"),
+            other => panic!("{key} not stored: {other:?}"),
         }
     }
 
-    /// Carries out an event and all that follows from it.
+    /// Passes an event to the node and carries out the resulting actions, including those that
+    /// result from the responses. The store and the cloud's list of machine types respond; other
+    /// calls to the cloud and calls to workers receive no response.
     fn handle(&mut self, now: f64, event: Event) {
         let mut actions = VecDeque::from(self.node.handle(now, event));
         while let Some(action) = actions.pop_front() {
@@ -108,18 +114,20 @@
                 }
                 Action::SendToPeer { peer, frame } => {
                     let (head, payload) = frame.split_at(FrameHeader::SIZE);
-                    let (header, _) = FrameHeader::read(head.try_into().unwrap()).expect("a head");
+                    let (header, _) = FrameHeader::read(head.try_into().unwrap())
+                        .expect("nodes send valid frames");
                     let (kind, payload) = (header.kind.get(), payload.to_vec());
-                    self.frames.push(SentFrame { peer, header, kind, payload });
+                    self.sent_frames.push(SentFrame { peer, header, kind, payload });
                     continue;
                 }
                 Action::Reply { id, reply } => {
                     let (status, body) = (reply.status, reply.body);
-                    self.responses.push(Response { request: id, status, body });
+                    self.responses.push(Response { request_id: id, status, body });
                     continue;
                 }
                 Action::CallWorker { request, .. } => {
-                    self.direct.extend(request.body.into_iter().flat_map(|body| body.commands));
+                    self.direct_commands
+                        .extend(request.body.into_iter().flat_map(|body| body.commands));
                     continue;
                 }
                 _ => continue,
@@ -128,19 +136,19 @@
         }
     }
 
-    /// Lets time pass; the peers send a heartbeat once a second.
-    fn run(&mut self, seconds: u32) {
+    /// Advances the time. Peers with a level send a heartbeat once a second.
+    fn advance(&mut self, seconds: u32) {
         for _ in 0..seconds * 20 {
             let now = f64::from(self.step) * 0.05;
-            for peer in 0..self.levels.len() {
-                if let (Some(level), 0) = (self.levels[peer], self.step % 20) {
-                    let payload = heartbeat(250, 0);
-                    let (from, len) = (peer as u32 + 1, payload.len());
+            for peer in 0..self.peer_levels.len() {
+                if let (Some(level), 0) = (self.peer_levels[peer], self.step % 20) {
+                    let payload = heartbeat_payload(250, 0);
+                    let (sender, len) = (peer as u32 + 1, payload.len());
                     let header = FrameHeader::new(
                         FrameKind::PeerHeartbeat,
                         level,
-                        self.processes,
-                        from,
+                        self.peer_incarnation,
+                        sender,
                         len,
                     );
                     self.handle(
@@ -154,41 +162,50 @@
         }
     }
 
-    /// A request and the status and body of the answer to it.
+    /// Sends an HTTP request to the node and waits two seconds. Returns the status and the body of
+    /// the response.
     fn request(&mut self, method: &str, path: &str, body: Vec<u8>) -> (u16, Vec<u8>) {
-        self.requests += 1;
-        let id = self.requests;
+        self.last_request_id += 1;
+        let id = self.last_request_id;
         let event = Event::Http { id, method: method.into(), path: path.into(), body };
         self.handle(f64::from(self.step) * 0.05, event);
-        self.run(2);
+        self.advance(2);
         let mut responses = self.responses.iter();
-        let response = responses.find(|r| r.request == id).expect("an answer in two seconds");
+        let response =
+            responses.find(|r| r.request_id == id).expect("a response within two seconds");
         (response.status, response.body.clone())
     }
 
-    /// A user's request and the answer to it.
-    fn ask(&mut self, path: &str, body: Vec<u8>) -> (u16, JobStatus) {
+    /// Sends a user's POST request about a job. Returns the HTTP status and the status of the job.
+    fn post_job_request(&mut self, path: &str, body: Vec<u8>) -> (u16, JobStatus) {
         let (status, body) = self.request("POST", path, body);
-        (status, serde_json::from_slice(&body).expect("the state of a job"))
+        (status, serde_json::from_slice(&body).expect("the body is the status of a job"))
     }
 
-    /// The node as a leader, if it leads.
+    /// The leader's state, while the node leads.
     fn leader(&self) -> Option<&Leader> {
         self.node.leader()
     }
 
-    /// Submits and cancels a job, and tells who was sent which frames of kinds that
-    /// production does not know.
-    fn cancel(&mut self, name: &str) -> Vec<(usize, u16, Vec<JobId>)> {
+    /// Submits and cancels a job. Returns the frames of the cancellation whose kind production does
+    /// not know: the peer, the kind and the job ids of each.
+    fn submit_and_cancel(&mut self, name: &str) -> Vec<(usize, u16, Vec<JobId>)> {
         let spec = serde_json::to_vec(&example_job(name)).unwrap();
-        assert_eq!(self.ask("/api/jobs", spec).0, 201, "{name} is accepted");
-        let before = self.frames.len();
-        let (status, job) = self.ask(&format!("/api/jobs/{name}/cancel"), Vec::new());
-        assert_eq!((status, job.state), (200, JobState::Cancelled), "{name} is committed");
-        let unknown =
-            self.frames[before..].iter().filter(|frame| frame.kind > MAX_KIND_OF_PRODUCTION);
+        assert_eq!(self.post_job_request("/api/jobs", spec).0, 201, "submission of {name}");
+        let frames_before = self.sent_frames.len();
+        let (status, job) = self.post_job_request(&format!("/api/jobs/{name}/cancel"), Vec::new());
+        assert_eq!((status, job.state), (200, JobState::Cancelled), "cancellation of {name}");
+        let unknown = self.sent_frames[frames_before..]
+            .iter()
+            .filter(|frame| frame.kind > MAX_KIND_OF_PRODUCTION);
         unknown
-            .map(|sent| (sent.peer, sent.kind, decode_job_ids(&sent.payload).expect("ids")))
+            .map(|sent| {
+                (
+                    sent.peer,
+                    sent.kind,
+                    decode_job_ids(&sent.payload).expect("the payload is a list of job ids"),
+                )
+            })
             .collect()
     }
 }
--- a/crates/gladekeel-testkit/tests/two_versions/stored_values.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/stored_values.rs
@@ -1,34 +1,37 @@
+//! Stored settings, jobs and final states that contain something that this version does not know.
+
 use super::TestNode;
 use gladekeel_controller::keys;
 use gladekeel_testkit::scenario::example_job;
 use gladekeel_wire::{JobId, admin::VersionedSettings, job::JobState, mesh::PROTOCOL_LEVEL};
 use serde_json::{Value, json};
 
-/// Submits a job as users do; the status of the answer.
+/// Submits a job as users do, and returns the HTTP status of the response.
 fn submit(node: &mut TestNode, name: &str) -> u16 {
     let spec = serde_json::to_vec(&example_job(name)).unwrap();
     node.request("POST", "/api/jobs", spec).0
 }
 
+/// Requests the status of a job as users do, and returns the HTTP status of the response.
 fn poll(node: &mut TestNode, name: &str) -> u16 {
     node.request("GET", &format!("/api/jobs/{name}"), Vec::new()).0
 }
 
-/// A job of a kind that this version does not know.
+/// Returns the stored value of a job whose kind this version does not know.
 fn unreadable_job(name: &str) -> Value {
     let mut value = serde_json::to_value(example_job(name)).unwrap();
-    value["build"] = "unheard".into();
+    value["build"] = "no-such-kind".into();
     value
 }
 
-/// Guards against settings that fall back to the usual ones because another version
-/// stored one that this version does not know: the others stay in force.
+/// Guards against falling back to the default settings because another version has stored a setting
+/// that this version does not know: the other stored settings stay in force.
 #[test]
 fn an_unknown_setting_leaves_the_others_in_force() {
     let mut node = TestNode::with_peers(&[Some(0), Some(0)]);
     let value = json!({"beta": 1.5, "round_s": 2.0, "of_another_version": 7.5});
     let version = node.put(keys::OPTIONS, value);
-    node.run(5);
+    node.advance(5);
     let (status, body) = node.request("GET", "/admin/settings", Vec::new());
     assert_eq!(status, 200);
     let read: VersionedSettings = serde_json::from_slice(&body).unwrap();
@@ -37,63 +40,64 @@
     assert!(!read.settings.contains_key("of_another_version"));
 }
 
-/// Guards against an accepted job that is answered 404, and against a leader that counts
-/// its attempts as attempts of no job: nobody leads until what is stored can be read.
+/// Guards against responding 404 to requests about an accepted job, and against a leader that
+/// attributes the attempts of the job to no job: no node leads until the stored job can be read.
 #[test]
-fn a_job_that_cannot_be_read_prevents_leadership() {
+fn an_unreadable_job_prevents_leadership() {
     let mut node = TestNode::with_peers(&[Some(1), Some(1)]);
     node.put(&keys::job(&"job-7".parse().unwrap()), unreadable_job("job-7"));
-    node.run(6);
-    assert!(node.leader().is_none(), "its attempts would count as attempts of none");
+    node.advance(6);
+    assert!(node.leader().is_none(), "a leader would attribute the attempts of job-7 to no job");
     assert_eq!(poll(&mut node, "job-7"), 503);
     assert_eq!(submit(&mut node, "job-7"), 503);
     let (status, _) = node.request("POST", "/api/jobs/job-7/cancel", Vec::new());
     assert_eq!(status, 503);
-    assert_eq!(poll(&mut node, "job-8"), 404, "other jobs are told of as ever");
+    assert_eq!(poll(&mut node, "job-8"), 404, "responses about other jobs are unaffected");
 
     let readable = serde_json::to_value(example_job("job-7")).unwrap();
     node.put(&keys::job(&"job-7".parse().unwrap()), readable);
-    node.run(10);
+    node.advance(10);
     assert!(node.leader().is_some());
     assert_eq!(poll(&mut node, "job-7"), 200);
 }
 
-/// Guards against a final state that is guessed: the job may be done, so none of its tasks
-/// may be started, and users must not be told that it waits.
+/// Guards against guessing a final state that cannot be read: the job may be done, so none of its
+/// tasks may be started, and responses to users must not state that the job is queued.
 #[test]
-fn a_final_state_that_cannot_be_read_stops_scheduling() {
+fn an_unreadable_final_state_suspends_scheduling() {
     let mut node = TestNode::with_peers(&[Some(1), Some(1)]);
-    node.run(5);
+    node.advance(5);
     assert_eq!(submit(&mut node, "job-7"), 201);
-    node.run(5);
-    let rounds = |node: &TestNode| node.leader().expect("it leads on").counters().scheduling_cycles;
-    assert!(rounds(&node) > 3);
+    node.advance(5);
+    let cycles =
+        |node: &TestNode| node.leader().expect("the node still leads").counters().scheduling_cycles;
+    assert!(cycles(&node) > 3);
     let id: JobId = "job-7".parse().unwrap();
-    node.put(&keys::final_state(&id), "unheard".into());
+    node.put(&keys::final_state(&id), "no-such-state".into());
     assert_eq!(poll(&mut node, "job-7"), 503);
-    let before = rounds(&node);
-    node.run(10);
-    assert_eq!(rounds(&node), before, "nothing is placed");
+    let cycles_before = cycles(&node);
+    node.advance(10);
+    assert_eq!(cycles(&node), cycles_before, "scheduling is suspended");
 
     node.put(&keys::final_state(&id), "done".into());
-    let (status, job) = node.ask("/api/jobs/job-7/cancel", Vec::new());
+    let (status, job) = node.post_job_request("/api/jobs/job-7/cancel", Vec::new());
     assert_eq!((status, job.state), (200, JobState::Done));
-    node.run(5);
-    assert!(rounds(&node) > before, "placing goes on");
+    node.advance(5);
+    assert!(cycles(&node) > cycles_before, "scheduling has resumed");
 }
 
-/// Guards against a change on a node that has not read the version which it changes: it
-/// put all other settings back to what that node knew.
+/// Guards against a change of settings on a node that has not yet read the version to which the
+/// change applies: it once reset all other settings to the values that the node knew.
 #[test]
-fn a_change_on_a_node_that_is_behind_leaves_other_settings() {
+fn a_settings_change_on_a_stale_node_preserves_the_other_settings() {
     let mut node = TestNode::with_peers(&[Some(PROTOCOL_LEVEL)]);
-    node.run(5);
+    node.advance(5);
     let version = node.put(keys::OPTIONS, json!({"beta": 1.5}));
     let change = json!({"version": version, "settings": {"idle_s": 20.0}}).to_string();
     let (status, _) = node.request("PUT", "/admin/settings", change.clone().into_bytes());
     assert_eq!(status, 409);
     let (status, body) = node.request("PUT", "/admin/settings", change.into_bytes());
-    assert_eq!(status, 200, "it has read them by now");
+    assert_eq!(status, 200, "the node has read the stored settings by now");
     let changed: VersionedSettings = serde_json::from_slice(&body).unwrap();
     assert_eq!((changed.settings["beta"], changed.settings["idle_s"]), (1.5, 20.0));
     assert!(changed.version > version);
