--- a/crates/gladekeel-testkit/tests/heartbeat_balancing.rs
+++ b/crates/gladekeel-testkit/tests/heartbeat_balancing.rs
@@ -85,8 +85,8 @@
     );
 }
 
-/// Guards against redirecting a worker again although it may have been unable to reach the node to
-/// which it was redirected before.
+/// Guards against redirecting a worker again when it returns to the leader soon after a redirect:
+/// the worker could not reach the node to which it was redirected.
 #[test]
 fn a_worker_that_returns_after_a_redirect_is_not_redirected_again() {
     let mut balancer = new_balancer(0.001);
--- a/crates/gladekeel-testkit/tests/node_startup.rs
+++ b/crates/gladekeel-testkit/tests/node_startup.rs
@@ -70,7 +70,10 @@
             tick(&mut follower, &mut store, now);
         }
     }
-    assert!(!follower.is_settled(3.0), "settled without a heartbeat from the leader");
+    assert!(
+        !follower.is_settled(3.0),
+        "the follower knows the leader, but has no heartbeat from it"
+    );
     deliver_frames(&mut follower, 3.0, heartbeats);
     assert!(follower.is_settled(3.0));
 }
