--- a/crates/gladekeel-controller/src/assignment_log/layout.rs
+++ b/crates/gladekeel-controller/src/assignment_log/layout.rs
@@ -6,7 +6,8 @@
     little_endian::{U16, U32, U64},
 };
 
-/// The number at the start of each segment, which identifies the version of the layout.
+/// The number at the start of each segment, which marks the value as a segment and identifies the
+/// version of its layout.
 pub(super) const MAGIC: u32 = 0x676b_6c31;
 
 /// The header of a segment, with the number of rows of each kind.
@@ -49,7 +50,7 @@
     pub machine: U16,
 }
 
-/// An attempt that is proved to be no longer on its machine.
+/// An attempt that is proven to be no longer on its machine.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct ReleaseRow {
--- a/crates/gladekeel-controller/src/assignment_log/records.rs
+++ b/crates/gladekeel-controller/src/assignment_log/records.rs
@@ -53,7 +53,7 @@
     pub attempt: u64,
 }
 
-/// An attempt that is proved to be no longer on its machine.
+/// An attempt that is proven to be no longer on its machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Release {
     /// The job of the task.
--- a/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
@@ -115,7 +115,7 @@
     }
 
     /// Applies the progress that a release records. Returns a reference to the page that contains
-    /// the progress, or `None` if the release records none.
+    /// the progress, or `None` if the release records none or the job is not in the store.
     fn replay_release(&mut self, release: &Release) -> Option<ProgressPageRef> {
         let (job_idx, job) = self.job_by_id(&release.job)?;
         let tasks = match release.outcome {
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/limits.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/limits.rs
@@ -56,7 +56,7 @@
 /// Decides when the next transaction may be sent.
 #[derive(Debug, Default)]
 pub(super) struct GroupCommitTimer {
-    /// The time before which no transaction may be sent.
+    /// The time before which no transaction may be sent, in seconds on the node's clock.
     not_before: f64,
 }
 
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
@@ -5,9 +5,10 @@
 //! after the release of its previous attempt is committed. The final state of a job is committed
 //! together with the job's last release or later.
 //!
-//! A slot is overwritten, the one with the oldest segment first, once its segment holds no record
-//! that is the newest of an attempt or progress page. Compaction copies old records that are still
-//! the newest into new segments, so that the log stays short ("The log" in `docs/safety.md`).
+//! Slots are overwritten in the order of their segments, oldest first. A slot may be overwritten
+//! once its segment no longer holds the newest record of any attempt or progress page. Compaction
+//! copies old records that are still the newest into new segments, so that the log stays short
+//! ("The log" in `docs/safety.md`).
 
 mod batch;
 mod batch_builder;
@@ -50,9 +51,11 @@
 const HOUSEKEEPING_SPARE_TOKENS: f64 = 4.0;
 /// Expected share of the store's write rate that is available for assignments.
 const ASSIGNMENT_WRITE_SHARE: f64 = 0.6;
-/// Lower bound of the number of assignments that may be proposed at the end of a scheduling cycle.
+/// Lower bound of the limit on the proposed assignments that may be pending after a scheduling
+/// cycle.
 const MIN_CYCLE_ASSIGNMENTS: usize = 200;
-/// Upper bound of the number of assignments that may be proposed at the end of a scheduling cycle.
+/// Upper bound of the limit on the proposed assignments that may be pending after a scheduling
+/// cycle.
 const MAX_CYCLE_ASSIGNMENTS: usize = 4000;
 
 /// The parts of the leader's state that the log writer reads.
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/slots.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/slots.rs
@@ -38,8 +38,8 @@
 }
 
 impl LiveSegment {
-    /// Drops trailing attempts and pages that newer segments or releases have made obsolete. Stops
-    /// at the first, counted from the end, that is still the newest record.
+    /// Drops trailing attempts and pages that newer segments or releases have made obsolete. In
+    /// each of the two lists, stops at the last entry that is still the newest record.
     fn drop_obsolete_tail(&mut self, records: LeaderRecords<'_>) {
         let sequence = self.sequence;
         let is_obsolete = |id: &mut AttemptId| !records.is_newest_assignment(sequence, *id);
