--- a/crates/gladekeel-controller/src/leader/job/failure_backoff.rs
+++ b/crates/gladekeel-controller/src/leader/job/failure_backoff.rs
@@ -16,7 +16,7 @@
 pub struct FailureBackoff {
     failures: u32,
     failed_on: BTreeSet<MachineIdx>,
-    /// Time at which the backoff ends, in seconds on the leader's clock.
+    /// Time at which the backoff ends, in seconds on the node's clock.
     ends_at: f64,
 }
 
--- a/crates/gladekeel-controller/src/leader/job/mod.rs
+++ b/crates/gladekeel-controller/src/leader/job/mod.rs
@@ -58,7 +58,7 @@
     /// Whether another controller has committed the job's cancellation and this leader's view of
     /// the store does not show the cancellation yet.
     pub cancellation_pending: bool,
-    /// For a cancelled job, a time on the leader's clock at which the job was not cancelled yet;
+    /// For a cancelled job, a time on the node's clock at which the job was not cancelled yet;
     /// negative infinity if no such time is known. The tasks must be off their machines within a
     /// deadline from the cancellation, whose exact time is not known.
     pub cancelled_no_earlier_than: f64,
@@ -78,7 +78,7 @@
     /// For each page of the job's tasks, the newest segment of the assignment log that records the
     /// progress of the whole page.
     pub progress_segments: BTreeMap<u32, u64>,
-    /// Time at which the job was accepted, in seconds on the leader's clock; if that is not known,
+    /// Time at which the job was accepted, in seconds on the node's clock; if that is not known,
     /// the time at which the leader added the job.
     pub submitted_at: f64,
     /// Run times of the job's completed tasks.
--- a/crates/gladekeel-controller/src/leader/job/task_queue.rs
+++ b/crates/gladekeel-controller/src/leader/job/task_queue.rs
@@ -36,7 +36,7 @@
         self.speculative_restarts
     }
 
-    /// Returns the time, in seconds on the leader's clock, since which the queue has continuously
+    /// Returns the time, in seconds on the node's clock, since which the queue has continuously
     /// had waiting tasks. Tasks start to wait when a scheduling cycle leaves them unbound or when a
     /// task is requeued; `None` if neither has happened since the queue was last empty.
     pub fn waiting_since(&self) -> Option<f64> {
