--- a/crates/gladekeel-controller/src/leader/cluster_state.rs
+++ b/crates/gladekeel-controller/src/leader/cluster_state.rs
@@ -28,7 +28,7 @@
     /// Since when each zone has been reachable. The field is filled only between two tokens, like
     /// the catalog; during a term the failure detector holds this state.
     pub(super) reachable_zones: ReachableZones,
-    /// Observed run time as a multiple of the job owner's estimate, by class of job.
+    /// Moving average of the run time as a multiple of the user's estimate, by class of job.
     pub(super) run_time_ratios: HashMap<String, f64>,
     /// Counters for metrics.
     pub counters: LeaderCounters,
--- a/crates/gladekeel-controller/src/leader/commands/mod.rs
+++ b/crates/gladekeel-controller/src/leader/commands/mod.rs
@@ -5,8 +5,8 @@
 //! [queue](queue::CommandQueue), for commands or for a probe. The node takes
 //! [requests](request::WorkerRequest) while it has sockets for them, and returns their
 //! [outcomes](outcome::WorkerOutcome). The commands of a request are chosen only when the request
-//! is built. Adding a machine twice, or a machine for which no command is due, therefore has no
-//! effect.
+//! is built. Adding a machine twice, or a machine for which no command is due, is therefore
+//! harmless.
 //!
 //! Upholds "Direct commands" of `docs/safety.md`: a start that got no response may be executed at
 //! any later time while fencing token and incarnation match. Until such a start is
--- a/crates/gladekeel-controller/src/leader/commands/outcome.rs
+++ b/crates/gladekeel-controller/src/leader/commands/outcome.rs
@@ -8,8 +8,8 @@
 use gladekeel_sched::MachineIdx;
 use gladekeel_wire::worker::{Heartbeat, TaskStatus};
 
-/// How long after this node has lagged a missing response does not count against a machine, in
-/// seconds.
+/// For this many seconds after this node has lagged, a missing response does not count against a
+/// machine.
 const LAG_GRACE_S: f64 = 3.0;
 
 /// The outcome of a request to a worker.
@@ -17,8 +17,8 @@
 pub enum WorkerOutcome {
     /// The worker executed the request, and built this heartbeat afterwards.
     Done(Heartbeat),
-    /// The worker refused the request because its incarnation differs, or because it has seen a
-    /// higher fencing token.
+    /// The worker refused the request, because the request is for another incarnation of the worker
+    /// or because the worker has seen a higher fencing token.
     NotExecuted,
     /// The worker was not reached: it has not received the request, and never will.
     NotSent,
@@ -103,7 +103,7 @@
     /// Records that a machine was reached and receives messages.
     fn record_response(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
-        machine.liveness.record_probe_answer(now, heartbeat.incarnation);
+        machine.liveness.record_probe_response(now, heartbeat.incarnation);
         machine.acknowledgements.confirm();
     }
 
--- a/crates/gladekeel-controller/src/leader/commands/queue.rs
+++ b/crates/gladekeel-controller/src/leader/commands/queue.rs
@@ -88,7 +88,7 @@
         self.probes_in_flight += 1;
     }
 
-    /// Records that a probe is no longer in flight, since its outcome is known.
+    /// Records that a probe has an outcome and is no longer in flight.
     pub(super) fn record_probe_outcome(&mut self) {
         self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
     }
--- a/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
+++ b/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
@@ -1,9 +1,9 @@
 //! Tracking of starts that had no response, until it is certain that they can no longer be
 //! executed.
 //!
-//! A worker may execute such a start at any later time while its fencing token and incarnation
-//! match. The start is settled by a newer incarnation of the worker, by the deletion of the
-//! machine, or by a new token once the machine has sent a heartbeat under that token.
+//! A worker may execute such a start at any later time while the fencing token and incarnation of
+//! the start match. The start is settled by a newer incarnation of the worker, by the deletion of
+//! the machine, or by a new token once the machine has sent a heartbeat under that token.
 
 use super::{WorkerOutcome, WorkerRequest};
 use crate::leader::{Leader, Machine};
@@ -14,8 +14,8 @@
 /// How long a start of a cancelled job may be without a response before a new token is required,
 /// in seconds. The limit is shorter because the task must never start.
 const UNSETTLED_CANCELLED_START_S: f64 = 1.0;
-/// How long after a start was found to have no response a requested deletion of its machine may
-/// still settle the start, in seconds. No new token is required meanwhile.
+/// How long a requested deletion of the machine is expected to settle a start, in seconds, counted
+/// from when the start was found to have no response. No new token is required meanwhile.
 const DELETION_TIMEOUT_S: f64 = 2.0 * UNSETTLED_START_S;
 
 impl Machine {
--- a/crates/gladekeel-controller/src/leader/failure_detection/cancellation_deadline.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/cancellation_deadline.rs
@@ -9,7 +9,8 @@
 use gladekeel_sched::{JobIdx, MachineIdx};
 
 /// Added to the heartbeat timeout, in seconds. A new leader that does not know when a job was
-/// cancelled waits for the sum of both for heartbeats which show that the job's tasks are gone.
+/// cancelled waits for the sum of the two, so that heartbeats can show that the job's tasks are
+/// gone.
 const TAKEOVER_MARGIN_S: f64 = 2.0;
 
 impl Leader {
--- a/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
@@ -149,8 +149,8 @@
     }
 
     /// Whether a machine that was never seen has failed to boot in time. A machine that was up
-    /// before this term may be about to send its first heartbeat to this leader, so that its
-    /// silence in this term must also be long enough.
+    /// before this term may be about to send its first heartbeat to this leader, so its silence in
+    /// this term must also exceed the unreachable timeout.
     fn has_boot_timed_out(&self, machine: &Machine, boot_s: f64) -> bool {
         let timeout_s = boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN_S;
         machine.liveness.silent_s(self.now) > self.thresholds.unreachable_after_s
--- a/crates/gladekeel-controller/src/leader/failure_detection/mod.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/mod.rs
@@ -1,6 +1,6 @@
 //! Detects machines that have failed, and moves their tasks to other machines.
 //!
-//! The leader runs the [`detector::FailureDetector`] once per scheduling cycle. From the machines
+//! The leader runs the [`detector::FailureDetector`] once per cycle interval. From the machines
 //! that were seen and those that respond to probes, the detector decides which machines to probe
 //! and which to delete. The silence of a machine never releases its tasks; only the confirmed
 //! deletion of the machine does ("Machines" in `docs/safety.md`). The module [`evacuation`]
--- a/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
@@ -25,8 +25,8 @@
     heartbeat_timeout_s: f64,
 }
 
-/// The number of machines in one zone from which heartbeats are expected, and when the last one
-/// was seen.
+/// The number of machines in one zone from which heartbeats are expected, and when any machine in
+/// the zone was last seen.
 #[derive(Debug, Default)]
 struct ZoneHeartbeats {
     expected: usize,
@@ -110,7 +110,8 @@
         }
     }
 
-    /// For how long a zone has been reachable, in seconds; `None` if it is unreachable.
+    /// For how long a zone has been reachable, in seconds; `None` if it is not known to be
+    /// reachable.
     pub fn reachable_s(&self, zone: Option<ZoneIdx>, now: f64) -> Option<f64> {
         self.since.get(&zone).map(|since| now - since)
     }
--- a/crates/gladekeel-controller/src/leader/machine/image_cache.rs
+++ b/crates/gladekeel-controller/src/leader/machine/image_cache.rs
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Records that a task on the machine uses this image, so that the image is completely fetched.
+    /// Records that a task on the machine uses this image, which shows that the image is completely
+    /// fetched.
     pub fn record_fetched(&mut self, image: ImageIdx) {
         self.cached.insert(image);
     }
--- a/crates/gladekeel-controller/src/leader/machine/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/machine/liveness.rs
@@ -24,7 +24,7 @@
     Unresponsive,
 }
 
-/// The liveness of a worker as the leader knows it. All times are in seconds on the leader's clock.
+/// The liveness of a worker as the leader knows it. All times are in seconds on the node's clock.
 #[derive(Debug)]
 pub struct Liveness {
     /// When the machine became known to this process.
@@ -78,7 +78,7 @@
     }
 
     /// Records that the worker has executed a direct command and responded.
-    pub fn record_probe_answer(&mut self, now: f64, incarnation: u64) {
+    pub fn record_probe_response(&mut self, now: f64, incarnation: u64) {
         self.unanswered_commands = 0;
         self.last_probe_response = Some(now);
         self.responsive_without_heartbeats_since.get_or_insert(now);
--- a/crates/gladekeel-controller/src/leader/machine/mod.rs
+++ b/crates/gladekeel-controller/src/leader/machine/mod.rs
@@ -48,7 +48,7 @@
 /// When a machine was provisioned, from which the boot timeout of the machine is counted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ProvisionedAt {
-    /// The machine was provisioned at this time, in seconds on the leader's clock.
+    /// The machine was provisioned at this time, in seconds on the node's clock.
     Time(f64),
     /// The machine was provisioned before this leader's term: the assignment log places tasks on
     /// it, so it has booted.
@@ -112,7 +112,7 @@
     pub liveness: Liveness,
     /// Whether the worker acts on the responses to its heartbeats.
     pub acknowledgements: Acknowledgements,
-    /// When the cloud reclaims the machine, in seconds on the leader's clock; `None` until the
+    /// When the cloud reclaims the machine, in seconds on the node's clock; `None` until the
     /// cloud has announced it.
     pub termination_at: Option<f64>,
     /// When the machine was provisioned.
@@ -125,7 +125,8 @@
     pub draining: bool,
     /// Whether the machine is kept in the warm pool, for gangs that should start without delay.
     pub warm_pool: bool,
-    /// Whether the machine gets no new tasks for a while because tasks failed on it.
+    /// Whether the machine gets no new tasks for a while because tasks failed or were refused on
+    /// the machine.
     pub quarantine: Quarantine,
     /// The attempts on the machine, and the resources that they request.
     pub workload: Workload,
--- a/crates/gladekeel-controller/src/leader/machine/quarantine.rs
+++ b/crates/gladekeel-controller/src/leader/machine/quarantine.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     consecutive_failures: u32,
-    /// The machine gets no new tasks before this time, in seconds on the leader's clock.
+    /// The machine gets no new tasks before this time, in seconds on the node's clock.
     until: f64,
 }
 
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -112,7 +112,7 @@
     /// Observed state: the machines and the requests to the cloud.
     cluster: ClusterState,
 
-    /// Assignment log: changes that are to be committed, and transactions in flight.
+    /// Assignment log: changes that are to be committed, and the transaction in flight.
     log_writer: AssignmentLogWriter,
 
     /// Failure detection.
@@ -147,7 +147,7 @@
     /// there was one.
     ///
     /// Every attempt that the log does not release counts as being on its machine until the
-    /// contrary is proved. A task without such an attempt is on no machine: a start is only sent
+    /// contrary is proven. A task without such an attempt is on no machine: a start is only sent
     /// after its assignment is committed, and a commit under an older token fails once this token
     /// is written.
     ///
--- a/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -80,7 +80,7 @@
     }
 
     /// Applies a cancellation that another controller has committed. `not_before` is a time, on
-    /// the leader's clock, at which the job was not yet cancelled.
+    /// the node's clock, at which the job was not yet cancelled.
     pub fn apply_pending_cancellation(&mut self, id: &JobId, not_before: f64) {
         let Some(job_idx) = self.job_names.get(id) else { return };
         let job = self.jobs.get_mut(&job_idx).filter(|job| !job.is_finished());
--- a/crates/gladekeel-controller/src/leader/token_renewal.rs
+++ b/crates/gladekeel-controller/src/leader/token_renewal.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// The first reason for which a new token became required, if any has. A leader under a new token
-/// starts without a reason.
+/// The first reason for which a new token became required, if there is one. A leader under a new
+/// token starts without a reason.
 #[derive(Debug, Default)]
 pub(super) struct TokenRenewal {
     reason: Option<TokenRenewalReason>,
