--- a/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
@@ -21,7 +21,8 @@
     expected: usize,
     /// How many of the expected machines were seen recently.
     seen_recently: usize,
-    /// When any machine in the zone last responded to a probe; `None` if none has responded.
+    /// When any machine in the zone last responded to a probe or another direct command; `None` if
+    /// none has responded.
     last_probe_response: Option<f64>,
 }
 
--- a/crates/gladekeel-controller/src/leader/machine/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/machine/liveness.rs
@@ -2,7 +2,7 @@
 //!
 //! Heartbeats and responses to direct commands are recorded separately: only a heartbeat that
 //! reaches a controller renews the worker's lease. A worker that responds to commands but whose
-//! heartbeats are lost therefore still loses its tasks.
+//! heartbeats are lost therefore still loses its tasks. A probe counts as a direct command here.
 
 /// The number of consecutive direct commands without a response after which a machine is
 /// unresponsive.
