--- a/crates/gladekeel-controller/src/node/admin_requests.rs
+++ b/crates/gladekeel-controller/src/node/admin_requests.rs
@@ -49,7 +49,7 @@
                 Reply::json(200, &VersionedSettings { version: revision, settings: values })
             }
             AdminChange::Drain { machine, draining } => {
-                tracing::info!(machine, draining, "machine drain state changed");
+                tracing::info!(machine, draining, "drain order changed");
                 Reply::json(200, &DrainStatus { machine, draining })
             }
         }
--- a/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
@@ -10,8 +10,8 @@
 
 /// Approximate number of heartbeats per second that one core can serve.
 const HEARTBEATS_PER_CORE_PER_S: f64 = 1000.0;
-/// Part of its capacity that a leader may spend on receiving heartbeats. Beyond it, the leader
-/// redirects workers to other controllers.
+/// Fraction of the leader's capacity that receiving heartbeats may take. Beyond this fraction, the
+/// leader redirects workers to other controllers.
 const MAX_LEADER_LOAD: f64 = 0.5;
 /// The leader's share of the workers if only one other controller can relay heartbeats.
 const LEADER_SHARE_WITH_ONE_PEER: f64 = 0.3;
--- a/crates/gladekeel-controller/src/node/leadership/mod.rs
+++ b/crates/gladekeel-controller/src/node/leadership/mod.rs
@@ -87,9 +87,9 @@
         matches!(self.role, Role::Leading(_))
     }
 
-    /// How many times this process has acquired leadership. A new token that directly follows an
-    /// earlier one of this process is not counted, since the leader's knowledge of the cluster
-    /// outlives the token.
+    /// How many times this process has acquired leadership. A new token that this process acquires
+    /// while it leads is not counted, since the leader's knowledge of the cluster outlives the
+    /// token.
     pub fn acquisition_count(&self) -> u64 {
         self.acquisition_count
     }
--- a/crates/gladekeel-controller/src/node/leadership/takeover.rs
+++ b/crates/gladekeel-controller/src/node/leadership/takeover.rs
@@ -46,7 +46,7 @@
 pub(super) struct PreviousTerm {
     cluster: ClusterState,
     /// Outcomes of calls to the cloud that were received during the takeover. `cluster` counts
-    /// these calls as in flight until the outcomes are applied.
+    /// these calls as in flight until the outcomes are applied; no other event completes the calls.
     cloud_outcomes: Vec<DeferredCloudOutcome>,
 }
 
--- a/crates/gladekeel-controller/src/node/peers/cancellations.rs
+++ b/crates/gladekeel-controller/src/node/peers/cancellations.rs
@@ -27,8 +27,8 @@
         self.store.request_read();
     }
 
-    /// Records that a job's cancellation was committed, no earlier than `not_before`. It may take
-    /// long until a read returns the cancellation.
+    /// Records a job's cancellation that this node or a peer has committed. The cancellation
+    /// deadline counts from `not_before`. It may take long until a read returns the cancellation.
     pub(in crate::node) fn apply_pending_cancellation(&mut self, id: &JobId, not_before: f64) {
         let view = &mut self.store.view;
         if view.final_states.contains_key(id) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Removes expired cancellations, which no read has returned.
+    /// Removes pending cancellations that have expired.
     pub(super) fn expire_pending_cancellations(&mut self, now: f64) {
         let pending = &mut self.store.view.pending_cancellations;
         pending.retain(|_, not_before| now - *not_before < PENDING_CANCELLATION_TTL_S);
--- a/crates/gladekeel-controller/src/node/peers/job_progress.rs
+++ b/crates/gladekeel-controller/src/node/peers/job_progress.rs
@@ -11,8 +11,9 @@
 const PROGRESS_INTERVAL_S: f64 = 1.0;
 
 impl Node {
-    /// Sends job progress to all peers for display, if this node leads and it is due: all progress
-    /// if a peer has restarted, else the changes. Only the leader knows the progress of jobs.
+    /// Sends job progress to all peers for display, if this node leads and a publication is due:
+    /// all progress if a peer has restarted, else the changes. Only the leader knows the progress
+    /// of jobs.
     pub(in crate::node) fn publish_job_progress(&mut self, now: f64) {
         if now - self.peers.last_progress_at < PROGRESS_INTERVAL_S {
             return;
@@ -49,7 +50,8 @@
         }
         let entries = mesh::decode_job_progress(payload).unwrap_or_default();
         for JobProgressEntry { id, done, running } in entries {
-            // The leader will publish the progress of jobs that are not in this view yet again.
+            // Progress of a job that is not in this view yet is dropped: the leader publishes the
+            // job's progress again when it changes.
             if view.jobs.contains_key(&id) {
                 view.job_progress.insert(id, JobProgress { done, running });
             }
--- a/crates/gladekeel-controller/src/node/store_reads/mod.rs
+++ b/crates/gladekeel-controller/src/node/store_reads/mod.rs
@@ -23,9 +23,9 @@
 };
 use scheduler::{ReadDemand, ReadScheduler};
 
-/// Time between reads of a leader that nothing has requested.
+/// Time between a leader's reads if nothing requests an earlier one.
 const LEADER_READ_INTERVAL_S: f64 = 0.25;
-/// Time between reads of a follower that nothing has requested.
+/// Time between a follower's reads if nothing requests an earlier one.
 const FOLLOWER_READ_INTERVAL_S: f64 = 0.4;
 /// The view of the store is stale once the last contact with the store is this old.
 const FRESH_CONTACT_S: f64 = 2.5;
--- a/crates/gladekeel-controller/src/node/store_reads/scheduler.rs
+++ b/crates/gladekeel-controller/src/node/store_reads/scheduler.rs
@@ -14,7 +14,7 @@
     pub has_pending_requests: bool,
     /// Whether the replica is complete, so that a single read brings it up to date.
     pub is_loaded: bool,
-    /// Time between reads that nothing has requested, in seconds.
+    /// Time between reads if nothing requests an earlier one, in seconds.
     pub idle_interval_s: f64,
 }
 
--- a/crates/gladekeel-controller/src/node/user_requests/mod.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/mod.rs
@@ -38,7 +38,7 @@
 
 /// How long a user's request may wait for the store; users' polls time out after 2 s.
 const REQUEST_TIMEOUT_S: f64 = 1.5;
-/// Size in bytes of a job's stored value without the specification.
+/// Allowance in bytes for what a job's stored value holds besides the specification.
 const STORED_JOB_OVERHEAD_BYTES: usize = 100;
 
 impl Node {
--- a/crates/gladekeel-controller/src/store_view.rs
+++ b/crates/gladekeel-controller/src/store_view.rs
@@ -43,8 +43,8 @@
     /// For each cancelled job in `jobs`, the latest known time on this node's clock at which the
     /// job was not cancelled yet. No user can have been notified of the cancellation before then.
     pub cancelled_no_earlier_than: HashMap<JobId, f64>,
-    /// Jobs whose cancellation a controller has committed and the store has not shown yet, each
-    /// with a time on this node's clock before which the cancellation was not committed. Tasks of
+    /// Jobs whose cancellation this node or a peer has committed, before a read returns it. The
+    /// value is the time on this node's clock from which the cancellation deadline counts. Tasks of
     /// these jobs are stopped and none is started, but responses to users do not rely on this
     /// field.
     pub pending_cancellations: HashMap<JobId, f64>,
--- a/crates/gladekeel-controller/tests/formats_37c5e95.rs
+++ b/crates/gladekeel-controller/tests/formats_37c5e95.rs
@@ -4,7 +4,7 @@
 //! The files `fixtures/37c5e95_*` were written by commit
 //! 37c5e95213a12123977e782109b725d8fe96dbed, which is called production here. They hold the
 //! values that two of its nodes committed, with a key and a value on each line, and two segments
-//! from its writer of the assignment log. Data that this version stored must stay readable, so
+//! from its writer of the assignment log. Data that production stored must stay readable, so
 //! these files never change with the code.
 
 mod common;
--- a/crates/gladekeel-controller/tests/socket_budget.rs
+++ b/crates/gladekeel-controller/tests/socket_budget.rs
@@ -23,7 +23,7 @@
     let sockets = SocketBudget::new(&limits);
     assert!(
         sockets.inbound - sockets.reserved_for_users >= 3375,
-        "too few connections for half as many machines again, which is 3,375"
+        "too few connections for 3,375 machines, half as many again as the largest deployment"
     );
 }
 
