--- a/crates/gladekeel-controller/src/node/outgoing_calls.rs
+++ b/crates/gladekeel-controller/src/node/outgoing_calls.rs
@@ -13,8 +13,9 @@
 
 /// Timeout of reads of the store, and of other calls that can simply be retried if they fail.
 const STORE_READ_TIMEOUT_S: f64 = 1.5;
-/// Timeout of transactions and of the takeover's reads of the log. A transaction that has timed
-/// out is in doubt: a user has to send another request, and a leader has to acquire a new token.
+/// Timeout of transactions and of the takeover's reads of the log. It is longer than the timeout of
+/// other reads because a transaction that has timed out is in doubt, which costs a user another
+/// request and a leader a new token.
 const STORE_WRITE_TIMEOUT_S: f64 = 4.0;
 /// Timeout of calls to the cloud.
 const CLOUD_TIMEOUT_S: f64 = 5.0;
