--- a/crates/gladekeel-wire/src/admin.rs
+++ b/crates/gladekeel-wire/src/admin.rs
@@ -38,7 +38,7 @@
     pub draining: bool,
 }
 
-/// A peer of the controller that responds, as that controller sees the peer.
+/// A peer controller, as seen by the controller that responds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// Name of the peer.
--- a/crates/gladekeel-wire/src/cloud.rs
+++ b/crates/gladekeel-wire/src/cloud.rs
@@ -92,7 +92,8 @@
     Booting,
     /// The machine is running, and its worker may have started.
     Running,
-    /// The machine has crashed, or the cloud has terminated it, such as a reclaimed spot instance.
+    /// The machine has crashed, or the cloud has terminated it, for example to reclaim a spot
+    /// instance.
     Failed,
     /// A state that this version does not know.
     #[serde(other)]
--- a/crates/gladekeel-wire/src/id.rs
+++ b/crates/gladekeel-wire/src/id.rs
@@ -7,8 +7,8 @@
 /// so the maximum is well below that.
 const MAX_ID_LEN: usize = 80;
 
-/// The error for a text that is not an id in the form that the protocol prescribes. It holds the
-/// start of the text, up to the maximum length of an id.
+/// The error for a text that is not an id in the form that the protocol prescribes, with the
+/// first 80 characters of the text.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("not a valid id: {0:?}")]
 pub struct InvalidId(pub String);
--- a/crates/gladekeel-wire/src/job/mod.rs
+++ b/crates/gladekeel-wire/src/job/mod.rs
@@ -114,9 +114,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
-    /// The job is accepted, and none of its tasks is running.
+    /// The job is accepted, and none of its tasks is assigned to a machine.
     Queued,
-    /// At least one task is running.
+    /// At least one task is assigned to a machine.
     Running,
     /// Every task has run to completion.
     Done,
@@ -144,7 +144,8 @@
     /// Number of completed tasks; `None` if unknown. For display only: the number may be outdated.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Number of running tasks; `None` if unknown. For display only: the number may be outdated.
+    /// Number of tasks that are assigned to machines; `None` if unknown. For display only: the
+    /// number may be outdated.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/crates/gladekeel-wire/src/lib.rs
+++ b/crates/gladekeel-wire/src/lib.rs
@@ -12,7 +12,7 @@
 //!
 //! This crate performs no I/O and reads no clock. The field names of the platform's protocol
 //! occur only in serde attributes; the Rust names are the usual terms (task, attempt, lease,
-//! fencing token, zone, spot), and the glossary in `docs/` maps the ones to the others.
+//! fencing token, zone, spot), and the glossary in `docs/` maps the protocol's names to them.
 //! Readers ignore unknown fields, so that the two sides of a connection can be upgraded one
 //! after the other.
 
--- a/crates/gladekeel-wire/src/mesh/payload.rs
+++ b/crates/gladekeel-wire/src/mesh/payload.rs
@@ -33,7 +33,7 @@
     pub id: JobId,
     /// Number of completed tasks.
     pub done: u32,
-    /// Number of running tasks.
+    /// Number of tasks that are assigned to machines; all of these count as running.
     pub running: u32,
 }
 
--- a/crates/gladekeel-wire/src/settings/mod.rs
+++ b/crates/gladekeel-wire/src/settings/mod.rs
@@ -194,9 +194,9 @@
 }
 
 impl StoreLimits {
-    /// Returns the limits that controllers must observe: the lower one of each current limit and
-    /// its upcoming value. Lower upcoming limits apply from the start, because the time of the
-    /// change is not announced.
+    /// Returns the limits that controllers must observe: of each limit, the lower one of the
+    /// current and the upcoming value. Lower upcoming limits apply from the start, because the
+    /// time of the change is not announced.
     pub fn lowest(&self) -> StoreLimits {
         let upcoming = self.upcoming.clone().unwrap_or_default();
         StoreLimits {
--- a/crates/gladekeel-wire/src/settings/objective.rs
+++ b/crates/gladekeel-wire/src/settings/objective.rs
@@ -9,7 +9,7 @@
     pub kind: ObjectiveKind,
     /// Class of jobs that the objective applies to; all jobs if `None`.
     pub class: Option<String>,
-    /// Target in seconds; `None` if the objective has none in seconds.
+    /// Target in seconds; `None` if the objective has no such target.
     pub within_s: Option<f64>,
     /// Fraction of the jobs that must meet the target, from 0 to 1; `None` if not stated.
     pub share: Option<f64>,
--- a/crates/gladekeel-wire/src/settings/validation.rs
+++ b/crates/gladekeel-wire/src/settings/validation.rs
@@ -106,7 +106,7 @@
 }
 
 impl StoreLimits {
-    /// Checks the limits, which the file holds at the path `section`.
+    /// Checks the limits. `section` is the path of the limits in the file.
     fn check(&self, section: &str) -> Result<(), InvalidSetting> {
         require_positive(self.rps, &format!("{section}.rps"))?;
         require_positive(self.write_rps, &format!("{section}.write_rps"))?;
--- a/crates/gladekeel-wire/tests/frames_37c5e95.rs
+++ b/crates/gladekeel-wire/tests/frames_37c5e95.rs
@@ -70,8 +70,8 @@
     {
         let bytes = FRAMES.frame(name);
         let (header, _, payload) = split_frame(&bytes);
-        // Production announces no protocol level, so that peers send it no frame that it cannot
-        // read.
+        // Production announces no protocol level, so peers must not send it any frame that it
+        // cannot read.
         assert!(header.status.get() < 1, "{name}");
         let heartbeat =
             PeerHeartbeat::read_from_bytes(payload).expect("the payload is a peer heartbeat");
