--- a/crates/gladekeel-store/src/replica.rs
+++ b/crates/gladekeel-store/src/replica.rs
@@ -12,7 +12,8 @@
 //!    at different revisions.
 //! 3. Each further response advances the replica. A response at a lower revision than the replica's
 //!    was overtaken by a later one and is ignored. Events may arrive out of order or repeatedly:
-//!    the version of a key decides whether an event is applied, and this version never decreases.
+//!    the events of a response are applied in the order of their versions, and an event that is not
+//!    newer than the key is ignored, so that a key never returns to an older version.
 //!
 //! If the store has compacted the replica's revision, the caller calls [`Replica::invalidate`] and
 //! reads a new snapshot. The old keys stay readable in the meantime, and the last page of the
--- a/crates/gladekeel-store/src/request.rs
+++ b/crates/gladekeel-store/src/request.rs
@@ -1,8 +1,8 @@
 //! Requests to the store and their outcomes.
 //!
 //! [`StoreRequest::encode`] and [`StoreRequest::decode`] implement the whole HTTP protocol of the
-//! store. The outcomes distinguish what the caller must know to be safe: whether the request was
-//! certainly not executed ([`StoreOutcome::RateLimited`], [`StoreOutcome::Unavailable`],
+//! store. The outcomes distinguish what the caller must know to be safe: whether the request
+//! certainly had no effect ([`StoreOutcome::RateLimited`], [`StoreOutcome::Unavailable`],
 //! [`StoreOutcome::Conflict`]), or may have been executed ([`StoreOutcome::Unknown`]).
 
 use gladekeel_wire::{
