--- a/crates/gladekeel-http/src/client/pool.rs
+++ b/crates/gladekeel-http/src/client/pool.rs
@@ -14,8 +14,8 @@
 use tokio::{net::TcpStream, time::Instant};
 
 /// A client for many addresses, with a maximum number of open connections over all addresses. The
-/// pool keeps at most one idle connection to each address, and closes the longest idle connection
-/// if it needs another one.
+/// pool keeps at most one idle connection to each address. If the maximum is reached, the longest
+/// idle connection is closed for a new one.
 pub struct Pool {
     idle: RefCell<IdleConnections>,
     /// Number of connections with a request in progress.
--- a/crates/gladekeel-http/src/codec.rs
+++ b/crates/gladekeel-http/src/codec.rs
@@ -92,7 +92,7 @@
     /// The whole response exceeds the client's limit.
     #[error("response of {size} bytes is larger than the limit of {limit} bytes")]
     TooLarge {
-        /// Size of the whole response in bytes, with the announced `Content-Length`.
+        /// Size of the head and the announced body in bytes.
         size: usize,
         /// The limit in bytes.
         limit: usize,
@@ -257,7 +257,7 @@
     text.parse().ok()
 }
 
-/// Whether a comma-separated header value contains a token, in upper or lower case.
+/// Whether a comma-separated header value contains a token, ignoring the case of ASCII letters.
 fn has_token(value: &[u8], token: &str) -> bool {
     std::str::from_utf8(value)
         .is_ok_and(|list| list.split(',').any(|item| item.trim().eq_ignore_ascii_case(token)))
--- a/crates/gladekeel-http/src/connection.rs
+++ b/crates/gladekeel-http/src/connection.rs
@@ -22,7 +22,8 @@
 /// Interim response to a client that waits for permission to send its body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Why a connection ended other than by the client closing it between two requests.
+/// The error that ended a connection. It is not an error if the client closes the connection
+/// between two requests, or if the connection is idle for too long or evicted.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConnectionError {
     /// Reading or writing failed.
--- a/crates/gladekeel-http/src/limits.rs
+++ b/crates/gladekeel-http/src/limits.rs
@@ -26,7 +26,8 @@
     pub request_timeout: Duration,
     /// Maximum time between two requests of a connection, after which the connection is closed.
     pub idle_timeout: Duration,
-    /// Time without a request after which a connection may be evicted for a new one.
+    /// Time without a request after which a connection may be evicted for a new one. A connection
+    /// that has not sent any request yet may be evicted after one second.
     pub evictable_after: Duration,
     /// Maximum time to write a response, after which the connection is closed.
     pub write_timeout: Duration,
