--- a/crates/gladekeel/src/arguments.rs
+++ b/crates/gladekeel/src/arguments.rs
@@ -45,7 +45,7 @@
     },
     /// Show the leader, the controllers, usage by team and the number of machines.
     Status,
-    /// List the machines; only the leader responds.
+    /// List the machines; only the leader can list them.
     Machines,
     /// Submit, show and cancel jobs.
     #[command(subcommand)]
