--- a/crates/gladekeel-wire/src/id.rs
+++ b/crates/gladekeel-wire/src/id.rs
@@ -15,7 +15,7 @@
 
 /// The id of a job: `job-` followed by letters, digits, `_`, `-` or `.`.
 ///
-/// Other characters are refused because ids become parts of store keys and URL paths.
+/// Other characters are rejected because ids become parts of store keys and URL paths.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(Arc<str>);
 
--- a/crates/gladekeel-wire/src/job/validation.rs
+++ b/crates/gladekeel-wire/src/job/validation.rs
@@ -9,7 +9,7 @@
 /// Maximum number of machine types that a job may name.
 const MAX_MACHINE_TYPES: usize = 200;
 
-/// The reason why a submission is refused.
+/// The reason why a submission is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidJob {
     /// The body is not a JSON object.
--- a/crates/gladekeel-wire/src/mesh/frame.rs
+++ b/crates/gladekeel-wire/src/mesh/frame.rs
@@ -6,9 +6,9 @@
 };
 
 /// First four bytes of every frame, which identify the layout of the header. Frames that begin
-/// with other bytes are refused.
+/// with other bytes are rejected.
 pub const MAGIC: u32 = 0x676b_6d32;
-/// Maximum size of a payload in bytes. A header that announces a larger payload is refused.
+/// Maximum size of a payload in bytes. A header that announces a larger payload is rejected.
 pub const MAX_PAYLOAD: usize = 256 * 1024;
 
 /// Protocol level of this version, announced in [`FrameKind::PeerHeartbeat`] frames. Versions
@@ -63,7 +63,7 @@
     }
 }
 
-/// The reason why a frame header is refused. The receiver then closes the connection, because
+/// The reason why a frame header is rejected. The receiver then closes the connection, because
 /// it cannot tell where the next frame starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidFrame {
--- a/crates/gladekeel-wire/tests/worker.rs
+++ b/crates/gladekeel-wire/tests/worker.rs
@@ -3,7 +3,7 @@
 use gladekeel_wire::worker::{Command, ExitCause, Heartbeat};
 
 /// Guards against field names that differ from those of the protocol, and against a heartbeat that
-/// is refused because of a field that this version does not know.
+/// is rejected because of a field that this version does not know.
 #[test]
 fn heartbeats_and_commands_have_the_json_names_of_the_protocol() {
     let heartbeat: Heartbeat = serde_json::from_str(
