--- a/crates/gladekeel-wire/src/id.rs
+++ b/crates/gladekeel-wire/src/id.rs
@@ -7,15 +7,15 @@
 /// so the maximum is well below that.
 const MAX_ID_LEN: usize = 80;
 
-/// The error for a text that is not an id in the form that the protocol prescribes. It holds the
-/// start of the text, up to the maximum length of an id.
+/// The error for a text that is not an id in the form that the protocol prescribes, with the
+/// first 80 characters of the text.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("not a valid id: {0:?}")]
 pub struct InvalidId(pub String);
 
 /// The id of a job: `job-` followed by letters, digits, `_`, `-` or `.`.
 ///
-/// Other characters are refused because ids become parts of store keys and URL paths.
+/// Other characters are rejected because ids become parts of store keys and URL paths.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(Arc<str>);
 
