--- a/crates/gladekeel-testkit/src/invariants/observed_job.rs
+++ b/crates/gladekeel-testkit/src/invariants/observed_job.rs
@@ -44,8 +44,8 @@
     pub submitted: bool,
     /// Whether a client has requested the cancellation of the job.
     pub cancel_requested: bool,
-    /// When the first of the latest requests that all failed ended; `None` if the latest request
-    /// succeeded.
+    /// Since when all requests about the accepted job have failed; `None` if the latest request did
+    /// not fail.
     pub failing_since: Option<f64>,
     /// When a client first observed that the job is accepted.
     pub accepted_at: Option<f64>,
--- a/crates/gladekeel-testkit/src/lib.rs
+++ b/crates/gladekeel-testkit/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! The simulation runs real [`Node`](gladekeel_controller::node::Node)s against a fake store, a
 //! fake cloud, fake workers and users, which all follow the protocol. It delays, loses, buffers and
-//! duplicates their messages as a scenario describes, and checks every invariant after every event.
+//! duplicates their messages as a scenario describes, and checks the invariants while it runs.
 //! Nothing here reads a real clock, so a scenario gives the same result in every run.
 
 pub mod invariants;
--- a/crates/gladekeel-testkit/src/scenario/examples.rs
+++ b/crates/gladekeel-testkit/src/scenario/examples.rs
@@ -11,7 +11,7 @@
 pub struct GangTimes {
     /// How long a task waits for the other tasks of its gang to start.
     pub wait_s: f64,
-    /// Longest time until a task notices that another task of its gang failed or stopped.
+    /// Longest time until a task detects that another task of its gang failed or stopped.
     pub peer_s: f64,
 }
 
--- a/crates/gladekeel-testkit/src/scenario/files.rs
+++ b/crates/gladekeel-testkit/src/scenario/files.rs
@@ -8,7 +8,8 @@
     thread,
 };
 
-/// Returns the directory of all scenario files. It has a subdirectory for each kind of fault.
+/// Returns the directory of all scenario files. Its subdirectories group them by topic, such as the
+/// kind of fault.
 pub fn scenario_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios")
 }
--- a/crates/gladekeel-testkit/src/scenario/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/mod.rs
@@ -69,7 +69,7 @@
 //! | `poll JOBS times=N` | Users query jobs. |
 //! | `cancel JOBS via=WHO` | Users cancel jobs, through any node without `via`. |
 //! | `cancel_longest_remaining COUNT hang_s=S via=WHO` | Users cancel the running jobs that would end last, all at once; with `hang_s`, some of their machines hang. |
-//! | `cancel_at_completion SHARE for S` | Users cancel this share of the jobs the moment they complete. |
+//! | `cancel_at_completion SHARE for S` | Users cancel, query and resubmit this share of the jobs within 0.4 s of their completion. |
 //! | `probe_read_your_writes for S` | Users query all nodes as soon as a response reports a new state. |
 //! | `send_malformed_requests for S` | Users send malformed and repeated requests. |
 //! | `send_invalid_bytes` | Users send bytes that are not a valid request to every node. |
@@ -117,7 +117,7 @@
 //! | `run_step_s` | How much longer each task of a job runs than the task before it. |
 //! | `checkpoint_interval_s` | Time between checkpoints. |
 //! | `image`, `image_gb` | The image and its size. |
-//! | `team`, `class`, `priority`, `kind` | `priority` is `low`, `normal`, `high` or `production`; `kind` is `gang` or `service`. |
+//! | `team`, `class`, `priority`, `kind` | `priority` is `low`, `normal`, `high` or `production`; `kind` is `gang` or `service`; tasks of the class `faulty` always fail. |
 //! | `zone`, `machine_type` | The zone or machine type that the job requires. |
 //! | `single_zone`, `spread`, `spot` | `yes` or `no`. |
 //! | `interval_s` | Time between the submissions; without it all jobs are submitted at once. |
--- a/crates/gladekeel-testkit/src/scenario/steps/users.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/users.rs
@@ -80,8 +80,8 @@
     }))
 }
 
-/// `cancel_at_completion SHARE for S`: users cancel this share of the jobs that complete, at the
-/// moment of the completion.
+/// `cancel_at_completion SHARE for S`: users cancel, query and resubmit this share of the jobs that
+/// complete, within 0.4 s of the completion.
 pub(super) fn cancel_at_completion(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a number")?, line.duration_s);
     Ok(Box::new(move |sim| {
--- a/crates/gladekeel-testkit/src/scenario/world.rs
+++ b/crates/gladekeel-testkit/src/scenario/world.rs
@@ -123,9 +123,9 @@
     zones: Vec<String>,
 ) -> Result<Vec<MachineType>, LineError> {
     let count = options.number_or("machine_types", 1.0)? as u32;
-    let unavailable_types = (2..=count)
+    let other_types = (2..=count)
         .map(|number| MachineType { name: format!("m32-{number}"), ..example_type(zones.clone()) });
-    let mut machine_types: Vec<MachineType> = unavailable_types.collect();
+    let mut machine_types: Vec<MachineType> = other_types.collect();
     let boot_s = options.number_or("boot_s", DEFAULT_BOOT_S)?;
     machine_types.push(MachineType { boot_s, ..example_type(zones) });
     Ok(machine_types)
--- a/crates/gladekeel-testkit/src/simulation/machines.rs
+++ b/crates/gladekeel-testkit/src/simulation/machines.rs
@@ -17,7 +17,7 @@
         self.after(up_at - self.now, move |sim| sim.start_worker(name, rented));
     }
 
-    /// Starts the worker of a machine that has booted, unless the machine is gone by then.
+    /// Starts the worker of a machine that has booted, unless the machine no longer exists by then.
     fn start_worker(&mut self, name: String, rented: RentedMachine) {
         let present = self.cloud.machines.get(&name).is_some_and(|m| m.gone_at.is_none());
         let machine_type = self.cloud.types.iter().find(|t| t.name == rented.machine_type);
--- a/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
+++ b/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
@@ -87,8 +87,8 @@
         jobs.get(round % jobs.len().max(1)).copied().cloned()
     }
 
-    /// Sends a submission that must be refused with the status `expected`, unless it is deferred,
-    /// rate limited, or gets no response.
+    /// Sends a submission that must be refused with the status `expected`, unless it is rate
+    /// limited, gets a temporary error or gets no response.
     fn expect_refusal(&mut self, body: Vec<u8>, expected: u16) {
         let Some(node) = self.pick_running_node() else { return };
         let text = String::from_utf8_lossy(&body).into_owned();
--- a/crates/gladekeel-testkit/src/simulation/mod.rs
+++ b/crates/gladekeel-testkit/src/simulation/mod.rs
@@ -110,7 +110,7 @@
     pub workers: BTreeMap<String, FakeWorker>,
     /// The gangs, whose tasks start, stop and fail together.
     pub gangs: GangRuntime,
-    /// How long a task waits for the others of its gang.
+    /// How long a task waits for the other tasks of its gang, in seconds.
     pub gang_wait_s: f64,
     /// Whether steps of the gangs are scheduled; true once a gang has been submitted.
     gang_steps_scheduled: bool,
@@ -128,7 +128,7 @@
     pub start_tasks_twice: bool,
     /// Token and node of every leader so far.
     pub leaders: Vec<(u64, usize)>,
-    /// Number of submissions that users stopped retrying before a node accepted them.
+    /// Number of submissions that users stopped retrying before a node accepted or refused them.
     pub abandoned_submissions: u64,
     /// Jobs that users have submitted.
     pub submitted_jobs: Vec<JobId>,
@@ -202,7 +202,8 @@
         self.trace.digest()
     }
 
-    /// Runs all events up to the time `until`, checking the invariants after each event.
+    /// Runs all events up to the time `until`. Checks cancellation deadlines and gang starts after
+    /// each event; the other invariants are checked when the events that concern them occur.
     pub fn run(&mut self, until: f64) {
         while let Some(((at, sequence), event)) = self.queue.pop_first() {
             let at_s = at as f64 / MICROSECONDS_PER_S;
--- a/crates/gladekeel-testkit/src/simulation/nodes.rs
+++ b/crates/gladekeel-testkit/src/simulation/nodes.rs
@@ -72,8 +72,8 @@
         node.and_then(|node| node.leader()).map_or(0, |leader| leader.log_segments())
     }
 
-    /// Returns the age in seconds of the oldest open job that the leader knows; `None` without a
-    /// leader.
+    /// Returns the age in seconds of the oldest unfinished job that the leader knows; `None`
+    /// without a leader or an unfinished job.
     pub fn oldest_job_s(&self) -> Option<f64> {
         let host = &self.nodes[self.leader_node()?];
         host.process.as_ref()?.leader()?.oldest_job_s(self.now - host.started_at)
--- a/crates/gladekeel-testkit/src/simulation/pending_jobs.rs
+++ b/crates/gladekeel-testkit/src/simulation/pending_jobs.rs
@@ -1,5 +1,5 @@
-//! Collects the free capacity of healthy machines, for the check that no job stays pending although
-//! a machine could take it.
+//! Collects the free capacity of healthy machines, for the check that no job stays pending while
+//! free machines could run it.
 
 use super::Simulation;
 use crate::invariants::FreeCapacity;
@@ -10,7 +10,7 @@
 const CHECK_INTERVAL_S: f64 = 5.0;
 
 impl Simulation {
-    /// Checks for jobs that stay pending although a machine could take them, and schedules the next
+    /// Checks for jobs that stay pending while free machines could run them, and schedules the next
     /// check.
     pub(super) fn check_pending_jobs(&mut self) {
         let (now, lease_s) = (self.now, self.lease_s);
--- a/crates/gladekeel-testkit/src/simulation/users.rs
+++ b/crates/gladekeel-testkit/src/simulation/users.rs
@@ -96,8 +96,8 @@
         });
     }
 
-    /// Submits a job as a user does: retries until a node accepts the job, then polls the job until
-    /// it is final.
+    /// Submits a job as a user does: retries until a node accepts or refuses the job, for at most
+    /// `RETRY_DURATION_S`. Polls an accepted job until the job is final.
     pub fn submit(&mut self, spec: JobSpec) {
         self.invariants.on_submission(&spec);
         self.submitted_jobs.push(spec.id.clone());
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Sends a submission and retries it for `RETRY_DURATION_S` after `first_sent_at`. Once a node
-    /// has accepted the job, polls the job.
+    /// Sends a submission. Retries until a node accepts or refuses the job, or until
+    /// `RETRY_DURATION_S` after `first_sent_at`. Once a node has accepted the job, polls the job.
     fn try_submit(&mut self, spec: JobSpec, first_sent_at: f64) {
         let request = HttpRequest::submit(&spec);
         let id = spec.id.clone();
--- a/crates/gladekeel-testkit/src/stand_ins/worker/commands.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/commands.rs
@@ -167,13 +167,13 @@
         });
     }
 
-    /// How long the image is fetched, in seconds: 1 s per GB, or 0 if it is cached.
+    /// Time to fetch the image of a job, in seconds: 1 s per GB, or 0 if the image is cached.
     fn fetch_s(&self, spec: &JobSpec) -> f64 {
         if self.cached_images.contains(&spec.image) { 0.0 } else { spec.image_gb }
     }
 
-    /// The specification of any task on the worker, as a placeholder for a task whose own one is
-    /// unknown: the heartbeat must contain a refused task.
+    /// The specification of any task on the worker, as a placeholder for a task whose own
+    /// specification is unknown: heartbeats must contain the refused task.
     fn any_spec(&self, positions: &TaskPositions) -> Option<JobSpec> {
         let mut tasks = self.tasks.iter().enumerate();
         let kept = tasks.find(|(position, _)| !positions.forgotten.contains(position));
