--- a/crates/gladekeel-testkit/examples/playground.rs
+++ b/crates/gladekeel-testkit/examples/playground.rs
@@ -113,7 +113,7 @@
     /// Workers of the machines that are up, by machine name.
     workers: RefCell<BTreeMap<String, FakeWorker>>,
     gangs: RefCell<GangRuntime>,
-    /// Descriptions of the stored jobs, which workers look up here without a request to the store.
+    /// Specifications of the stored jobs, which workers look up here without a request to the store.
     jobs: RefCell<BTreeMap<JobId, JobSpec>>,
 }
 
@@ -402,7 +402,7 @@
         }
     }
 
-    /// Records the descriptions of the jobs that a transaction has stored.
+    /// Records the specifications of the jobs that a transaction has stored.
     fn record_jobs(&self, txn: &Transaction) {
         for write in &txn.writes {
             let Write::Put { key, value, .. } = write else { continue };
@@ -413,7 +413,7 @@
         }
     }
 
-    /// Returns the description of a task's job; `None` if the job has not been stored.
+    /// Returns the specification of a task's job; `None` if the job has not been stored.
     fn spec(&self, task: &TaskId) -> Option<JobSpec> {
         self.jobs.borrow().get(&task.job).cloned()
     }
--- a/crates/gladekeel-testkit/tests/gangs/orderly_stop.rs
+++ b/crates/gladekeel-testkit/tests/gangs/orderly_stop.rs
@@ -12,7 +12,7 @@
     gang.stop(1, 1, 10.0);
     gang.run_until(21.5);
     assert_eq!(gang.exit_of(0), Some((ExitCause::Stopped, Some(true))), "4 s after the first stop");
-    assert_eq!(gang.exit_of(1), None, "the task saves for 2 s");
+    assert_eq!(gang.exit_of(1), None, "the task takes 2 s to save");
     gang.run_until(22.8);
     assert_eq!(gang.exit_of(1), Some((ExitCause::Stopped, Some(true))));
     assert!(
--- a/crates/gladekeel-testkit/tests/two_versions/main.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/main.rs
@@ -32,7 +32,7 @@
 const MAX_KIND_OF_PRODUCTION: u16 = 5;
 
 /// Returns the payload of a peer heartbeat in production's layout: milliseconds since the last
-/// contact with the state service and the token, both little-endian.
+/// contact with the store and the token, both little-endian.
 fn heartbeat_payload(store_contact_age_ms: u32, leader_token: u64) -> Vec<u8> {
     let age = store_contact_age_ms.to_le_bytes();
     [age.as_slice(), leader_token.to_le_bytes().as_slice()].concat()
@@ -58,8 +58,8 @@
 struct TestNode {
     node: Node,
     store: FakeStore,
-    /// The protocol level that each peer sends in its heartbeats; `None` for a peer that sends
-    /// none.
+    /// The protocol level that each peer sends in its heartbeats; `None` for a peer that sends no
+    /// heartbeats.
     peer_levels: Vec<Option<u16>>,
     /// The incarnation that the peers send in their heartbeats; earlier versions send 0.
     peer_incarnation: u64,
--- a/crates/gladekeel-testkit/tests/two_versions/peers.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/peers.rs
@@ -15,7 +15,7 @@
 }
 
 /// Guards against sending a frame of kind 6 to a production node. That node closes the connection,
-/// so each cancellation would cut the leader at the other end off from relayed heartbeats.
+/// so each cancellation would interrupt the relaying of heartbeats from that node to the leader.
 #[test]
 fn cancellations_are_sent_only_to_peers_that_know_their_frame_kind() {
     let mut old = TestNode::with_peers(&[Some(0), Some(0)]);
--- a/crates/gladekeel-testkit/tests/two_versions/stored_values.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/stored_values.rs
@@ -40,14 +40,14 @@
     assert!(!read.settings.contains_key("of_another_version"));
 }
 
-/// Guards against responding 404 to requests about an accepted job, and against a leader that
-/// attributes the attempts of the job to no job: no node leads until the stored job can be read.
+/// Guards against responding 404 to requests about an accepted job, and against a leader that does
+/// not know the job of stored attempts: no node leads until the stored job can be read.
 #[test]
 fn an_unreadable_job_prevents_leadership() {
     let mut node = TestNode::with_peers(&[Some(1), Some(1)]);
     node.put(&keys::job(&"job-7".parse().unwrap()), unreadable_job("job-7"));
     node.advance(6);
-    assert!(node.leader().is_none(), "a leader would attribute the attempts of job-7 to no job");
+    assert!(node.leader().is_none(), "a leader would not know the job of job-7's attempts");
     assert_eq!(poll(&mut node, "job-7"), 503);
     assert_eq!(submit(&mut node, "job-7"), 503);
     let (status, _) = node.request("POST", "/api/jobs/job-7/cancel", Vec::new());
