--- a/crates/gladekeel-controller/src/assignment_log/mod.rs
+++ b/crates/gladekeel-controller/src/assignment_log/mod.rs
@@ -38,5 +38,5 @@
 pub use reader::{SegmentPart, UnreadableSegment, decode};
 pub use records::{Assignment, AttemptOutcome, ProgressPage, Release, Segment, UnknownOutcome};
 pub use writer::{
-    AssignmentRef, MAX_PROGRESS_PAGE_BYTES, SegmentWriter, max_row_bytes, segment_capacity,
+    AssignmentRef, MAX_PROGRESS_PAGE_BYTES, SegmentWriter, max_assignment_bytes, segment_capacity,
 };
--- a/crates/gladekeel-controller/src/assignment_log/writer.rs
+++ b/crates/gladekeel-controller/src/assignment_log/writer.rs
@@ -36,7 +36,7 @@
 /// Upper bound of the bytes that an assignment adds to a segment: its own row, and the rows and
 /// names of its job and machine if the segment does not contain them yet. A release adds fewer
 /// bytes.
-pub fn max_row_bytes(job: &JobId, machine: &str) -> usize {
+pub fn max_assignment_bytes(job: &JobId, machine: &str) -> usize {
     let job_bytes = size_of::<JobRow>() + job.as_str().len();
     let machine_bytes = size_of::<MachineRow>() + machine.len();
     size_of::<AssignmentRow>() + job_bytes + machine_bytes
@@ -72,7 +72,7 @@
 /// Builds one segment row by row.
 ///
 /// The writer does not limit the size of the segment. Before adding a row, callers must compare the
-/// sum of [`SegmentWriter::size`] and [`max_row_bytes`] or [`MAX_PROGRESS_PAGE_BYTES`] with
+/// sum of [`SegmentWriter::size`] and [`max_assignment_bytes`] or [`MAX_PROGRESS_PAGE_BYTES`] with
 /// [`segment_capacity`].
 #[derive(Debug, Default)]
 pub struct SegmentWriter {
--- a/crates/gladekeel-controller/src/cloud_api.rs
+++ b/crates/gladekeel-controller/src/cloud_api.rs
@@ -4,7 +4,7 @@
 //! leader's autoscaler decides which requests are sent.
 
 use gladekeel_wire::cloud::{
-    MAX_MACHINES_PER_PAGE, MachineNames, MachinePage, MachineTypes, RentRequest,
+    CreateMachinesRequest, MAX_MACHINES_PER_PAGE, MachineNames, MachinePage, MachineTypes,
 };
 use gladekeel_wire::{http::HttpRequest, job::ErrorBody};
 
@@ -17,7 +17,7 @@
     /// List the machine types and their prices.
     ListMachineTypes,
     /// Rent machines.
-    Rent(RentRequest),
+    Rent(CreateMachinesRequest),
     /// Delete the machines with these names.
     Delete(Vec<String>),
     /// List a page of the machines.
--- a/crates/gladekeel-controller/src/keys.rs
+++ b/crates/gladekeel-controller/src/keys.rs
@@ -24,7 +24,7 @@
 /// The key of the first part of the machine types, and the prefix of the other parts' keys.
 pub const MACHINE_TYPES: &str = "gk/types";
 /// The key of the runtime settings.
-pub const OPTIONS: &str = "gk/options";
+pub const RUNTIME_SETTINGS: &str = "gk/options";
 /// Prefix of the keys of drain orders.
 pub const DRAIN_PREFIX: &str = "gk/drain/";
 /// Prefix of the keys of jobs.
@@ -66,7 +66,7 @@
 }
 
 /// The key of a slot of the assignment log.
-pub fn log(slot: u32) -> String {
+pub fn log_slot(slot: u32) -> String {
     format!("{ASSIGNMENT_LOG_PREFIX}{slot:06}")
 }
 
--- a/crates/gladekeel-controller/src/leader/assignment_log/commit.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/commit.rs
@@ -54,7 +54,7 @@
 
     /// Applies the outcome of the transaction in flight. Returns whether the caller should read the
     /// store at once.
-    pub fn commit_answered(&mut self, now: f64, outcome: &StoreOutcome) -> bool {
+    pub fn on_commit_outcome(&mut self, now: f64, outcome: &StoreOutcome) -> bool {
         let Some(transaction) = self.log_writer.take_in_flight() else { return false };
         match outcome {
             StoreOutcome::Committed(revision) => {
@@ -145,7 +145,7 @@
         });
         let Some((job_idx, machine)) = committed else { return };
         self.commands.request_commands(machine);
-        self.cluster.counters.starts += 1;
+        self.cluster.counters.task_starts += 1;
         let is_gang = self.jobs.get(&job_idx).is_some_and(Job::is_gang);
         if is_gang && self.attempts.of_job(job_idx).uncommitted() == 0 {
             self.commands.request_commands_on(self.attempts.of_job(job_idx).machines());
@@ -162,7 +162,7 @@
     /// Withdraws the proposals among these attempts that are not in flight. A gang is placed as a
     /// whole or not at all: if one of its attempts is to be withdrawn, its other proposals are
     /// withdrawn too, and its committed attempts are stopped.
-    pub(in crate::leader) fn withdraw(&mut self, ids: &[AttemptId], now: f64) {
+    pub(in crate::leader) fn withdraw_proposals(&mut self, ids: &[AttemptId], now: f64) {
         let mut gangs = BTreeSet::new();
         for id in ids {
             let Some(job_idx) = self.attempts.get(*id).map(|attempt| attempt.job) else { continue };
--- a/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
@@ -88,12 +88,12 @@
             live.progress_pages.extend(self.replay_progress_page(page, sequence));
         }
         for assignment in segment.assignments {
-            let id = AttemptId::from_logged(assignment.attempt);
+            let id = AttemptId::from_log_value(assignment.attempt);
             live.attempts.push(id);
             unreleased.insert(id, LoggedAssignment { assignment, segment: sequence });
         }
         for release in segment.releases {
-            unreleased.remove(&AttemptId::from_logged(release.attempt));
+            unreleased.remove(&AttemptId::from_log_value(release.attempt));
             live.progress_pages.extend(self.replay_release(&release));
         }
         self.log_writer.restore_segment(live);
@@ -193,7 +193,7 @@
                 running_since: None,
                 stop_reason: None,
                 stops_sent: 0,
-                start_sent: true,
+                no_direct_start: true,
                 resources: job.task_request,
                 image: job.image,
                 recovered: true,
@@ -229,7 +229,7 @@
                         done_attempts.push(id);
                     } else if job.is_cancelled() {
                         attempt.stop_reason = Some(StopReason::Cancelled);
-                        self.cancelled_on_machines.insert(*job_idx);
+                        self.cancelled_jobs_on_machines.insert(*job_idx);
                     }
                 });
             }
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/batch.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/batch.rs
@@ -144,7 +144,7 @@
             let segment = &mut contents.segment;
             segment.slot = slots.allocate();
             segment.sequence = slots.next_sequence();
-            let key = keys::log(segment.slot.number);
+            let key = keys::log_slot(segment.slot.number);
             let text = writer.encode(segment.sequence);
             self.put(key.clone(), segment.slot.version, &text);
             self.contents.commit_marker.get_or_insert(CommitMarker { key, text });
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
@@ -6,7 +6,9 @@
     slots::{LiveSegment, ProgressPageRef},
 };
 use crate::{
-    assignment_log::{AssignmentRef, AttemptOutcome, MAX_PROGRESS_PAGE_BYTES, max_row_bytes},
+    assignment_log::{
+        AssignmentRef, AttemptOutcome, MAX_PROGRESS_PAGE_BYTES, max_assignment_bytes,
+    },
     keys,
     leader::{AssignmentPhase, AttemptId},
     stored_types,
@@ -49,10 +51,10 @@
         let Some(attempt) = self.records.attempts.get(id) else { return true };
         let AssignmentPhase::Releasing(outcome) = attempt.phase else { return true };
         let job = self.records.job_names.name(attempt.job);
-        let Some(segment) = self.batch.segment_with_capacity(max_row_bytes(job, "")) else {
+        let Some(segment) = self.batch.segment_with_capacity(max_assignment_bytes(job, "")) else {
             return false;
         };
-        segment.writer.push_release(job, attempt.task_index, id.logged(), outcome);
+        segment.writer.push_release(job, attempt.task_index, id.to_log_value(), outcome);
         if outcome != AttemptOutcome::Requeued {
             let page = ProgressPageRef { job: attempt.job, page: page_of(attempt.task_index) };
             let pages = &mut segment.contents.segment.progress_pages;
@@ -80,7 +82,8 @@
         let Some(attempt) = self.records.attempts.get(id) else { return true };
         let job = self.records.job_names.name(attempt.job);
         let machine = self.records.machine_names.name(attempt.machine);
-        let Some(segment) = self.batch.segment_with_capacity(max_row_bytes(job, machine)) else {
+        let Some(segment) = self.batch.segment_with_capacity(max_assignment_bytes(job, machine))
+        else {
             return false;
         };
         segment.writer.push_assignment(AssignmentRef {
@@ -88,7 +91,7 @@
             index: attempt.task_index,
             machine,
             incarnation: attempt.incarnation,
-            attempt: id.logged(),
+            attempt: id.to_log_value(),
         });
         segment.contents.segment.attempts.push(id);
         true
@@ -200,7 +203,7 @@
     fn add_machine_types(&mut self) {
         let Some(types) = &self.writer.pending.machine_types else { return };
         let versions = &self.writer.versions.machine_types;
-        let parts = stored_types::split(types, self.writer.limits.value_bytes);
+        let parts = stored_types::split_into_parts(types, self.writer.limits.value_bytes);
         let obsolete = versions.iter().filter(|(part, _)| **part as usize >= parts.len());
         if !self.batch.fits(parts.len() + obsolete.clone().count()) {
             return;
--- a/crates/gladekeel-controller/src/leader/attempt.rs
+++ b/crates/gladekeel-controller/src/leader/attempt.rs
@@ -60,7 +60,7 @@
     pub stops_sent: u32,
     /// Whether no further direct start may be sent, because one was sent already or because an
     /// earlier leader made the attempt. Starts in responses to heartbeats do not count.
-    pub start_sent: bool,
+    pub no_direct_start: bool,
     /// The resources that the task requests.
     pub resources: Resources,
     /// The image of the job.
--- a/crates/gladekeel-controller/src/leader/attempt_id.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_id.rs
@@ -11,8 +11,8 @@
 
 impl AttemptId {
     /// Returns the id that has this value in the assignment log.
-    pub fn from_logged(logged: u64) -> AttemptId {
-        AttemptId(logged)
+    pub fn from_log_value(value: u64) -> AttemptId {
+        AttemptId(value)
     }
 
     /// Returns the id of the attempt of a gang's task, from the number by which workers know the
@@ -24,7 +24,7 @@
     }
 
     /// Returns the value of the id in the assignment log.
-    pub fn logged(self) -> u64 {
+    pub fn to_log_value(self) -> u64 {
         self.0
     }
 
--- a/crates/gladekeel-controller/src/leader/attempt_numbers.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_numbers.rs
@@ -28,7 +28,7 @@
 
     /// Whether the numbers may soon run out, so that a new token is needed. Enough numbers for two
     /// jobs of the maximum size are kept in reserve.
-    pub fn are_nearly_used_up(&self) -> bool {
+    pub fn are_nearly_exhausted(&self) -> bool {
         self.next + 2 * u64::from(MAX_TASKS) > self.end
     }
 }
--- a/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
@@ -64,7 +64,7 @@
 
 impl Leader {
     /// Adds a job that was just submitted to the arrivals of its class. Called by reconciliation.
-    pub(in crate::leader) fn count_arrival(&mut self, job_idx: JobIdx) {
+    pub(in crate::leader) fn record_arrival(&mut self, job_idx: JobIdx) {
         let Some(job) = self.jobs.get(&job_idx) else { return };
         let Some(fit) = self.cheapest_fit(job) else { return };
         let run_s = self.expected_run_s(job);
@@ -72,6 +72,6 @@
         let due_s = job.time_allowed_s(&self.deployment, run_s);
         let class = ArrivalClass { machine_type: fit.machine_type, class: job.spec.class.clone() };
         self.cluster.autoscaler.arrivals.add(class, work, due_s);
-        self.count_gang_arrival(job_idx, fit, work);
+        self.record_gang_arrival(job_idx, fit, work);
     }
 }
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/inventory.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/inventory.rs
@@ -14,7 +14,7 @@
         let Some(rows) = self.cluster.cloud.add_list_page(now, page) else { return };
         let mut listed = BTreeSet::new();
         for row in rows {
-            if !self.cluster.cloud.is_gone(&row.name) {
+            if !self.cluster.cloud.is_deletion_confirmed(&row.name) {
                 listed.insert(self.apply_listed_machine(now, row));
             }
         }
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/mod.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/mod.rs
@@ -20,7 +20,7 @@
 use crate::cloud_api::CloudRequest;
 use crate::leader::Leader;
 use gladekeel_sched::MachineIdx;
-use gladekeel_wire::cloud::{MAX_MACHINES_PER_DELETE_REQUEST, RentRequest};
+use gladekeel_wire::cloud::{CreateMachinesRequest, MAX_MACHINES_PER_DELETE_REQUEST};
 use queue::NewRent;
 
 impl Leader {
@@ -78,15 +78,15 @@
     }
 
     /// Returns a rent request that must be retried, else one for the next scale-out.
-    fn next_rent_request(&mut self, now: f64) -> Option<RentRequest> {
+    fn next_rent_request(&mut self, now: f64) -> Option<CreateMachinesRequest> {
         if let Some(rent) = self.cluster.cloud.next_rent_retry(now) {
             return Some(rent);
         }
         let NewRent { pool, count, number } = self.cluster.cloud.take_scale_out(now)?;
-        let rent = RentRequest {
+        let rent = CreateMachinesRequest {
             // Unique by the fencing token, the request's number and the node's random number. Only
             // a retry of the same request has the same id.
-            request_id: format!("gk-{}-{}-{:08x}", self.token, number, self.salt as u32),
+            request_id: format!("gk-{}-{}-{:08x}", self.token, number, self.request_id_salt as u32),
             machine_type: self.catalog.machine_type_names.name(pool.machine_type).clone(),
             zone: self.catalog.zones.name(pool.zone).clone(),
             spot: pool.purchase_model.is_spot(),
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
@@ -2,7 +2,7 @@
 
 use crate::cloud_api::{CloudOutcome, CloudRequest};
 use crate::leader::{Leader, Machine};
-use gladekeel_wire::cloud::{MachineType, MachineTypes, RentRequest};
+use gladekeel_wire::cloud::{CreateMachinesRequest, MachineType, MachineTypes};
 
 /// How long no request is sent after the cloud's rate limit was exceeded, in seconds.
 const RATE_LIMIT_BACKOFF_S: f64 = 0.5;
@@ -42,7 +42,12 @@
 
     /// Applies the outcome of a rent request. A failed request is retried unless the cloud has no
     /// capacity or has rejected the request.
-    fn apply_rent_outcome(&mut self, now: f64, rent: &RentRequest, outcome: CloudOutcome) {
+    fn apply_rent_outcome(
+        &mut self,
+        now: f64,
+        rent: &CreateMachinesRequest,
+        outcome: CloudOutcome,
+    ) {
         let cloud = &mut self.cluster.cloud;
         match outcome {
             CloudOutcome::Rented(names) => self.apply_rented(now, rent, names),
@@ -61,7 +66,7 @@
 
     /// Adds machines that were rented. If there are fewer than requested, the pool has no more
     /// capacity.
-    fn apply_rented(&mut self, now: f64, rent: &RentRequest, names: Vec<String>) {
+    fn apply_rented(&mut self, now: f64, rent: &CreateMachinesRequest, names: Vec<String>) {
         let Some(pool) = self.cluster.cloud.finish_rent(rent) else { return };
         tracing::info!(
             machine_type = rent.machine_type,
@@ -75,7 +80,7 @@
             self.cluster.cloud.record_no_capacity(pool, now);
         }
         for name in names {
-            self.cluster.counters.rented += 1;
+            self.cluster.counters.machines_rented += 1;
             let machine_idx = self.cluster.machine_names.intern(&name);
             let new_machine = || Machine::new(&name, now);
             let machine = self.cluster.machines.entry(machine_idx).or_insert_with(new_machine);
@@ -114,7 +119,7 @@
             let Some(machine_idx) = machine_idx else { continue };
             let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { continue };
             machine.deletion.confirm();
-            self.cluster.counters.deleted += 1;
+            self.cluster.counters.machines_deleted += 1;
             self.cluster.cloud.record_deleted(name, now);
         }
         self.timers.request_cycle();
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
@@ -4,7 +4,8 @@
 use crate::cloud_api::CloudRequest;
 use crate::leader::autoscaling::machine_pool::MachinePool;
 use gladekeel_wire::cloud::{
-    ListedMachine, MAX_MACHINES_PER_PAGE, MAX_MACHINES_PER_RENT_REQUEST, MachinePage, RentRequest,
+    CreateMachinesRequest, ListedMachine, MAX_MACHINES_PER_CREATE_REQUEST, MAX_MACHINES_PER_PAGE,
+    MachinePage,
 };
 use std::collections::{BTreeSet, HashMap};
 
@@ -28,7 +29,7 @@
 /// A rent request that has no final response yet.
 #[derive(Debug)]
 struct PendingRent {
-    request: RentRequest,
+    request: CreateMachinesRequest,
     pool: MachinePool,
     /// Whether the request was sent and its outcome is not known yet.
     in_flight: bool,
@@ -108,7 +109,7 @@
 /// Deleted machines, and pools without capacity.
 impl CloudRequestQueue {
     /// Whether the cloud has confirmed the machine's deletion.
-    pub fn is_gone(&self, name: &str) -> bool {
+    pub fn is_deletion_confirmed(&self, name: &str) -> bool {
         self.deleted.contains(name)
     }
 
@@ -155,7 +156,7 @@
     /// Returns the next rent request to retry, if one is due, and marks it as in flight. A retry
     /// repeats the identical request: if the cloud has executed the request although no response
     /// arrived, the retry gets the same machines.
-    pub(super) fn next_rent_retry(&mut self, now: f64) -> Option<RentRequest> {
+    pub(super) fn next_rent_retry(&mut self, now: f64) -> Option<CreateMachinesRequest> {
         let is_due = |rent: &&mut PendingRent| !rent.in_flight && now >= rent.retry_at;
         let rent = self.pending_rents.iter_mut().find(is_due)?;
         rent.in_flight = true;
@@ -170,29 +171,29 @@
             if count == 0 || !self.may_have_capacity(pool, now) {
                 continue;
             }
-            if count > MAX_MACHINES_PER_RENT_REQUEST {
-                self.request_scale_out(pool, count - MAX_MACHINES_PER_RENT_REQUEST);
+            if count > MAX_MACHINES_PER_CREATE_REQUEST {
+                self.request_scale_out(pool, count - MAX_MACHINES_PER_CREATE_REQUEST);
             }
             self.last_rent_number += 1;
-            let count = count.min(MAX_MACHINES_PER_RENT_REQUEST);
+            let count = count.min(MAX_MACHINES_PER_CREATE_REQUEST);
             return Some(NewRent { pool, count, number: self.last_rent_number });
         }
         None
     }
 
     /// Adds a rent request that is being sent.
-    pub(super) fn add_rent(&mut self, pool: MachinePool, request: RentRequest) {
+    pub(super) fn add_rent(&mut self, pool: MachinePool, request: CreateMachinesRequest) {
         self.pending_rents.push(PendingRent { request, pool, in_flight: true, retry_at: 0.0 });
     }
 
     /// Removes a rent request that has its final response, and returns its pool.
-    pub(super) fn finish_rent(&mut self, request: &RentRequest) -> Option<MachinePool> {
+    pub(super) fn finish_rent(&mut self, request: &CreateMachinesRequest) -> Option<MachinePool> {
         let position = self.rent_position(request)?;
         Some(self.pending_rents.swap_remove(position).pool)
     }
 
     /// Schedules the retry of a rent request that has no final response.
-    pub(super) fn retry_rent_at(&mut self, request: &RentRequest, retry_at: f64) {
+    pub(super) fn retry_rent_at(&mut self, request: &CreateMachinesRequest, retry_at: f64) {
         if let Some(position) = self.rent_position(request) {
             let rent = &mut self.pending_rents[position];
             rent.in_flight = false;
@@ -200,7 +201,7 @@
         }
     }
 
-    fn rent_position(&self, request: &RentRequest) -> Option<usize> {
+    fn rent_position(&self, request: &CreateMachinesRequest) -> Option<usize> {
         self.pending_rents.iter().position(|rent| rent.request.request_id == request.request_id)
     }
 }
--- a/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -140,7 +140,7 @@
 impl Leader {
     /// Adds a job that was just submitted to the arrivals of its class, if the job is a gang whose
     /// class has an objective for the time until the start. `work` is in machine-seconds.
-    pub(super) fn count_gang_arrival(&mut self, job_idx: JobIdx, fit: MachineFit, work: f64) {
+    pub(super) fn record_gang_arrival(&mut self, job_idx: JobIdx, fit: MachineFit, work: f64) {
         let Some(job) = self.jobs.get(&job_idx) else { return };
         if !job.is_gang() || !job.has_start_objective(&self.deployment) {
             return;
--- a/crates/gladekeel-controller/src/leader/commands/outcome.rs
+++ b/crates/gladekeel-controller/src/leader/commands/outcome.rs
@@ -29,7 +29,12 @@
 impl Leader {
     /// Applies the outcome of a request that [`Leader::next_worker_request`] returned. Ignores the
     /// outcome if the request was built under another fencing token.
-    pub fn worker_answered(&mut self, now: f64, request: &WorkerRequest, outcome: &WorkerOutcome) {
+    pub fn on_worker_outcome(
+        &mut self,
+        now: f64,
+        request: &WorkerRequest,
+        outcome: &WorkerOutcome,
+    ) {
         if request.token != self.token {
             return;
         }
@@ -37,7 +42,7 @@
             self.commands.record_probe_outcome();
         }
         let Some(machine) = self.cluster.machines.get_mut(&request.machine) else { return };
-        machine.commands.end_request();
+        machine.commands.record_request_outcome();
         self.settle_starts(now, request, outcome);
         match outcome {
             WorkerOutcome::Done(heartbeat) => self.on_response(now, request.machine, heartbeat),
@@ -103,7 +108,7 @@
     /// Records that a machine was reached and receives messages.
     fn record_response(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
-        machine.liveness.record_probe_response(now, heartbeat.incarnation);
+        machine.liveness.record_direct_response(now, heartbeat.incarnation);
         machine.acknowledgements.confirm();
     }
 
--- a/crates/gladekeel-controller/src/leader/commands/request.rs
+++ b/crates/gladekeel-controller/src/leader/commands/request.rs
@@ -149,12 +149,16 @@
         Some(Command::Stop { task, attempt: self.reported_attempt(id), grace_s })
     }
 
-    /// Returns the start for a committed attempt that has not been sent a start. A gang task is
-    /// started only once all assignments of its gang are committed. Counts the start as sent.
+    /// Returns the start for a committed attempt, unless a direct start was sent before or an
+    /// earlier leader made the attempt. A gang task is started only once all assignments of its
+    /// gang are committed. Counts the start as sent.
     fn due_start(&mut self, id: AttemptId, incarnation: u64) -> Option<Command> {
         let attempt =
             self.attempts.get(id).filter(|attempt| attempt.is_committed_in(incarnation))?;
-        if attempt.stop_reason.is_some() || attempt.reported_state.is_some() || attempt.start_sent {
+        if attempt.stop_reason.is_some()
+            || attempt.reported_state.is_some()
+            || attempt.no_direct_start
+        {
             return None;
         }
         let job = &self.jobs[&attempt.job];
@@ -163,7 +167,7 @@
             return None;
         }
         let task = self.task_id(attempt);
-        self.attempts.update(id, |attempt| attempt.start_sent = true);
+        self.attempts.update(id, |attempt| attempt.no_direct_start = true);
         Some(Command::Start { task, attempt: self.reported_attempt(id) })
     }
 
@@ -188,7 +192,7 @@
         TaskState::Fetching => reason != StopReason::GangIncomplete,
         TaskState::Waiting | TaskState::Running => true,
         // The task is stopping already. Only a cancellation leaves it no time to save its progress.
-        TaskState::Saving => reason == StopReason::Cancelled,
+        TaskState::Checkpointing => reason == StopReason::Cancelled,
         TaskState::Exited | TaskState::Other => false,
     }
 }
--- a/crates/gladekeel-controller/src/leader/counters.rs
+++ b/crates/gladekeel-controller/src/leader/counters.rs
@@ -6,17 +6,17 @@
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct LeaderCounters {
     /// Tasks whose start was committed.
-    pub starts: u64,
+    pub task_starts: u64,
     /// Tasks that were restarted as stragglers.
-    pub restarts: u64,
+    pub straggler_restarts: u64,
     /// Tasks that were preempted.
     pub preemptions: u64,
     /// Tasks that failed.
-    pub failures: u64,
+    pub task_failures: u64,
     /// Machines that were rented.
-    pub rented: u64,
+    pub machines_rented: u64,
     /// Machines that were deleted.
-    pub deleted: u64,
+    pub machines_deleted: u64,
     /// Scheduling cycles that were due, including cycles without pending tasks.
     pub scheduling_cycles: u64,
     /// Machines and pools examined by scheduling cycles; each counts every time it is examined.
--- a/crates/gladekeel-controller/src/leader/failure_detection/cancellation_deadline.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/cancellation_deadline.rs
@@ -18,12 +18,12 @@
     /// deadline. The leader calls this together with the failure detector.
     pub(in crate::leader) fn enforce_cancellation_deadlines(&mut self, now: f64) {
         let mut overdue_machines = Vec::new();
-        for job_idx in &self.cancelled_on_machines {
+        for job_idx in &self.cancelled_jobs_on_machines {
             if self.is_cancellation_overdue(*job_idx, now) {
                 overdue_machines.extend(self.machines_with_committed_attempts(*job_idx));
             }
         }
-        self.cancelled_on_machines.retain(|job_idx| {
+        self.cancelled_jobs_on_machines.retain(|job_idx| {
             self.jobs.contains_key(job_idx) && !self.attempts.of_job(*job_idx).is_empty()
         });
         for machine_idx in overdue_machines {
@@ -37,7 +37,9 @@
         let Some(job) = self.jobs.get(&job_idx) else { return false };
         let workers = &self.deployment.workers;
         let due_at = match job.cancelled_no_earlier_than {
-            f64::NEG_INFINITY => self.since + workers.heartbeat_timeout_s() + TAKEOVER_MARGIN_S,
+            f64::NEG_INFINITY => {
+                self.term_started_at + workers.heartbeat_timeout_s() + TAKEOVER_MARGIN_S
+            }
             cancelled_at => deletion_due_at(cancelled_at, workers.cancellation_deadline_s),
         };
         now >= due_at
--- a/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
@@ -69,9 +69,9 @@
         self.zones.unreachable_zones(now)
     }
 
-    /// For how long not a single machine has been seen.
-    pub fn silence(&self, now: f64) -> HeartbeatSilence {
-        self.zones.silence(now)
+    /// Returns for how long not a single machine has been seen.
+    pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
+        self.zones.heartbeat_silence(now)
     }
 
     /// Updates the reachability of zones from a new observation of the cluster.
--- a/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -57,7 +57,7 @@
         for id in evacuation.stop {
             self.stop_for_drain(id);
         }
-        self.withdraw(&evacuation.withdraw, now);
+        self.withdraw_proposals(&evacuation.withdraw, now);
         for id in evacuation.release {
             self.release(id, AttemptOutcome::Requeued);
         }
--- a/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
@@ -5,7 +5,7 @@
 use gladekeel_sched::ZoneIdx;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which machines were seen and when machines last responded to probes, by zone.
+/// Which machines were seen and when machines last responded to direct commands, by zone.
 #[derive(Default)]
 pub(super) struct ClusterObservation {
     zones: BTreeMap<Option<ZoneIdx>, ZoneObservation>,
@@ -23,7 +23,7 @@
     seen_recently: usize,
     /// When any machine in the zone last responded to a probe or another direct command; `None` if
     /// none has responded.
-    last_probe_response: Option<f64>,
+    last_direct_response: Option<f64>,
 }
 
 impl ZoneObservation {
@@ -32,12 +32,12 @@
         if machine.liveness.silent_s(now) < thresholds.recently_seen_s {
             self.seen_recently += 1;
         }
-        let responses = [self.last_probe_response, machine.liveness.last_probe_response()];
-        self.last_probe_response = responses.into_iter().flatten().reduce(f64::max);
+        let responses = [self.last_direct_response, machine.liveness.last_direct_response()];
+        self.last_direct_response = responses.into_iter().flatten().reduce(f64::max);
     }
 
     fn responded_after(&self, time: f64) -> bool {
-        self.last_probe_response.is_some_and(|response| response > time)
+        self.last_direct_response.is_some_and(|response| response > time)
     }
 }
 
@@ -84,8 +84,9 @@
     }
 
     /// Whether machines that share the network path of a machine in `zone` have responded to probes
-    /// after `time`, so that a machine that has not responded has probably failed itself. Machines
-    /// of the same zone count, and machines of any zone if a controller is in `zone`.
+    /// or other direct commands after `time`, so that a machine that has not responded has probably
+    /// failed itself. Machines of the same zone count, and machines of any zone if a controller is
+    /// in `zone`.
     pub fn others_responded_after(&self, zone: Option<ZoneIdx>, time: f64) -> bool {
         let in_zone = self.zones.get(&zone).is_some_and(|observed| observed.responded_after(time));
         in_zone
--- a/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
@@ -87,8 +87,8 @@
         self.zones.keys().copied().filter(move |zone| self.is_unreachable(*zone, now))
     }
 
-    /// For how long not a single machine has been seen.
-    pub fn silence(&self, now: f64) -> HeartbeatSilence {
+    /// Returns for how long not a single machine has been seen.
+    pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
         HeartbeatSilence { expected_machines: self.expected, silent_s: now - self.last_seen }
     }
 }
--- a/crates/gladekeel-controller/src/leader/job/failure_backoff.rs
+++ b/crates/gladekeel-controller/src/leader/job/failure_backoff.rs
@@ -62,7 +62,7 @@
     }
 
     /// Prevents the job from being scheduled before `time`, and replaces any earlier backoff.
-    pub(in crate::leader) fn hold_until(&mut self, time: f64) {
+    pub(in crate::leader) fn delay_until(&mut self, time: f64) {
         self.ends_at = time;
     }
 }
--- a/crates/gladekeel-controller/src/leader/job/task_queue.rs
+++ b/crates/gladekeel-controller/src/leader/job/task_queue.rs
@@ -57,7 +57,7 @@
 
     /// Removes the next task from the queue and returns its index. If it was the last task, the job
     /// is no longer waiting.
-    pub(in crate::leader) fn next(&mut self) -> Option<u32> {
+    pub(in crate::leader) fn pop_next(&mut self) -> Option<u32> {
         self.speculative_restarts = self.speculative_restarts.saturating_sub(1);
         let task = self.tasks.pop_front()?;
         if self.tasks.is_empty() {
--- a/crates/gladekeel-controller/src/leader/machine/image_cache.rs
+++ b/crates/gladekeel-controller/src/leader/machine/image_cache.rs
@@ -41,7 +41,7 @@
     }
 
     /// Whether the image is cached or being fetched.
-    pub fn has_entry(&self, image: ImageIdx) -> bool {
+    pub fn is_cached_or_fetching(&self, image: ImageIdx) -> bool {
         self.entries.iter().any(|entry| entry.image == image)
     }
 
--- a/crates/gladekeel-controller/src/leader/machine/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/machine/liveness.rs
@@ -34,7 +34,7 @@
     last_seen: Option<f64>,
     last_heartbeat: LastHeartbeat,
     /// When the worker last responded to a direct command; `None` if it never has.
-    last_probe_response: Option<f64>,
+    last_direct_response: Option<f64>,
     /// Since when the worker has responded to direct commands while no heartbeat has arrived;
     /// `None` if it has not responded since its last heartbeat.
     responsive_without_heartbeats_since: Option<f64>,
@@ -54,7 +54,7 @@
             known_since: now,
             last_seen: None,
             last_heartbeat: LastHeartbeat { at: now, incarnation: 0 },
-            last_probe_response: None,
+            last_direct_response: None,
             responsive_without_heartbeats_since: None,
             unanswered_commands: 0,
             unresponsive_since: None,
@@ -78,9 +78,9 @@
     }
 
     /// Records that the worker has executed a direct command and responded.
-    pub fn record_probe_response(&mut self, now: f64, incarnation: u64) {
+    pub fn record_direct_response(&mut self, now: f64, incarnation: u64) {
         self.unanswered_commands = 0;
-        self.last_probe_response = Some(now);
+        self.last_direct_response = Some(now);
         self.responsive_without_heartbeats_since.get_or_insert(now);
         if self.last_heartbeat.incarnation == 0 {
             self.last_heartbeat.incarnation = incarnation;
@@ -152,8 +152,8 @@
     }
 
     /// When the worker last responded to a direct command; `None` if it never has.
-    pub fn last_probe_response(&self) -> Option<f64> {
-        self.last_probe_response
+    pub fn last_direct_response(&self) -> Option<f64> {
+        self.last_direct_response
     }
 
     /// Since when the worker has counted as unresponsive; `None` if it does not.
--- a/crates/gladekeel-controller/src/leader/machine/outstanding_commands.rs
+++ b/crates/gladekeel-controller/src/leader/machine/outstanding_commands.rs
@@ -36,8 +36,8 @@
         self.unsettled_starts.extend(starts.iter().map(|id| (*id, UnsettledStart::InFlight)));
     }
 
-    /// Records that the request has ended, with a response or without one.
-    pub fn end_request(&mut self) {
+    /// Records that the request in flight has its outcome: a response, or none.
+    pub fn record_request_outcome(&mut self) {
         self.in_flight = false;
     }
 
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -80,8 +80,9 @@
     pub epoch: f64,
     /// The settings of the deployment.
     pub deployment: Rc<Deployment>,
-    /// A random number drawn for this term, which becomes part of the ids of its rental requests.
-    pub salt: u64,
+    /// A random number drawn for this term, which becomes part of the ids of its requests to create
+    /// machines.
+    pub request_id_salt: u64,
 }
 
 /// The state of a leader under one fencing token.
@@ -92,11 +93,11 @@
     /// The fencing token of the term.
     pub token: u64,
     /// When the term began, in seconds on the node's clock.
-    since: f64,
+    term_started_at: f64,
     /// The time of day at time 0 of the node's clock, in seconds.
     epoch: f64,
     deployment: Rc<Deployment>,
-    salt: u64,
+    request_id_salt: u64,
     catalog: Catalog,
     timers: Timers,
 
@@ -121,11 +122,11 @@
     /// node's clock.
     store_contact_at: f64,
     /// Cancelled jobs that may still have attempts on machines.
-    cancelled_on_machines: BTreeSet<JobIdx>,
+    cancelled_jobs_on_machines: BTreeSet<JobIdx>,
 
     /// Scheduling: the search for stragglers.
     straggler_scan: StragglerScan,
-    /// Whether scheduling is suspended; see [`Leader::suspend_scheduling`].
+    /// Whether scheduling is suspended; see [`Leader::set_scheduling_suspended`].
     scheduling_suspended: bool,
 
     /// Commands to workers.
@@ -178,16 +179,16 @@
 
     /// Builds a leader without any jobs or attempts.
     fn without_jobs(store: &StoreView, term: LeaderTerm, mut cluster: ClusterState) -> Leader {
-        let LeaderTerm { token, now, epoch, deployment, salt } = term;
+        let LeaderTerm { token, now, epoch, deployment, request_id_salt } = term;
         let mut catalog = std::mem::take(&mut cluster.catalog);
         catalog.renew(&deployment, store.machine_types.all());
         let reachable_zones = std::mem::take(&mut cluster.reachable_zones);
         cluster.renew();
         Leader {
             token,
-            since: now,
+            term_started_at: now,
             epoch,
-            salt,
+            request_id_salt,
             catalog,
             timers: Timers::new(now),
             jobs: BTreeMap::new(),
@@ -199,7 +200,7 @@
             log_writer: AssignmentLogWriter::new(&deployment, store),
             failure_detector: FailureDetector::new(now, &deployment.workers, reachable_zones),
             store_contact_at: now,
-            cancelled_on_machines: BTreeSet::new(),
+            cancelled_jobs_on_machines: BTreeSet::new(),
             straggler_scan: StragglerScan::default(),
             scheduling_suspended: false,
             commands: CommandQueue::new(SocketBudget::new(&deployment.limits).worker_calls),
@@ -265,21 +266,21 @@
 
     /// Records when the newest request to the store that received a response was sent. `None`
     /// means that no request has received one, and leaves the recorded time as it is.
-    pub fn note_store_contact(&mut self, at: Option<f64>) {
+    pub fn record_store_contact(&mut self, at: Option<f64>) {
         self.store_contact_at = at.unwrap_or(self.store_contact_at);
     }
 
     /// Whether the leader needs a new token before it can continue, because the outcome of a
     /// commit or a start is unknown, its view of the store is wrong, or its attempt numbers are
-    /// nearly used up.
+    /// nearly exhausted.
     pub fn needs_new_token(&self) -> bool {
-        self.token_renewal.is_required() || self.attempt_numbers.are_nearly_used_up()
+        self.token_renewal.is_required() || self.attempt_numbers.are_nearly_exhausted()
     }
 
     /// Suspends or resumes scheduling. The node suspends it while a value in the store cannot be
     /// read. Nothing is bound or preempted in the meantime; running tasks continue, and
     /// cancelled ones are still stopped.
-    pub fn suspend_scheduling(&mut self, suspended: bool) {
+    pub fn set_scheduling_suspended(&mut self, suspended: bool) {
         self.scheduling_suspended = suspended;
     }
 
@@ -299,7 +300,7 @@
         if let Some(machine) = machine {
             machine.draining = is_ordered;
             self.cluster.leaving.extend(machine_idx);
-        } else if is_ordered && self.cluster.cloud.is_gone(name) {
+        } else if is_ordered && self.cluster.cloud.is_deletion_confirmed(name) {
             self.log_writer.pending().add_obsolete_drain(name);
         }
     }
@@ -329,14 +330,14 @@
         &self.cluster.counters
     }
 
-    /// For how long not a single machine has been seen.
-    pub fn silence(&self, now: f64) -> HeartbeatSilence {
-        self.failure_detector.silence(now)
+    /// Returns for how long not a single machine has been seen.
+    pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
+        self.failure_detector.heartbeat_silence(now)
     }
 
     /// When the leader's term began, in seconds on the node's clock.
-    pub fn since(&self) -> f64 {
-        self.since
+    pub fn term_started_at(&self) -> f64 {
+        self.term_started_at
     }
 }
 
--- a/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
@@ -92,7 +92,7 @@
         let Some(attempt) = self.attempts.get(id) else { return };
         let (Some(stop_reason), job_idx) = (attempt.stop_reason, attempt.job) else { return };
         let may_continue = match state {
-            TaskState::Saving => stop_reason != StopReason::Cancelled,
+            TaskState::Checkpointing => stop_reason != StopReason::Cancelled,
             TaskState::Fetching => stop_reason == StopReason::GangIncomplete,
             _ => false,
         };
@@ -120,7 +120,7 @@
             is_committed.then_some((attempt.job, attempt.stop_reason))
         });
         let Some((job_idx, stop_reason)) = committed.flatten() else { return TaskPresence::Gone };
-        if status.state == TaskState::Saving && stop_reason.is_none() {
+        if status.state == TaskState::Checkpointing && stop_reason.is_none() {
             self.continue_gang_stop(job_idx);
         }
         self.record_running(now, id, status);
@@ -144,7 +144,7 @@
     fn record_running(&mut self, now: f64, id: AttemptId, status: &TaskStatus) {
         let has_started = match status.state {
             TaskState::Waiting => false,
-            TaskState::Running | TaskState::Saving => true,
+            TaskState::Running | TaskState::Checkpointing => true,
             TaskState::Fetching | TaskState::Exited | TaskState::Other => return,
         };
         let Some(attempt) = self.attempts.get(id) else { return };
--- a/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
@@ -137,7 +137,7 @@
         now: f64,
         heartbeat: &Heartbeat,
     ) -> Option<MachineIdx> {
-        if self.cluster.cloud.is_gone(&heartbeat.machine) {
+        if self.cluster.cloud.is_deletion_confirmed(&heartbeat.machine) {
             return None;
         }
         let machine_idx = self.cluster.machine_names.intern(&heartbeat.machine);
--- a/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -29,11 +29,11 @@
         }
         // An earlier leader has counted the arrival of a job that existed before this term. Gangs
         // are counted again, so that their warm pool is rebuilt at once.
-        let is_new_in_term = now > self.since;
+        let is_new_in_term = now > self.term_started_at;
         let counts_as_arrival = !is_final && (is_new_in_term || job.is_gang());
         self.jobs.insert(job_idx, job);
         if counts_as_arrival {
-            self.count_arrival(job_idx);
+            self.record_arrival(job_idx);
         }
         self.changed_progress.insert(job_idx);
         self.timers.request_cycle();
@@ -100,7 +100,7 @@
 
     /// Marks all attempts of a cancelled job to be stopped, and requests the commands.
     fn stop_cancelled_job(&mut self, job_idx: JobIdx) {
-        self.cancelled_on_machines.insert(job_idx);
+        self.cancelled_jobs_on_machines.insert(job_idx);
         self.commands.request_commands_on(self.attempts.of_job(job_idx).machines());
         for id in self.attempts.ids_of_job(job_idx) {
             self.attempts.update(id, |attempt| {
--- a/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
@@ -71,7 +71,7 @@
         match status.cause {
             Some(ExitCause::Done) => return self.handle_completion(now, exited),
             Some(ExitCause::Stopped) if exited.stop_reason == Some(StopReason::Straggler) => {
-                self.cluster.counters.restarts += 1;
+                self.cluster.counters.straggler_restarts += 1;
                 return AttemptOutcome::Restarted;
             }
             Some(ExitCause::Stopped) => {}
@@ -95,7 +95,7 @@
         let Some(job) = self.jobs.get_mut(&exited.job) else { return AttemptOutcome::Requeued };
         if job.spec.kind == JobKind::Service {
             // A service runs until it is cancelled, so it is restarted after each exit.
-            job.backoff.hold_until(now + SERVICE_RESTART_PAUSE_S);
+            job.backoff.delay_until(now + SERVICE_RESTART_PAUSE_S);
             return AttemptOutcome::Requeued;
         }
         job.backoff.record_completion();
@@ -123,7 +123,7 @@
     /// Handles the failure of a task. The job is considered faulty if its tasks fail on every
     /// machine; otherwise the failure counts against the machine.
     fn handle_failure(&mut self, now: f64, exited: ExitedAttempt) {
-        self.cluster.counters.failures += 1;
+        self.cluster.counters.task_failures += 1;
         let other_attempts = self.attempts.of_job(exited.job).unfinished();
         let Some(job) = self.jobs.get_mut(&exited.job) else { return };
         job.backoff.record_failure(exited.machine);
--- a/crates/gladekeel-controller/src/leader/scheduling/binding.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/binding.rs
@@ -26,19 +26,19 @@
         else {
             return;
         };
-        let Some(task_index) = job.pending.next() else { return };
+        let Some(task_index) = job.pending.pop_next() else { return };
         let id = match binding.gang_attempt {
             Some(gang_attempt) => {
                 job.gang_attempt = gang_attempt;
                 AttemptId::of_gang_task(gang_attempt, task_index)
             }
-            None => AttemptId::from_logged(self.attempt_numbers.reserve(1)),
+            None => AttemptId::from_log_value(self.attempt_numbers.reserve(1)),
         };
         let cache_gb = machine
             .machine_type
             .and_then(|machine_type| self.catalog.machine_type(machine_type))
             .map_or(0.0, |machine_type| machine_type.cache_gb);
-        let image_cached = machine.images.has_entry(job.image);
+        let image_cached = machine.images.is_cached_or_fetching(job.image);
         machine.images.record_use(job.image, job.spec.image_gb, cache_gb);
         machine.workload.add(id, job.task_request);
         job.zone_placement.add(machine.zone);
@@ -56,7 +56,7 @@
                 running_since: None,
                 stop_reason: None,
                 stops_sent: 0,
-                start_sent: false,
+                no_direct_start: false,
                 resources: job.task_request,
                 image: job.image,
                 recovered: false,
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle.rs
@@ -11,7 +11,7 @@
 
 impl Leader {
     /// Runs a scheduling cycle and proposes the assignments that the cycle decides on.
-    pub(in crate::leader) fn run_scheduling_cycle(&mut self, now: f64, options: &RuntimeSettings) {
+    pub(in crate::leader) fn run_scheduling_cycle(&mut self, now: f64, settings: &RuntimeSettings) {
         self.cluster.counters.scheduling_cycles += 1;
         if self.jobs.values().all(|job| job.pending.is_empty()) {
             return;
@@ -20,7 +20,7 @@
         let scope = if self.has_overdue_gang(now) { MachineScope::All } else { MachineScope::Free };
         let mut input = self.cycle_input(now, scope);
         let pending: u32 = input.cycle.jobs.iter().map(|job| job.pending).sum();
-        let bindings = input.cycle.run(&options.fair_share);
+        let bindings = input.cycle.run(&settings.fair_share);
         self.cluster.counters.machines_examined += input.cycle.machines_examined;
         tracing::debug!(
             machines = input.machines.len(),
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -70,7 +70,7 @@
             self.failure_detector.unreachable_zones(now).collect();
         // The warm pool is open to all jobs once an array or service is starved, so that its wait
         // does not become too long.
-        let warm_pool_reserved = !self.is_any_array_starved(now);
+        let warm_pool_reserved = !self.is_any_array_or_service_starved(now);
         for (machine_idx, machine) in &self.cluster.machines {
             let (Some(machine_type), Some(zone)) = (machine.machine_type, machine.zone) else {
                 continue;
@@ -122,7 +122,7 @@
 
     /// Whether an array or service has waited for longer than [`STARVED_AFTER_S`] without a task on
     /// any machine.
-    fn is_any_array_starved(&self, now: f64) -> bool {
+    fn is_any_array_or_service_starved(&self, now: f64) -> bool {
         self.jobs.iter().any(|(job_idx, job)| {
             !job.is_finished()
                 && !job.is_gang()
@@ -148,7 +148,7 @@
             zone: job.zone,
             single_zone: job.spec.single_zone,
             max_tasks_per_zone: if job.spec.spread { job.spec.tasks.div_ceil(2) } else { u32::MAX },
-            spot: job.spec.spot,
+            allows_spot: job.spec.spot,
             tasks_by_zone: job.zone_placement.by_zone().to_vec(),
             gang: job.is_gang(),
             replaces_gang_members: has_attempts && self.is_gang_unstarted(job_idx),
--- a/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
@@ -60,9 +60,9 @@
     /// Returns the number by which workers know an attempt. The tasks of a gang share one number,
     /// by which they find one another.
     pub(in crate::leader) fn reported_attempt(&self, id: AttemptId) -> u64 {
-        let Some(attempt) = self.attempts.get(id) else { return id.logged() };
+        let Some(attempt) = self.attempts.get(id) else { return id.to_log_value() };
         let is_gang = self.jobs.get(&attempt.job).is_some_and(Job::is_gang);
-        if is_gang { id.gang_number(attempt.task_index) } else { id.logged() }
+        if is_gang { id.gang_number(attempt.task_index) } else { id.to_log_value() }
     }
 
     /// Returns the id of the attempt that a worker reports.
@@ -72,7 +72,7 @@
             Some(job) if job.is_gang() => {
                 AttemptId::of_gang_task(reported.attempt, reported.task.index)
             }
-            _ => AttemptId::from_logged(reported.attempt),
+            _ => AttemptId::from_log_value(reported.attempt),
         }
     }
 }
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -22,18 +22,18 @@
     pub(in crate::leader) fn preempt_for_waiting_jobs(
         &mut self,
         now: f64,
-        options: &RuntimeSettings,
+        settings: &RuntimeSettings,
     ) {
-        if !self.has_preemptor(now, options) {
+        if !self.has_preemptor(now, settings) {
             return;
         }
         let mut input = self.cycle_input(now, MachineScope::All);
         let Preemptible { tasks, gangs } = self.preemptible(now, &mut input);
-        input.cycle.run(&options.fair_share);
-        let victims = self.choose_victims(now, options, &mut input, tasks);
+        input.cycle.run(&settings.fair_share);
+        let victims = self.choose_victims(now, settings, &mut input, tasks);
         if victims.is_empty() {
             // Gangs are preempted only if no single task was, one gang at a time, each as a whole.
-            self.preempt_one_gang(now, options, &mut input, gangs);
+            self.preempt_one_gang(now, settings, &mut input, gangs);
         }
         for id in victims {
             self.preempt(id);
@@ -42,12 +42,12 @@
 
     /// Whether a job that may preempt others has a higher priority than another unfinished job, or
     /// belongs to a team that uses less than its guarantee.
-    fn has_preemptor(&self, now: f64, options: &RuntimeSettings) -> bool {
+    fn has_preemptor(&self, now: f64, settings: &RuntimeSettings) -> bool {
         let mut unfinished = self.jobs.iter().filter(|(_, job)| !job.is_finished());
         let lowest = unfinished.clone().map(|(_, job)| job.spec.priority.level()).min();
         unfinished.any(|(job_idx, job)| {
             let team = &self.teams[job.team.position()];
-            self.may_preempt(*job_idx, now, options)
+            self.may_preempt(*job_idx, now, settings)
                 && (Some(job.spec.priority.level()) > lowest
                     || team.within_guarantee(job.task_request))
         })
@@ -55,8 +55,8 @@
 
     /// Whether a job has waited for long enough that tasks may be preempted for it. A job that
     /// requires a cached image need not wait.
-    fn may_preempt(&self, job_idx: JobIdx, now: f64, options: &RuntimeSettings) -> bool {
-        let min_wait_s = options.preempt_after_s.min(options.preempt_checkpointed_after_s);
+    fn may_preempt(&self, job_idx: JobIdx, now: f64, settings: &RuntimeSettings) -> bool {
+        let min_wait_s = settings.preempt_after_s.min(settings.preempt_checkpointed_after_s);
         let requires_cached_image = self.jobs.get(&job_idx).is_some_and(|job| {
             job.requires_cached_image(&self.deployment, self.image_fetch_s(job), now)
         });
@@ -79,7 +79,7 @@
     fn choose_victims(
         &mut self,
         now: f64,
-        options: &RuntimeSettings,
+        settings: &RuntimeSettings,
         input: &mut CycleInput,
         tasks: Vec<PreemptionCandidate>,
     ) -> Vec<AttemptId> {
@@ -89,14 +89,14 @@
             let job = &search.input.cycle.jobs[position];
             if job.pending == 0
                 || search.remaining() == 0
-                || !self.may_preempt(job_idx, now, options)
+                || !self.may_preempt(job_idx, now, settings)
             {
                 continue;
             }
             // Tasks that checkpoint lose little work, so they are preempted after a short wait;
             // other tasks are preempted only after a longer one.
             let waited_s = self.schedulable_wait_s(job_idx, now).unwrap_or(0.0);
-            let scope = if waited_s < options.preempt_after_s {
+            let scope = if waited_s < settings.preempt_after_s {
                 PreemptionScope::CheckpointingTasks
             } else {
                 PreemptionScope::AllTasks
@@ -125,20 +125,20 @@
     fn preempt_one_gang(
         &mut self,
         now: f64,
-        options: &RuntimeSettings,
+        settings: &RuntimeSettings,
         input: &mut CycleInput,
         gangs: GangCandidates,
     ) {
         let preemptor = input.cycle.job_order().into_iter().find(|position| {
             let waited_s = self.schedulable_wait_s(input.jobs[*position], now).unwrap_or(0.0);
             let job = &input.cycle.jobs[*position];
-            job.pending > 0 && !job.gang && waited_s >= options.preempt_after_s
+            job.pending > 0 && !job.gang && waited_s >= settings.preempt_after_s
         });
         let Some(preemptor) = preemptor else { return };
         let mut candidates = PreemptionCandidates::new(input.machines.len(), gangs.into_values());
         let victims =
             candidates.preempt_for(&mut input.cycle, preemptor, 1, PreemptionScope::AllTasks);
-        let victim = victims.first().copied().map(AttemptId::from_logged);
+        let victim = victims.first().copied().map(AttemptId::from_log_value);
         let victim = victim.and_then(|id| self.attempts.get(id));
         if let Some(gang) = victim.map(|attempt| attempt.job) {
             self.preempt_gang(gang);
--- a/crates/gladekeel-controller/src/leader/scheduling/stragglers.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/stragglers.rs
@@ -43,11 +43,11 @@
 
 impl Leader {
     /// Stops stragglers among the running tasks on the next batch of machines.
-    pub(in crate::leader) fn restart_stragglers(&mut self, now: f64, options: &RuntimeSettings) {
+    pub(in crate::leader) fn restart_stragglers(&mut self, now: f64, settings: &RuntimeSettings) {
         let machines = self.straggler_scan.next_batch(&self.cluster.machines);
         let running = self.running_tasks(now, &machines);
-        for position in straggler::find_stragglers(&running.tasks, options.straggler_multiple) {
-            self.stop_straggler(running.ids[position], running.tasks[position].ran_s);
+        for position in straggler::find_stragglers(&running.tasks, settings.straggler_multiple) {
+            self.stop_straggler(running.ids[position], running.tasks[position].run_time_s);
         }
     }
 
@@ -66,7 +66,7 @@
             running.ids.push(*id);
             running.tasks.push(RunningTask {
                 machine: attempt.machine,
-                ran_s: now - since,
+                run_time_s: now - since,
                 median_s: *median_s,
                 may_restart: may_restart(job, attempt),
             });
@@ -74,8 +74,8 @@
         running
     }
 
-    /// Stops a straggler, which had run for `ran_s` seconds.
-    fn stop_straggler(&mut self, id: AttemptId, ran_s: f64) {
+    /// Stops a straggler, which had run for `run_time_s` seconds.
+    fn stop_straggler(&mut self, id: AttemptId, run_time_s: f64) {
         self.attempts.update(id, |attempt| attempt.stop_reason = Some(StopReason::Straggler));
         let Some(attempt) = self.attempts.get(id) else { return };
         self.commands.request_commands(attempt.machine);
@@ -83,7 +83,7 @@
             job = %self.job_names.name(attempt.job),
             task = attempt.task_index,
             machine = self.cluster.machine_names.name(attempt.machine),
-            ran_s,
+            ran_s = run_time_s,
             reason = "straggler",
             "task stopped"
         );
--- a/crates/gladekeel-controller/src/leader/scheduling/victims.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/victims.rs
@@ -105,7 +105,7 @@
 
     /// Returns the attempts to preempt.
     pub fn into_victims(self) -> Vec<AttemptId> {
-        self.victims.into_iter().map(AttemptId::from_logged).collect()
+        self.victims.into_iter().map(AttemptId::from_log_value).collect()
     }
 }
 
@@ -161,17 +161,17 @@
     job: &Job,
     position: usize,
 ) -> PreemptionCandidate {
-    let ran_s = attempt.running_since.map_or(0.0, |since| now - since);
+    let run_time_s = attempt.running_since.map_or(0.0, |since| now - since);
     let checkpoint_interval_s = job.spec.checkpoint_interval_s;
-    let checkpoints = checkpoint_interval_s > 0.0;
-    let lost_s = if checkpoints { ran_s % checkpoint_interval_s } else { ran_s };
+    let saves_checkpoints = checkpoint_interval_s > 0.0;
+    let lost_s = if saves_checkpoints { run_time_s % checkpoint_interval_s } else { run_time_s };
     PreemptionCandidate {
-        id: id.logged(),
+        id: id.to_log_value(),
         machine: position,
         team: job.team,
         priority: job.spec.priority.level(),
         resources: attempt.resources,
         lost_work: lost_s * job.spec.cpus,
-        checkpoints,
+        saves_checkpoints,
     }
 }
--- a/crates/gladekeel-controller/src/node/admin_requests.rs
+++ b/crates/gladekeel-controller/src/node/admin_requests.rs
@@ -13,7 +13,7 @@
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_wire::{
     admin::{
-        DrainStatus, Machines, NodeStatus, SettingsChange, Status, TeamStatus, VersionedSettings,
+        DrainStatus, MachineList, NodeStatus, SettingsChange, Status, TeamStatus, VersionedSettings,
     },
     settings::Team,
     store::{Precondition, Transaction, Write},
@@ -93,7 +93,7 @@
     /// Replies with the runtime settings in force.
     pub(super) fn reply_settings(&mut self, now: f64, request: RequestId) {
         let settings = VersionedSettings {
-            version: self.store.view.options_version,
+            version: self.store.view.runtime_settings_version,
             settings: self.runtime_settings.values(),
         };
         self.reply(now, request, Reply::json(200, &settings));
@@ -110,13 +110,13 @@
         };
         // Settings that the change does not name keep the values of this node's view, so the
         // view must be the version that the operator has read.
-        if change.version != self.store.view.options_version {
+        if change.version != self.store.view.runtime_settings_version {
             self.store.request_read();
             return self.reply(now, request, Reply::error(409, CONFLICT_MESSAGE));
         }
         let values = changed.values();
         let value = serde_json::to_value(&values).expect("numbers always serialise");
-        let key = keys::OPTIONS.to_owned();
+        let key = keys::RUNTIME_SETTINGS.to_owned();
         let transaction = Transaction {
             preconditions: vec![Precondition { key: key.clone(), version: change.version }],
             writes: vec![Write::Put { key, value, lease: None }],
@@ -187,7 +187,7 @@
 
     fn machines(&self, now: f64) -> Reply {
         if let Some(leader) = self.leadership.leader() {
-            return Reply::json(200, &Machines { machines: leader.machine_status(now) });
+            return Reply::json(200, &MachineList { machines: leader.machine_status(now) });
         }
         let leader = self.store.view.leader.as_ref().map(|(record, _)| record.node.as_str());
         let leader = leader.unwrap_or("nobody at the moment");
--- a/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
@@ -73,21 +73,21 @@
     }
 
     /// Records a heartbeat that `receiver` has received, and returns the receiver to which the
-    /// worker should be redirected, if any. `usable` states for each peer whether it can relay
+    /// worker should be redirected, if any. `can_relay` states for each peer whether it can relay
     /// heartbeats.
     pub fn rebalance(
         &mut self,
         now: f64,
         machine: &str,
         receiver: HeartbeatReceiver,
-        usable: &[bool],
+        can_relay: &[bool],
     ) -> Option<HeartbeatReceiver> {
         self.expire_silent(now);
         self.record(now, machine, receiver);
         if now - self.workers[machine].redirected_at < MIN_REDIRECT_INTERVAL_S {
             return None;
         }
-        let target = self.underloaded_receiver(receiver, usable)?;
+        let target = self.underloaded_receiver(receiver, can_relay)?;
         self.record(now, machine, target);
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.redirected_at = now;
@@ -104,14 +104,14 @@
     fn underloaded_receiver(
         &self,
         receiver: HeartbeatReceiver,
-        usable: &[bool],
+        can_relay: &[bool],
     ) -> Option<HeartbeatReceiver> {
         let total = self.workers.len() as f64;
-        if total <= self.max_leader_workers || !usable.contains(&true) {
+        if total <= self.max_leader_workers || !can_relay.contains(&true) {
             return None;
         }
         let targets: Vec<f64> =
-            target_shares(usable).into_iter().map(|share| share * total).collect();
+            target_shares(can_relay).into_iter().map(|share| share * total).collect();
         let current = |index: usize| self.workers_per_receiver[index] as f64;
         let own_index = self.index_of(receiver);
         if current(own_index) <= targets[own_index] * OVERLOAD_FACTOR + OVERLOAD_ALLOWANCE {
@@ -183,11 +183,11 @@
 }
 
 /// Returns each peer's share of all workers, followed by the leader's. The leader is also busy
-/// with scheduling, so it takes a share only if a single peer is usable.
-fn target_shares(usable: &[bool]) -> Vec<f64> {
-    let usable_peers = usable.iter().filter(|usable| **usable).count().max(1);
-    let leader_share = if usable_peers == 1 { LEADER_SHARE_WITH_ONE_PEER } else { 0.0 };
-    let peer_share = (1.0 - leader_share) / usable_peers as f64;
-    let peer_shares = usable.iter().map(|usable| if *usable { peer_share } else { 0.0 });
+/// with scheduling, so it takes a share only if a single peer can relay heartbeats.
+fn target_shares(can_relay: &[bool]) -> Vec<f64> {
+    let relaying_peers = can_relay.iter().filter(|can_relay| **can_relay).count().max(1);
+    let leader_share = if relaying_peers == 1 { LEADER_SHARE_WITH_ONE_PEER } else { 0.0 };
+    let peer_share = (1.0 - leader_share) / relaying_peers as f64;
+    let peer_shares = can_relay.iter().map(|can_relay| if *can_relay { peer_share } else { 0.0 });
     peer_shares.chain([leader_share]).collect()
 }
--- a/crates/gladekeel-controller/src/node/heartbeats/mod.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/mod.rs
@@ -112,18 +112,18 @@
         if !self.may_renew_leases(now) {
             return None;
         }
-        let can_relay = |peer: &Peer| {
+        let peer_can_relay = |peer: &Peer| {
             peer.supports_level(HEARTBEAT_RELAY_LEVEL)
                 && peer.is_reachable(now)
                 && peer.store_contact_age_ms < MAX_RELAY_CONTACT_AGE_MS
         };
-        let usable: Vec<bool> = self.peers.iter().map(can_relay).collect();
+        let can_relay: Vec<bool> = self.peers.iter().map(peer_can_relay).collect();
         let balancer = &mut self.heartbeats.balancer;
-        let name = match balancer.rebalance(now, &heartbeat.machine, receiver, &usable)? {
+        let name = match balancer.rebalance(now, &heartbeat.machine, receiver, &can_relay)? {
             HeartbeatReceiver::Peer(peer) => &self.peers.get(peer).name,
             HeartbeatReceiver::Leader => &self.settings.node,
         };
-        Some(Redirect { report_to: Some(name.clone()) })
+        Some(Redirect { controller: Some(name.clone()) })
     }
 
     /// Queues a heartbeat to be relayed to the leader with the next batch, and sends the batch if
--- a/crates/gladekeel-controller/src/node/heartbeats/routing.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/routing.rs
@@ -96,7 +96,7 @@
         if let Some(name) = context.other_leader
             && self.should_redirect(context, &heartbeat.machine)
         {
-            return HeartbeatRoute::Redirect(Redirect { report_to: Some(name.to_owned()) });
+            return HeartbeatRoute::Redirect(Redirect { controller: Some(name.to_owned()) });
         }
         // Either no leader is known, or the worker could not reach the leader.
         match (lease_renewal(context, heartbeat), context.leader_peer) {
--- a/crates/gladekeel-controller/src/node/leadership/commits.rs
+++ b/crates/gladekeel-controller/src/node/leadership/commits.rs
@@ -35,7 +35,7 @@
         if *outcome == StoreOutcome::RateLimited {
             self.rate_limits.leader_writes.on_rate_limited(now);
         }
-        if leader.commit_answered(now, outcome) {
+        if leader.on_commit_outcome(now, outcome) {
             self.store.request_read();
         }
     }
@@ -76,7 +76,7 @@
             |row: &&KeyValue| row.key == marker.key && row.value == marker.text.as_str();
         if let Some(version) = page.entries.iter().find(is_marker).map(|row| row.version) {
             self.calls.finish_store_call(commit);
-            if leader.commit_answered(now, &StoreOutcome::Committed(version)) {
+            if leader.on_commit_outcome(now, &StoreOutcome::Committed(version)) {
                 self.store.request_read();
             }
         }
--- a/crates/gladekeel-controller/src/node/leadership/resignation.rs
+++ b/crates/gladekeel-controller/src/node/leadership/resignation.rs
@@ -56,8 +56,9 @@
         has_peers: bool,
     ) -> Option<StoreRequest> {
         let leader = self.leader()?;
-        let HeartbeatSilence { expected_machines: machines, silent_s } = leader.silence(now);
-        let leading_s = now - leader.since();
+        let HeartbeatSilence { expected_machines: machines, silent_s } =
+            leader.heartbeat_silence(now);
+        let leading_s = now - leader.term_started_at();
         let limit_s = isolated_after_s(workers, machines);
         if silent_s < limit_s {
             self.resignations.consecutive = 0;
--- a/crates/gladekeel-controller/src/node/leadership/takeover.rs
+++ b/crates/gladekeel-controller/src/node/leadership/takeover.rs
@@ -146,8 +146,8 @@
         let Some(takeover) = self.leadership.takeover_under_mut(token) else { return };
         let Some(rows) = takeover.on_page(now, outcome) else { return };
         let previous = takeover.previous.take();
-        let salt = self.rng.random();
-        match self.build_leader(now, token, rows, previous, salt) {
+        let request_id_salt = self.rng.random();
+        match self.build_leader(now, token, rows, previous, request_id_salt) {
             Ok(leader) => self.leadership.become_leader(leader),
             Err(error) => {
                 let unreadable_keys = &self.store.view.unreadable;
@@ -165,7 +165,7 @@
         token: u64,
         rows: Vec<KeyValue>,
         previous: Option<PreviousTerm>,
-        salt: u64,
+        request_id_salt: u64,
     ) -> Result<Leader, TakeoverError> {
         let view = &self.store.view;
         let rows: Option<Vec<LogRow>> = rows.into_iter().map(parse_row).collect();
@@ -181,7 +181,7 @@
             None => (None, Vec::new()),
         };
         let deployment = self.deployment.clone();
-        let term = LeaderTerm { token, now, epoch: self.epoch, deployment, salt };
+        let term = LeaderTerm { token, now, epoch: self.epoch, deployment, request_id_salt };
         let mut leader = Leader::new(view, rows, term, cluster)?;
         for DeferredCloudOutcome { request, outcome } in cloud_outcomes {
             leader.apply_cloud_outcome(now, &request, outcome);
--- a/crates/gladekeel-controller/src/node/metrics.rs
+++ b/crates/gladekeel-controller/src/node/metrics.rs
@@ -163,12 +163,12 @@
         ),
         ("commits_total", "Commits of the leader.", counters.commits),
         ("commit_writes_total", "Writes in them; by commits, the batch size.", counters.writes),
-        ("task_starts_total", "Task starts committed.", counters.starts),
-        ("task_restarts_total", "Tasks started anew for slowness.", counters.restarts),
+        ("task_starts_total", "Task starts committed.", counters.task_starts),
+        ("task_restarts_total", "Tasks started anew for slowness.", counters.straggler_restarts),
         ("preemptions_total", "Tasks stopped to make room.", counters.preemptions),
-        ("task_failures_total", "Tasks that failed.", counters.failures),
-        ("machines_rented_total", "Machines rented.", counters.rented),
-        ("machines_deleted_total", "Machines deleted.", counters.deleted),
+        ("task_failures_total", "Tasks that failed.", counters.task_failures),
+        ("machines_rented_total", "Machines rented.", counters.machines_rented),
+        ("machines_deleted_total", "Machines deleted.", counters.machines_deleted),
     ] {
         out.counter(name, help, value as f64);
     }
--- a/crates/gladekeel-controller/src/node/mod.rs
+++ b/crates/gladekeel-controller/src/node/mod.rs
@@ -124,7 +124,7 @@
                 if let Some(request) = self.calls.finish_worker_call(call)
                     && let Some(leader) = self.leadership.leader_mut()
                 {
-                    leader.worker_answered(now, &request, &outcome);
+                    leader.on_worker_outcome(now, &request, &outcome);
                 }
             }
             Event::Peer { header, kind, payload } => {
@@ -143,7 +143,7 @@
 
     /// Whether this node has loaded the store and either leads or has received a heartbeat from
     /// the leader. Until then the node should not serve requests.
-    pub fn is_settled(&self, now: f64) -> bool {
+    pub fn is_ready_to_serve(&self, now: f64) -> bool {
         let was_seen = |name: &str| {
             let peer = self.peers.index_of(name).map(|index| self.peers.get(index));
             peer.is_some_and(|peer| peer.last_seen.is_some())
@@ -215,7 +215,7 @@
     fn tick_leader(&mut self, now: f64) {
         let Some(leader) = self.leadership.leader_mut() else { return };
         let reachable_zones = self.peers.reachable_zones(now);
-        leader.note_store_contact(self.store.last_contact());
+        leader.record_store_contact(self.store.last_contact());
         leader.tick(now, &self.runtime_settings, &self.settings.zone, &reachable_zones);
     }
 
--- a/crates/gladekeel-controller/src/node/rate_limits.rs
+++ b/crates/gladekeel-controller/src/node/rate_limits.rs
@@ -106,6 +106,6 @@
     /// Replaces the bucket by an empty one with another rate.
     fn use_rate(&mut self, now: f64, rate: f64) {
         self.bucket = LeaderWrites::bucket_for(rate);
-        self.bucket.drain(now);
+        self.bucket.empty(now);
     }
 }
--- a/crates/gladekeel-controller/src/node/store_reads/mod.rs
+++ b/crates/gladekeel-controller/src/node/store_reads/mod.rs
@@ -135,7 +135,7 @@
         self.store.scheduler.on_finished();
         match outcome {
             StoreOutcome::Page(page) => self.on_snapshot_page(now, page),
-            StoreOutcome::Watched(events) => self.on_watch_response(now, sent_at, events),
+            StoreOutcome::Changes(events) => self.on_watch_response(now, sent_at, events),
             StoreOutcome::Compacted => self.on_compacted(),
             StoreOutcome::RateLimited => {
                 self.store.scheduler.back_off_until(jittered_backoff_until(now, &mut self.rng));
@@ -155,7 +155,7 @@
         let changes = self.store.replica.apply_watch(events);
         self.apply_store_changes(now, &changes);
         if let Some(leader) = self.leadership.leader_mut() {
-            leader.suspend_scheduling(!self.store.view.unreadable.is_empty());
+            leader.set_scheduling_suspended(!self.store.view.unreadable.is_empty());
         }
         self.store.record_contact(sent_at);
         self.leadership.follow_leader_key(now, self.store.view.leader.as_ref());
@@ -216,7 +216,7 @@
     fn stored_runtime_settings(&self) -> RuntimeSettings {
         let defaults = RuntimeSettings::defaults(&self.deployment.workers);
         let known = defaults.values();
-        let stored = self.store.view.options.iter();
+        let stored = self.store.view.runtime_settings.iter();
         let stored = stored
             .filter(|(name, _)| known.contains_key(*name))
             .map(|(name, value)| (name.clone(), *value))
--- a/crates/gladekeel-controller/src/node/user_requests/writes.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/writes.rs
@@ -141,7 +141,7 @@
     }
 
     fn on_user_writes_rate_limited(&mut self, now: f64, writes: Vec<UserWrite>) {
-        self.rate_limits.user_writes.drain(now);
+        self.rate_limits.user_writes.empty(now);
         self.user_requests.back_off_until(jittered_backoff_until(now, &mut self.rng));
         self.user_requests.requeue(writes);
     }
--- a/crates/gladekeel-controller/src/shell/mod.rs
+++ b/crates/gladekeel-controller/src/shell/mod.rs
@@ -69,7 +69,7 @@
     let server = listeners::user_server(user_listener, &settings, &sockets);
     tasks.spawn_local(peer_connections::accept_loop(peer_listener, Rc::clone(&shell)));
     tasks.spawn_local(tick_loop::run(Rc::clone(&shell), sockets, server.counts()));
-    tick_loop::wait_until_settled(&shell).await;
+    tick_loop::wait_until_ready_to_serve(&shell).await;
     server.run(move |request| requests::respond(Rc::clone(&shell), request)).await;
     Ok(())
 }
--- a/crates/gladekeel-controller/src/shell/outgoing_calls.rs
+++ b/crates/gladekeel-controller/src/shell/outgoing_calls.rs
@@ -54,7 +54,7 @@
         match self.store.send(method, &target, &body, timeout).await {
             Ok(response) => request.decode(response.status, &response.body),
             Err(ClientError::NotSent(_)) => StoreOutcome::Unavailable,
-            Err(ClientError::NoAnswer(_)) => StoreOutcome::Unknown,
+            Err(ClientError::NoResponse(_)) => StoreOutcome::Unknown,
         }
     }
 
@@ -68,7 +68,7 @@
         match self.cloud.send(method, &target, &body, timeout).await {
             Ok(response) => request.decode(response.status, &response.body),
             Err(ClientError::NotSent(_)) => CloudOutcome::Unavailable,
-            Err(ClientError::NoAnswer(_)) => CloudOutcome::Unknown,
+            Err(ClientError::NoResponse(_)) => CloudOutcome::Unknown,
         }
     }
 
@@ -91,7 +91,7 @@
             Ok(response) if response.status == 200 => serde_json::from_slice(&response.body)
                 .map_or(WorkerOutcome::Unknown, WorkerOutcome::Done),
             Ok(response) if matches!(response.status, 400 | 409) => WorkerOutcome::NotExecuted,
-            Ok(_) | Err(ClientError::NoAnswer(_)) => WorkerOutcome::Unknown,
+            Ok(_) | Err(ClientError::NoResponse(_)) => WorkerOutcome::Unknown,
             Err(ClientError::NotSent(_)) => WorkerOutcome::NotSent,
         }
     }
--- a/crates/gladekeel-controller/src/shell/tick_loop.rs
+++ b/crates/gladekeel-controller/src/shell/tick_loop.rs
@@ -13,7 +13,7 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum time for which a starting process waits until the leader is known before it serves
 /// requests.
-const SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
+const READY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Passes a tick to the node every [`TICK_INTERVAL`]. Before each tick, limits the pool of
 /// connections to workers to what the inbound connections leave of the socket budget, and
@@ -46,19 +46,18 @@
     shell.node.borrow().leader().map(|leader| leader.counters().scheduling_cycles)
 }
 
-/// Waits until the node has read the store and knows the leader, for [`SETTLE_TIMEOUT`] at
-/// most.
+/// Waits until the node has read the store and knows the leader, for [`READY_TIMEOUT`] at most.
 ///
 /// After all controllers have restarted, thousands of workers connect at once. Serving the
 /// workers first would keep a small processor busy for seconds before a leader is elected, so
 /// their connections wait in the listener's backlog.
-pub(super) async fn wait_until_settled(shell: &Shell) {
-    let settled = async {
-        while !shell.node.borrow().is_settled(shell.now_s()) {
+pub(super) async fn wait_until_ready_to_serve(shell: &Shell) {
+    let ready = async {
+        while !shell.node.borrow().is_ready_to_serve(shell.now_s()) {
             sleep(TICK_INTERVAL).await;
         }
     };
-    if timeout(SETTLE_TIMEOUT, settled).await.is_err() {
+    if timeout(READY_TIMEOUT, ready).await.is_err() {
         tracing::info!("serving requests before the leader is known");
     }
 }
--- a/crates/gladekeel-controller/src/socket_budget.rs
+++ b/crates/gladekeel-controller/src/socket_budget.rs
@@ -34,9 +34,9 @@
     pub fn new(limits: &ProcessLimits) -> SocketBudget {
         let all = limits.max_connections;
         let worker_calls = (all / 8).max(2);
-        let refusals = all / 32 + 4;
+        let max_refusals = all / 32 + 4;
         let own_connections = all / 40 + 8;
-        let overhead = refusals + own_connections;
+        let overhead = max_refusals + own_connections;
         let inbound = (all * 4 / 5).min(all - worker_calls - overhead);
         SocketBudget {
             inbound,
--- a/crates/gladekeel-controller/src/store_view.rs
+++ b/crates/gladekeel-controller/src/store_view.rs
@@ -64,9 +64,9 @@
     /// The machine types.
     pub machine_types: StoredMachineTypes,
     /// Runtime settings that operators have changed, by name.
-    pub options: BTreeMap<String, f64>,
-    /// The version of [`keys::OPTIONS`]; 0 if the key does not exist.
-    pub options_version: u64,
+    pub runtime_settings: BTreeMap<String, f64>,
+    /// The version of [`keys::RUNTIME_SETTINGS`]; 0 if the key does not exist.
+    pub runtime_settings_version: u64,
     /// Machines that operators have ordered to drain, each with the version of its
     /// [`keys::drain`] key.
     pub drain_orders: BTreeMap<String, u64>,
@@ -126,8 +126,8 @@
             self.apply_legacy_assignments(change)
         } else if key == keys::LEADER {
             self.apply_leader(change)
-        } else if key == keys::OPTIONS {
-            self.apply_options(change)
+        } else if key == keys::RUNTIME_SETTINGS {
+            self.apply_runtime_settings(change)
         } else {
             ChangeKind::Other
         }
@@ -199,11 +199,11 @@
         ChangeKind::Other
     }
 
-    fn apply_options(&mut self, change: &Change) -> ChangeKind {
+    fn apply_runtime_settings(&mut self, change: &Change) -> ChangeKind {
         let current = change.current.as_ref();
-        self.options =
+        self.runtime_settings =
             current.and_then(|(value, _)| deserialise(&change.key, value)).unwrap_or_default();
-        self.options_version = current.map_or(0, |(_, version)| *version);
+        self.runtime_settings_version = current.map_or(0, |(_, version)| *version);
         ChangeKind::RuntimeSettings
     }
 
--- a/crates/gladekeel-controller/src/stored_types.rs
+++ b/crates/gladekeel-controller/src/stored_types.rs
@@ -67,7 +67,7 @@
 
 /// Splits machine types into parts of at most `max_bytes` of JSON each, and keeps their order.
 /// Returns at least one part. A machine type that exceeds the limit forms a part of its own.
-pub fn split(types: &MachineTypes, max_bytes: usize) -> Vec<MachineTypes> {
+pub fn split_into_parts(types: &MachineTypes, max_bytes: usize) -> Vec<MachineTypes> {
     let mut parts = Vec::new();
     let mut part = Vec::new();
     let mut part_bytes = PART_OVERHEAD_BYTES;
--- a/crates/gladekeel-controller/tests/cloud_api.rs
+++ b/crates/gladekeel-controller/tests/cloud_api.rs
@@ -1,13 +1,13 @@
 //! Requests to the cloud and their outcomes.
 
 use gladekeel_controller::cloud_api::{CloudOutcome, CloudRequest};
-use gladekeel_wire::cloud::RentRequest;
+use gladekeel_wire::cloud::CreateMachinesRequest;
 
 /// Guards against a pool without capacity being mistaken for an unavailable cloud: both responses
 /// have status 503, and only their error texts differ.
 #[test]
 fn a_pool_without_capacity_is_distinguished_from_an_unavailable_cloud() {
-    let rent = CloudRequest::Rent(RentRequest {
+    let rent = CloudRequest::Rent(CreateMachinesRequest {
         request_id: "r-1".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
--- a/crates/gladekeel-controller/tests/formats_37c5e95.rs
+++ b/crates/gladekeel-controller/tests/formats_37c5e95.rs
@@ -104,7 +104,7 @@
 #[test]
 fn a_committed_log_is_read() {
     let log = |slot| {
-        let key = keys::log(slot);
+        let key = keys::log_slot(slot);
         decode(STORED.value(&key).as_str().unwrap()).expect("production's segment is readable")
     };
     let (first, second) = (log(0), log(1));
@@ -141,10 +141,10 @@
     assert_eq!(keys::job(&id), "gk/job/job-000412");
     assert_eq!(keys::final_state(&id), "gk/fate/job-000412");
     assert_eq!(keys::drain("n-000007"), "gk/drain/n-000007");
-    assert_eq!(keys::log(1), "gl/000001");
+    assert_eq!(keys::log_slot(1), "gl/000001");
     assert_eq!(keys::parse_log_slot("gl/000001"), Some(1));
     assert_eq!(
-        (keys::LEADER, keys::MACHINE_TYPES, keys::OPTIONS),
+        (keys::LEADER, keys::MACHINE_TYPES, keys::RUNTIME_SETTINGS),
         ("gk/leader", "gk/types", "gk/options")
     );
     assert_eq!(
@@ -242,7 +242,7 @@
     assert_eq!(store.cancelled_no_earlier_than.get(&b), Some(&5.0));
     assert_eq!(store.cancelled_no_earlier_than.get(&a), None);
 
-    let options = BTreeMap::from(
+    let settings = BTreeMap::from(
         [
             ("beta", 1.5),
             ("epsilon", 0.1),
@@ -258,7 +258,7 @@
         ]
         .map(|(name, value)| (name.to_owned(), value)),
     );
-    assert_eq!((&store.options, store.options_version), (&options, 16));
+    assert_eq!((&store.runtime_settings, store.runtime_settings_version), (&settings, 16));
     assert_eq!(store.drain_orders, BTreeMap::from([("n-000007".to_owned(), 17)]));
     assert!(
         !store.has_legacy_assignments,
@@ -266,17 +266,20 @@
     );
 }
 
-/// Guards against all options being dropped because of one that this version does not know. The
-/// test adds such an option to production's value, which has none.
+/// Guards against all runtime settings being dropped because of one that this version does not
+/// know. The test adds such a setting to production's value, which has none.
 #[test]
-fn an_unknown_option_does_not_affect_the_others() {
-    let mut stored = STORED.value(keys::OPTIONS);
+fn an_unknown_runtime_setting_does_not_affect_the_others() {
+    let mut stored = STORED.value(keys::RUNTIME_SETTINGS);
     stored["of_another_version"] = json!(7.5);
     let mut store = StoreView::default();
-    assert_eq!(store.apply(&put(keys::OPTIONS, stored, 4), 0.0), ChangeKind::RuntimeSettings);
-    assert_eq!(store.options.len(), 12);
-    assert_eq!(store.options["of_another_version"], 7.5);
-    assert_eq!((store.options["beta"], store.options["round_s"]), (1.5, 2.0));
+    assert_eq!(
+        store.apply(&put(keys::RUNTIME_SETTINGS, stored, 4), 0.0),
+        ChangeKind::RuntimeSettings
+    );
+    assert_eq!(store.runtime_settings.len(), 12);
+    assert_eq!(store.runtime_settings["of_another_version"], 7.5);
+    assert_eq!((store.runtime_settings["beta"], store.runtime_settings["round_s"]), (1.5, 2.0));
 }
 
 /// Guards against final states, leader records and machine types that production could not read:
--- a/crates/gladekeel-controller/tests/formats_fe9a16c.rs
+++ b/crates/gladekeel-controller/tests/formats_fe9a16c.rs
@@ -162,7 +162,11 @@
     assert_eq!(store.leader.as_ref().map(|(record, _)| record), Some(&record));
     assert_eq!(store.machine_types.all().map(|types| types.types.len()), Some(1));
     assert_eq!(
-        (store.options.len(), store.options["beta"], store.options["idle_s"]),
+        (
+            store.runtime_settings.len(),
+            store.runtime_settings["beta"],
+            store.runtime_settings["idle_s"]
+        ),
         (11, 1.5, 200.0)
     );
     assert_eq!(store.drain_orders.keys().collect::<Vec<_>>(), ["n-000001"]);
--- a/crates/gladekeel-controller/tests/runtime_settings.rs
+++ b/crates/gladekeel-controller/tests/runtime_settings.rs
@@ -11,7 +11,7 @@
         lease_s: 45.0,
         cancellation_deadline_s: 65.0,
         gang_wait_s: 30.0,
-        gang_peer_s: 4.0,
+        gang_exit_detection_s: 4.0,
     })
 }
 
--- a/crates/gladekeel-controller/tests/socket_budget.rs
+++ b/crates/gladekeel-controller/tests/socket_budget.rs
@@ -10,10 +10,11 @@
     for max_connections in [32, 100, 2900, 4545, 100_000] {
         let limits = ProcessLimits { cpu_share: 0.1, memory_mb: 100.0, max_connections };
         let sockets = SocketBudget::new(&limits);
-        let refusals = gladekeel_http::Limits::for_connections(sockets.inbound).refusals;
+        let max_refusals = gladekeel_http::Limits::for_connections(sockets.inbound).max_refusals;
         let own_connections = max_connections / 40 + 8;
         assert!(
-            sockets.inbound + refusals + sockets.worker_calls + own_connections <= max_connections
+            sockets.inbound + max_refusals + sockets.worker_calls + own_connections
+                <= max_connections
         );
         assert!(sockets.reserved_for_users + sockets.reserved_for_workers <= sockets.inbound);
         assert_eq!(sockets.max_worker_calls(sockets.inbound), sockets.worker_calls);
--- a/crates/gladekeel-controller/tests/stored_types.rs
+++ b/crates/gladekeel-controller/tests/stored_types.rs
@@ -2,7 +2,7 @@
 
 use gladekeel_controller::{
     keys,
-    stored_types::{StoredMachineTypes, split},
+    stored_types::{StoredMachineTypes, split_into_parts},
 };
 use gladekeel_wire::cloud::{MachineType, MachineTypes};
 use std::collections::BTreeMap;
@@ -27,8 +27,8 @@
 /// part 0 only.
 #[test]
 fn types_that_fit_into_one_value_are_not_split() {
-    assert_eq!(split(&types(12), 2048), [types(12)]);
-    assert_eq!(split(&types(0), 2048), [types(0)]);
+    assert_eq!(split_into_parts(&types(12), 2048), [types(12)]);
+    assert_eq!(split_into_parts(&types(0), 2048), [types(0)]);
 }
 
 /// Guards against parts that the store refuses as too large, and against a node that knows only
@@ -36,7 +36,7 @@
 #[test]
 fn parts_respect_the_size_limit_and_join_to_all_types() {
     let all = types(30);
-    let parts = split(&all, 1024);
+    let parts = split_into_parts(&all, 1024);
     assert!(parts.len() > 1);
     for part in &parts {
         assert!(!part.types.is_empty());
--- a/crates/gladekeel-http/src/admission/mod.rs
+++ b/crates/gladekeel-http/src/admission/mod.rs
@@ -49,7 +49,7 @@
         let open = self.counts.open();
         if open < self.limits.max_connections || self.evict(EvictFrom::AnyClass) {
             Decision::Admit
-        } else if open < self.limits.max_connections + self.limits.refusals {
+        } else if open < self.limits.max_connections + self.limits.max_refusals {
             Decision::Refuse
         } else {
             Decision::Drop
--- a/crates/gladekeel-http/src/client/mod.rs
+++ b/crates/gladekeel-http/src/client/mod.rs
@@ -27,7 +27,7 @@
     /// The request was sent, at least in part, and got no usable response: it may have been
     /// executed.
     #[error("no response: {0}")]
-    NoAnswer(#[source] ExchangeError),
+    NoResponse(#[source] ExchangeError),
 }
 
 /// Why there is no connection to send a request over.
@@ -93,7 +93,8 @@
         let deadline = Instant::now() + timeout;
         let mut stream = self.connection(deadline).await.map_err(ClientError::NotSent)?;
         let request = OutgoingRequest { host: self.addr, method, target, body };
-        let exchange = request.send(&mut stream, deadline).await.map_err(ClientError::NoAnswer)?;
+        let exchange =
+            request.send(&mut stream, deadline).await.map_err(ClientError::NoResponse)?;
         let mut idle = self.idle.borrow_mut();
         if exchange.keep_alive && idle.len() < self.max_idle {
             idle.push(stream);
--- a/crates/gladekeel-http/src/client/pool.rs
+++ b/crates/gladekeel-http/src/client/pool.rs
@@ -127,7 +127,8 @@
             None => connect(addr, deadline).await.map_err(ClientError::NotSent)?,
         };
         let request = OutgoingRequest { host: addr, method, target, body };
-        let exchange = request.send(&mut stream, deadline).await.map_err(ClientError::NoAnswer)?;
+        let exchange =
+            request.send(&mut stream, deadline).await.map_err(ClientError::NoResponse)?;
         if exchange.keep_alive {
             self.idle.borrow_mut().put(addr, stream);
         }
--- a/crates/gladekeel-http/src/limits.rs
+++ b/crates/gladekeel-http/src/limits.rs
@@ -15,7 +15,7 @@
     pub max_connections: usize,
     /// Maximum number of connections that are being refused, in addition to `max_connections`. A
     /// further connection is closed without a response.
-    pub refusals: usize,
+    pub max_refusals: usize,
     /// Maximum size of a request's head in bytes; a larger head gets a 431 response.
     pub max_head_bytes: usize,
     /// Maximum size of a request's body in bytes; a larger body gets a 413 response.
@@ -38,7 +38,7 @@
     pub fn for_connections(max_connections: usize) -> Limits {
         Limits {
             max_connections,
-            refusals: max_connections / 32 + 4,
+            max_refusals: max_connections / 32 + 4,
             max_head_bytes: 16 * 1024,
             max_body_bytes: 64 * 1024,
             request_timeout: Duration::from_secs(10),
--- a/crates/gladekeel-http/tests/loopback.rs
+++ b/crates/gladekeel-http/tests/loopback.rs
@@ -108,7 +108,7 @@
 }
 
 /// The caller may retry a request that was not sent, but not one that may have been executed. A
-/// server that closes the connection without a response must therefore cause `NoAnswer`, and a
+/// server that closes the connection without a response must therefore cause `NoResponse`, and a
 /// server that cannot be reached `NotSent`.
 #[test]
 fn the_client_distinguishes_an_unsent_request_from_a_missing_response() {
@@ -125,7 +125,7 @@
             let _ = stream.read(&mut [0; 10]).await;
         });
         let error = closing.send("GET", "/", b"", REQUEST_TIMEOUT).await.unwrap_err();
-        assert!(matches!(error, ClientError::NoAnswer(_)), "{error}");
+        assert!(matches!(error, ClientError::NoResponse(_)), "{error}");
         let error = closing.send("GET", "/", b"", REQUEST_TIMEOUT).await.unwrap_err();
         assert!(matches!(error, ClientError::NotSent(_)), "{error}");
     });
--- a/crates/gladekeel-sched/src/preemption.rs
+++ b/crates/gladekeel-sched/src/preemption.rs
@@ -35,7 +35,7 @@
     /// Work that is lost if the candidate is stopped, in CPU-seconds; never negative.
     pub lost_work: f64,
     /// Whether the candidate saves its progress in checkpoints.
-    pub checkpoints: bool,
+    pub saves_checkpoints: bool,
 }
 
 /// The kind of tasks that a job may preempt.
@@ -49,7 +49,7 @@
 
 impl PreemptionScope {
     fn includes(self, candidate: &PreemptionCandidate) -> bool {
-        self == PreemptionScope::AllTasks || candidate.checkpoints
+        self == PreemptionScope::AllTasks || candidate.saves_checkpoints
     }
 }
 
--- a/crates/gladekeel-sched/src/snapshot.rs
+++ b/crates/gladekeel-sched/src/snapshot.rs
@@ -121,7 +121,7 @@
     /// Maximum number of tasks in each zone.
     pub max_tasks_per_zone: u32,
     /// Whether spot machines are allowed.
-    pub spot: bool,
+    pub allows_spot: bool,
     /// Number of tasks on machines, by zone index; zones beyond the end have none.
     pub tasks_by_zone: Vec<u32>,
     /// Whether the job is a gang, whose tasks start all together or not at all.
@@ -153,7 +153,7 @@
     /// Whether the job's constraints allow a further task on machines of this type, zone and
     /// purchase model.
     pub fn may_use(&self, machine_type: MachineTypeIdx, zone: ZoneIdx, spot: bool) -> bool {
-        (self.spot || !spot)
+        (self.allows_spot || !spot)
             && self.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&machine_type))
             && self.zone.is_none_or(|only| only == zone)
             && self.tasks_by_zone.get(zone.position()).copied().unwrap_or(0)
--- a/crates/gladekeel-sched/src/straggler.rs
+++ b/crates/gladekeel-sched/src/straggler.rs
@@ -12,7 +12,7 @@
     /// Machine that the task runs on.
     pub machine: MachineIdx,
     /// Time for which the task has run, in seconds.
-    pub ran_s: f64,
+    pub run_time_s: f64,
     /// Median run time of the job's completed tasks, in seconds; `None` until enough tasks have
     /// completed.
     pub median_s: Option<f64>,
@@ -22,7 +22,7 @@
 
 impl RunningTask {
     fn is_slow(&self, multiple: f64) -> bool {
-        self.median_s.is_some_and(|median_s| self.ran_s > multiple * median_s)
+        self.median_s.is_some_and(|median_s| self.run_time_s > multiple * median_s)
     }
 }
 
--- a/crates/gladekeel-sched/tests/common/mod.rs
+++ b/crates/gladekeel-sched/tests/common/mod.rs
@@ -43,7 +43,7 @@
         zone: None,
         single_zone: false,
         max_tasks_per_zone: u32::MAX,
-        spot: true,
+        allows_spot: true,
         tasks_by_zone: Vec::new(),
         gang: false,
         replaces_gang_members: false,
--- a/crates/gladekeel-sched/tests/gangs.rs
+++ b/crates/gladekeel-sched/tests/gangs.rs
@@ -112,7 +112,7 @@
         priority: 1,
         resources: resources(16.0),
         lost_work,
-        checkpoints: true,
+        saves_checkpoints: true,
     };
     let preempt = |tasks: u32| {
         let mut gang = SchedulableJob { priority: 2, ..job(0, 16.0, tasks) };
--- a/crates/gladekeel-sched/tests/preemption.rs
+++ b/crates/gladekeel-sched/tests/preemption.rs
@@ -21,14 +21,14 @@
     let mut teams = vec![team(32.0, 64.0), team(0.0, 64.0)];
     teams[1].used = resources(64.0);
     let preempt = |job: SchedulableJob, scope: PreemptionScope| {
-        let candidate = |id, machine, team, lost_work, checkpoints| PreemptionCandidate {
+        let candidate = |id, machine, team, lost_work, saves_checkpoints| PreemptionCandidate {
             id,
             machine,
             team: TeamIdx::new(team),
             priority: 1,
             resources: resources(16.0),
             lost_work,
-            checkpoints,
+            saves_checkpoints,
         };
         let candidates = [
             candidate(1, 0, 1, 9.0, true),
--- a/crates/gladekeel-sched/tests/scheduling_cycle.rs
+++ b/crates/gladekeel-sched/tests/scheduling_cycle.rs
@@ -47,7 +47,7 @@
     let mut two_per_zone = job(0, 16.0, 4);
     two_per_zone.max_tasks_per_zone = 2;
     let mut on_demand = job(0, 16.0, 4);
-    on_demand.spot = false;
+    on_demand.allows_spot = false;
     for (job, zones) in [(single_zone, [0, 2]), (two_per_zone, [2, 2]), (on_demand, [2, 0])] {
         let machines = vec![machine(0, false), machine(1, true)];
         let mut cycle = cycle(machines, vec![team(0.0, 1000.0)], vec![job]);
@@ -216,13 +216,13 @@
 fn jobs() -> impl Strategy<Value = Vec<SchedulableJob>> {
     let constraints = (prop::option::of(0u32..2), any::<bool>(), any::<bool>(), 1u32..9);
     let fields = (1i64..5, 1i64..5, 0u32..4, 1u32..9, any::<bool>(), constraints);
-    let any_job = fields.prop_map(|(cpus, memory, image, tasks, spot, constraints)| {
+    let any_job = fields.prop_map(|(cpus, memory, image, tasks, allows_spot, constraints)| {
         let (zone, single_zone, requires_cached_image, max_tasks_per_zone) = constraints;
         let task_request = Resources { cpus: cpus * 4000, gpus: 0, memory: memory * 4000 };
         SchedulableJob {
             task_request,
             image: ImageIdx::new(image),
-            spot,
+            allows_spot,
             zone: zone.map(ZoneIdx::new),
             single_zone,
             requires_cached_image,
--- a/crates/gladekeel-sched/tests/straggler.rs
+++ b/crates/gladekeel-sched/tests/straggler.rs
@@ -9,9 +9,9 @@
 /// normal pace, or that is alone there, may just have more to do than the other tasks of its job.
 #[test]
 fn only_tasks_on_machines_whose_tasks_are_all_slow_are_stragglers() {
-    let task = |machine, ran_s, may_restart| RunningTask {
+    let task = |machine, run_time_s, may_restart| RunningTask {
         machine: MachineIdx::new(machine),
-        ran_s,
+        run_time_s,
         median_s: Some(10.0),
         may_restart,
     };
@@ -21,7 +21,12 @@
         task(1, 5.0, true),
         task(2, 40.0, false),
         task(3, 99.0, true),
-        RunningTask { machine: MachineIdx::new(4), ran_s: 99.0, median_s: None, may_restart: true },
+        RunningTask {
+            machine: MachineIdx::new(4),
+            run_time_s: 99.0,
+            median_s: None,
+            may_restart: true,
+        },
     ];
     assert_eq!(find_stragglers(&tasks, 3.0), [1]);
     assert_eq!(median(&mut [3.0, 1.0, 2.0]), Some(2.0));
--- a/crates/gladekeel-store/src/request.rs
+++ b/crates/gladekeel-store/src/request.rs
@@ -49,7 +49,7 @@
     /// A page of keys.
     Page(KeyValuePage),
     /// The changes since the requested revision.
-    Watched(WatchResponse),
+    Changes(WatchResponse),
     /// The store has compacted the changes since the requested revision: a new snapshot is needed.
     Compacted,
     /// The transaction was committed, at this revision.
@@ -136,7 +136,7 @@
             (429, _) => StoreOutcome::RateLimited,
             (503, _) => StoreOutcome::Unavailable,
             (200, StoreRequest::List { .. }) => parse(body, StoreOutcome::Page),
-            (200, StoreRequest::Watch { .. }) => parse(body, StoreOutcome::Watched),
+            (200, StoreRequest::Watch { .. }) => parse(body, StoreOutcome::Changes),
             (410, StoreRequest::Watch { .. }) => StoreOutcome::Compacted,
             (200, StoreRequest::Commit(_)) => parse(body, |response: TransactionResponse| {
                 StoreOutcome::Committed(response.revision)
--- a/crates/gladekeel-store/src/token_bucket.rs
+++ b/crates/gladekeel-store/src/token_bucket.rs
@@ -69,7 +69,7 @@
 
     /// Discards all tokens after the service has responded that its limit is exceeded; a debt
     /// remains.
-    pub fn drain(&mut self, now: f64) {
+    pub fn empty(&mut self, now: f64) {
         self.refill(now);
         self.tokens = self.tokens.min(0.0);
     }
--- a/crates/gladekeel-testkit/examples/playground.rs
+++ b/crates/gladekeel-testkit/examples/playground.rs
@@ -62,7 +62,7 @@
 /// Length of a worker's lease.
 const LEASE_S: f64 = 30.0;
 /// Time within which the tasks of a gang detect the loss of one of them.
-const GANG_PEER_S: f64 = 4.0;
+const GANG_EXIT_DETECTION_S: f64 = 4.0;
 /// Time between two heartbeats of a worker, with more than `DEFAULT_MACHINES` machines.
 const LARGE_HEARTBEAT_INTERVAL_S: f64 = 10.0;
 /// Number of machines that the playground offers without an argument.
@@ -178,7 +178,7 @@
 [deployment.workers]
 report_s = {heartbeat_interval_s:.1}
 lease_s = {LEASE_S:.1}
-gang_peer_s = {GANG_PEER_S:.1}
+gang_peer_s = {GANG_EXIT_DETECTION_S:.1}
 cancel_s = 50.0
 
 [deployment.state]
@@ -229,7 +229,7 @@
         })),
         cloud: RefCell::new(FakeCloud::new(types, capacity, 4.0)),
         workers: RefCell::default(),
-        gangs: RefCell::new(GangRuntime::new(GANG_PEER_S)),
+        gangs: RefCell::new(GangRuntime::new(GANG_EXIT_DETECTION_S)),
         jobs: RefCell::default(),
     });
     let limits = Limits::for_connections(1000);
@@ -350,7 +350,7 @@
         }
         match outcome {
             StoreOutcome::Page(rows) => json(200, &rows),
-            StoreOutcome::Watched(events) => json(200, &events),
+            StoreOutcome::Changes(events) => json(200, &events),
             StoreOutcome::Compacted => Response::text(410, "too old\n"),
             StoreOutcome::Committed(revision) => {
                 json(200, &TransactionResponse { revision, failed: Vec::new() })
@@ -508,7 +508,7 @@
             Ok(reply) if reply.status == 421 => {
                 let redirect = serde_json::from_slice::<Redirect>(&reply.body).ok();
                 let target =
-                    redirect.and_then(|r| r.report_to?.strip_prefix("node-")?.parse().ok());
+                    redirect.and_then(|r| r.controller?.strip_prefix("node-")?.parse().ok());
                 worker.node = target.unwrap_or((node + 1) % NODE_PORTS.len()) % NODE_PORTS.len();
                 worker.changed = true;
             }
--- a/crates/gladekeel-testkit/src/invariants/response_status.rs
+++ b/crates/gladekeel-testkit/src/invariants/response_status.rs
@@ -9,7 +9,7 @@
 impl InvariantChecker {
     /// Checks the status of the response to a request whose only correct status is `expected`.
     /// The request may also be rate limited, get a temporary error or get no response (status 0).
-    pub fn check_status(&mut self, now: f64, expected: u16, status: u16, request: &str) {
+    pub fn check_response_status(&mut self, now: f64, expected: u16, status: u16, request: &str) {
         let is_temporary = matches!(status, 0 | 429 | 503 | 504);
         if status != expected && !is_temporary {
             let details = format!("{now:.2}: {status} instead of {expected}: {request}");
--- a/crates/gladekeel-testkit/src/scenario/examples.rs
+++ b/crates/gladekeel-testkit/src/scenario/examples.rs
@@ -12,12 +12,12 @@
     /// How long a task waits for the other tasks of its gang to start.
     pub wait_s: f64,
     /// Longest time until a task detects that another task of its gang failed or stopped.
-    pub peer_s: f64,
+    pub exit_detection_s: f64,
 }
 
 impl Default for GangTimes {
     fn default() -> GangTimes {
-        GangTimes { wait_s: 30.0, peer_s: 4.0 }
+        GangTimes { wait_s: 30.0, exit_detection_s: 4.0 }
     }
 }
 
@@ -38,7 +38,7 @@
     gang_times: GangTimes,
     announced_limits: &str,
 ) -> Result<Settings, toml::de::Error> {
-    let GangTimes { wait_s: gang_wait_s, peer_s: gang_peer_s } = gang_times;
+    let GangTimes { wait_s, exit_detection_s } = gang_times;
     let mut text = format!(
         r#"
         node = "node-{node}"
@@ -64,8 +64,8 @@
         report_s = 3.0
         lease_s = 30.0
         cancel_s = 50.0
-        gang_wait_s = {gang_wait_s:?}
-        gang_peer_s = {gang_peer_s:?}
+        gang_wait_s = {wait_s:?}
+        gang_peer_s = {exit_detection_s:?}
         [deployment.state]
         rps = 90.0
         write_rps = 25.0
--- a/crates/gladekeel-testkit/src/scenario/expectations.rs
+++ b/crates/gladekeel-testkit/src/scenario/expectations.rs
@@ -113,7 +113,7 @@
         "oldest_job_s" => sim.oldest_job_s().unwrap_or(0.0),
         "machines_examined" => counter(|counters| counters.machines_examined),
         "attempt_lookups" => counter(|counters| counters.attempt_lookups),
-        "restarts" => counter(|counters| counters.restarts),
+        "restarts" => counter(|counters| counters.straggler_restarts),
         "preemptions" => counter(|counters| counters.preemptions),
         other => return Err(LineError::unexpected("a quantity", other)),
     })
--- a/crates/gladekeel-testkit/src/scenario/steps/services.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/services.rs
@@ -94,7 +94,7 @@
 /// `fail_next_boots COUNT`: the next COUNT machines that are rented never boot.
 pub(super) fn fail_next_boots(line: &Line) -> Result<Step, LineError> {
     let count = line.number(1, "how many machines")? as u32;
-    Ok(Box::new(move |sim| sim.cloud.machines_not_booting = count))
+    Ok(Box::new(move |sim| sim.cloud.next_boots_to_fail = count))
 }
 
 /// Returns an error unless the target of the step is this one.
--- a/crates/gladekeel-testkit/src/scenario/steps/users.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/users.rs
@@ -26,7 +26,7 @@
         for (index, spec) in specs.into_iter().enumerate() {
             sim.invariants.run_step_s.insert(spec.id.clone(), run_step_s);
             if interval_s > 0.0 {
-                sim.submit_in_stream(spec, index as f64 * interval_s, cancelled_share);
+                sim.submit_after(spec, index as f64 * interval_s, cancelled_share);
             } else {
                 sim.submit(spec);
             }
@@ -143,5 +143,5 @@
 
 /// `send_invalid_bytes`: users send bodies that are not valid requests to every node.
 pub(super) fn send_invalid_bytes() -> Step {
-    Box::new(move |sim| (0..sim.nodes()).for_each(|node| sim.send_invalid_bytes(node)))
+    Box::new(move |sim| (0..sim.node_count()).for_each(|node| sim.send_invalid_bytes(node)))
 }
--- a/crates/gladekeel-testkit/src/scenario/targets.rs
+++ b/crates/gladekeel-testkit/src/scenario/targets.rs
@@ -100,8 +100,10 @@
 pub(super) fn node_indices(sim: &Simulation, who: &str) -> Vec<usize> {
     match who {
         "leader" => sim.leader_node().into_iter().collect(),
-        "all" => (0..sim.nodes()).collect(),
-        "followers" => (0..sim.nodes()).filter(|node| Some(*node) != sim.leader_node()).collect(),
-        number => number.parse().into_iter().filter(|node| *node < sim.nodes()).collect(),
+        "all" => (0..sim.node_count()).collect(),
+        "followers" => {
+            (0..sim.node_count()).filter(|node| Some(*node) != sim.leader_node()).collect()
+        }
+        number => number.parse().into_iter().filter(|node| *node < sim.node_count()).collect(),
     }
 }
--- a/crates/gladekeel-testkit/src/scenario/world.rs
+++ b/crates/gladekeel-testkit/src/scenario/world.rs
@@ -29,7 +29,8 @@
 pub(super) fn build_simulation(options: &KeyValues<'_>) -> Result<Simulation, LineError> {
     let gang_times = GangTimes {
         wait_s: options.number_or("gang_wait_s", GangTimes::default().wait_s)?,
-        peer_s: options.number_or("gang_peer_s", GangTimes::default().peer_s)?,
+        exit_detection_s: options
+            .number_or("gang_peer_s", GangTimes::default().exit_detection_s)?,
     };
     let settings = node_settings(options, gang_times)?;
     let store = FakeStore::new(store_limits(&settings[0].deployment));
@@ -41,7 +42,7 @@
     sim.worker_step_s = options.number_or("worker_step_s", sim.worker_step_s)?;
     sim.start_tasks_twice = options.contains("start_tasks_twice");
     sim.gang_wait_s = gang_times.wait_s;
-    sim.gangs.peer_s = gang_times.peer_s;
+    sim.gangs.exit_detection_s = gang_times.exit_detection_s;
     sim.gangs.run_partial_gangs = options.contains("run_partial_gangs");
     Ok(sim)
 }
--- a/crates/gladekeel-testkit/src/simulation/heartbeats.rs
+++ b/crates/gladekeel-testkit/src/simulation/heartbeats.rs
@@ -56,7 +56,7 @@
         let worker = self.workers.get_mut(name);
         let Some(worker) = worker.filter(|w| !w.hung && !w.outbound_partitioned) else { return };
         let Some(delayed) = worker.delayed_heartbeat.take() else { return };
-        if self.now - delayed.made_at < RESPONSE_TIMEOUT_S {
+        if self.now - delayed.created_at < RESPONSE_TIMEOUT_S {
             return;
         }
         let (node, from) = (worker.node, Endpoint::Worker(worker.machine.zone.clone()));
@@ -162,7 +162,7 @@
     fn follow_redirect(&mut self, in_flight: &HeartbeatInFlight, reply: Option<&Reply>) {
         let target = reply
             .filter(|reply| reply.status == 421)
-            .and_then(|reply| serde_json::from_slice::<Redirect>(&reply.body).ok()?.report_to)
+            .and_then(|reply| serde_json::from_slice::<Redirect>(&reply.body).ok()?.controller)
             .and_then(|name| self.nodes.iter().position(|node| node.settings.node == name));
         let redirected_to = target.filter(|target| *target != in_flight.node);
         let nodes = self.nodes.len();
--- a/crates/gladekeel-testkit/src/simulation/machines.rs
+++ b/crates/gladekeel-testkit/src/simulation/machines.rs
@@ -13,13 +13,13 @@
     /// machine never boots.
     pub(super) fn boot(&mut self, name: String) {
         let Some(rented) = self.cloud.machines.get(&name).cloned() else { return };
-        let Some(up_at) = rented.up_at else { return };
-        self.after(up_at - self.now, move |sim| sim.start_worker(name, rented));
+        let Some(booted_at) = rented.booted_at else { return };
+        self.after(booted_at - self.now, move |sim| sim.start_worker(name, rented));
     }
 
     /// Starts the worker of a machine that has booted, unless the machine no longer exists by then.
     fn start_worker(&mut self, name: String, rented: RentedMachine) {
-        let present = self.cloud.machines.get(&name).is_some_and(|m| m.gone_at.is_none());
+        let present = self.cloud.machines.get(&name).is_some_and(|m| m.removed_at.is_none());
         let machine_type = self.cloud.types.iter().find(|t| t.name == rented.machine_type);
         let Some(machine_type) = machine_type.filter(|_| present) else { return };
         let capacity = Resources {
--- a/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
+++ b/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
@@ -95,7 +95,7 @@
         let request = HttpRequest::post("/api/jobs", body);
         self.request(Endpoint::Users, node, request, TIMEOUT_S, move |sim, reply| {
             let status = reply.map_or(0, |reply| reply.status);
-            sim.invariants.check_status(sim.now, expected, status, &text);
+            sim.invariants.check_response_status(sim.now, expected, status, &text);
         });
     }
 
--- a/crates/gladekeel-testkit/src/simulation/nodes.rs
+++ b/crates/gladekeel-testkit/src/simulation/nodes.rs
@@ -91,7 +91,7 @@
         self.handle_event(node, incarnation, Event::Tick);
         if let Some(leader) = self.nodes[node].process.as_ref().and_then(|n| n.leader()) {
             let leadership = (leader.token, node);
-            self.invariants.on_leadership(self.now, leadership.0, leader.since());
+            self.invariants.on_leadership(self.now, leadership.0, leader.term_started_at());
             if !self.leaders.contains(&leadership) {
                 self.leaders.push(leadership);
                 self.replay_retained_heartbeats();
@@ -158,7 +158,7 @@
     }
 
     /// Returns the number of nodes, those that are down included.
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 }
--- a/crates/gladekeel-testkit/src/simulation/users.rs
+++ b/crates/gladekeel-testkit/src/simulation/users.rs
@@ -13,8 +13,8 @@
 use rand::Rng;
 use std::{collections::BTreeMap, ops::Range};
 
-/// Time between the submission of a job by `submit_in_stream` and the cancellation of the job.
-const STREAM_CANCELLATION_DELAY_S: Range<f64> = 0.0..12.0;
+/// Time between the submission of a job by `submit_after` and the cancellation of the job.
+const CANCELLATION_DELAY_S: Range<f64> = 0.0..12.0;
 /// How long a user waits for the response to a submission or a cancellation.
 const CHANGE_TIMEOUT_S: f64 = 5.0;
 /// How long a user waits for the response to a query.
@@ -110,11 +110,11 @@
 
     /// Submits a job after `after_s` seconds. With probability `cancelled_share`, cancels the job
     /// soon after its submission.
-    pub fn submit_in_stream(&mut self, spec: JobSpec, after_s: f64, cancelled_share: f64) {
+    pub fn submit_after(&mut self, spec: JobSpec, after_s: f64, cancelled_share: f64) {
         let id = spec.id.clone();
         self.after(after_s, move |sim| sim.submit(spec));
         if self.occurs(cancelled_share) {
-            let after_s = after_s + self.rng.random_range(STREAM_CANCELLATION_DELAY_S);
+            let after_s = after_s + self.rng.random_range(CANCELLATION_DELAY_S);
             self.after(after_s, move |sim| sim.cancel(id));
         }
     }
@@ -262,7 +262,12 @@
             move |sim, response| {
                 let expected = if accepted { 200 } else { response.status };
                 let description = format!("resubmission of {id}");
-                sim.invariants.check_status(sim.now, expected, response.status, &description);
+                sim.invariants.check_response_status(
+                    sim.now,
+                    expected,
+                    response.status,
+                    &description,
+                );
             },
         );
     }
--- a/crates/gladekeel-testkit/src/stand_ins/cloud.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/cloud.rs
@@ -3,7 +3,7 @@
 
 use gladekeel_controller::cloud_api::{CloudOutcome, CloudRequest};
 use gladekeel_wire::cloud::{
-    ListedMachine, MachinePage, MachineState, MachineType, MachineTypes, RentRequest,
+    CreateMachinesRequest, ListedMachine, MachinePage, MachineState, MachineType, MachineTypes,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,16 +21,16 @@
     pub spot: bool,
     /// When the machine was rented.
     pub rented_at: f64,
-    /// When the machine has booted; `None` if it never boots.
-    pub up_at: Option<f64>,
+    /// When the machine has booted or will have booted; `None` if it never boots.
+    pub booted_at: Option<f64>,
     /// When a controller deleted the machine or the cloud reclaimed it; `None` while it exists.
-    pub gone_at: Option<f64>,
+    pub removed_at: Option<f64>,
 }
 
 impl RentedMachine {
     /// The machine's entry in the list of machines, as of a time.
     fn listed(&self, name: &str, as_of: f64) -> ListedMachine {
-        let up = self.up_at.is_some_and(|up_at| up_at <= as_of);
+        let up = self.booted_at.is_some_and(|booted_at| booted_at <= as_of);
         ListedMachine {
             name: name.to_owned(),
             // In the simulation, the address of a worker is the name of its machine. It is known
@@ -83,8 +83,8 @@
     pub down: bool,
     /// How far the list of machines lags behind, in seconds.
     pub list_lag_s: f64,
-    /// Number of machines, of those that are rented next, that never boot.
-    pub machines_not_booting: u32,
+    /// Number of the next rented machines that never boot.
+    pub next_boots_to_fail: u32,
     /// Descriptions of requests that violate the protocol.
     pub protocol_errors: Vec<String>,
     rentals: BTreeMap<String, Rental>,
@@ -104,7 +104,7 @@
             machines: BTreeMap::new(),
             down: false,
             list_lag_s,
-            machines_not_booting: 0,
+            next_boots_to_fail: 0,
             protocol_errors: Vec::new(),
             rentals: BTreeMap::new(),
             machines_rented: 0,
@@ -129,7 +129,7 @@
     }
 
     /// Rents machines. A repeated request gets the same machines.
-    fn rent(&mut self, now: f64, rent: &RentRequest) -> CloudResponse {
+    fn rent(&mut self, now: f64, rent: &CreateMachinesRequest) -> CloudResponse {
         let request = format!("{rent:?}");
         if let Some(rental) = self.rentals.get(&rent.request_id) {
             if rental.request != request {
@@ -153,11 +153,11 @@
     }
 
     /// Rents one machine; returns its name.
-    fn rent_machine(&mut self, now: f64, rent: &RentRequest) -> String {
+    fn rent_machine(&mut self, now: f64, rent: &CreateMachinesRequest) -> String {
         self.machines_rented += 1;
         let name = format!("n-{:06}", self.machines_rented);
-        let never_boots = self.machines_not_booting > 0;
-        self.machines_not_booting -= u32::from(never_boots);
+        let never_boots = self.next_boots_to_fail > 0;
+        self.next_boots_to_fail -= u32::from(never_boots);
         let machine_type = self.types.iter().find(|known| known.name == rent.machine_type);
         let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
         let machine = RentedMachine {
@@ -165,8 +165,8 @@
             zone: rent.zone.clone(),
             spot: rent.spot,
             rented_at: now,
-            up_at: (!never_boots).then_some(now + boot_s),
-            gone_at: None,
+            booted_at: (!never_boots).then_some(now + boot_s),
+            removed_at: None,
         };
         self.machines.insert(name.clone(), machine);
         name
@@ -183,7 +183,7 @@
         let listed = self.machines.iter().filter(|(name, machine)| {
             after.is_none_or(|after| name.as_str() > after)
                 && machine.rented_at <= as_of
-                && machine.gone_at.is_none_or(|gone_at| gone_at > as_of)
+                && machine.removed_at.is_none_or(|removed_at| removed_at > as_of)
         });
         let machines = listed.map(|(name, machine)| machine.listed(name, as_of)).collect();
         MachinePage { machines, truncated: false }
@@ -192,9 +192,9 @@
     /// Removes a machine that is deleted or reclaimed, and makes its capacity free again. Returns
     /// whether the machine existed.
     pub fn remove_machine(&mut self, now: f64, name: &str) -> bool {
-        let machine = self.machines.get_mut(name).filter(|machine| machine.gone_at.is_none());
+        let machine = self.machines.get_mut(name).filter(|machine| machine.removed_at.is_none());
         let Some(machine) = machine else { return false };
-        machine.gone_at = Some(now);
+        machine.removed_at = Some(now);
         let key = (machine.zone.clone(), machine.spot);
         *self.capacity.entry(key).or_default() += 1;
         true
@@ -202,7 +202,7 @@
 
     /// Names of the machines that exist.
     pub fn present(&self) -> BTreeSet<String> {
-        let present = self.machines.iter().filter(|(_, machine)| machine.gone_at.is_none());
+        let present = self.machines.iter().filter(|(_, machine)| machine.removed_at.is_none());
         present.map(|(name, _)| name.clone()).collect()
     }
 }
--- a/crates/gladekeel-testkit/src/stand_ins/gang.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/gang.rs
@@ -54,7 +54,7 @@
 pub struct GangRuntime {
     /// Longest time until a task detects that another task of its gang failed or stopped, in
     /// seconds.
-    pub peer_s: f64,
+    pub exit_detection_s: f64,
     /// Seeded fault: tasks run without waiting for the other tasks of their gang.
     pub run_partial_gangs: bool,
     /// The attempts whose tasks have begun to run.
@@ -62,9 +62,9 @@
     jobs: BTreeMap<JobId, GangRecord>,
 }
 
-/// Share of `peer_s` before which no task of a gang detects a failure.
+/// Share of `exit_detection_s` before which no task of a gang detects a failure.
 const EARLIEST_DETECTION: f64 = 0.25;
-/// Share of `peer_s` over which the tasks of a gang detect a failure, one after another.
+/// Share of `exit_detection_s` over which the tasks of a gang detect a failure, one after another.
 const DETECTION_SPREAD: f64 = 0.7;
 
 /// Tolerance for rounding errors of progress, which is a sum of small steps, in seconds.
@@ -102,9 +102,9 @@
 
 impl GangRuntime {
     /// Creates a runtime without gangs.
-    pub fn new(peer_s: f64) -> GangRuntime {
+    pub fn new(exit_detection_s: f64) -> GangRuntime {
         GangRuntime {
-            peer_s,
+            exit_detection_s,
             run_partial_gangs: false,
             runs: BTreeMap::new(),
             jobs: BTreeMap::new(),
@@ -254,9 +254,9 @@
             run.make_progress(now, job, &spec, running, workers);
         }
         if let Some(failed_at) = run.failed_at {
-            exit_after_failure(now, failed_at, self.peer_s, running, workers, events);
+            exit_after_failure(now, failed_at, self.exit_detection_s, running, workers, events);
         } else if let Some(stop_requested_at) = run.stop_requested_at {
-            let save_deadline = stop_requested_at + self.peer_s;
+            let save_deadline = stop_requested_at + self.exit_detection_s;
             run.stop_orderly(now, save_deadline, job, running, workers, events);
         } else if run.progress_s >= spec.estimate_s - ROUNDING_S {
             job.done = true;
@@ -345,11 +345,11 @@
 }
 
 /// Ends the tasks of an attempt that has failed, each when it detects the failure: at different
-/// times, the last of them shortly before `peer_s` has passed.
+/// times, the last of them shortly before `exit_detection_s` has passed.
 fn exit_after_failure(
     now: f64,
     failed_at: f64,
-    peer_s: f64,
+    exit_detection_s: f64,
     running: &[GangMember],
     workers: &mut BTreeMap<String, FakeWorker>,
     events: &mut Vec<(String, WorkerEvent)>,
@@ -357,7 +357,8 @@
     for member in running {
         let tasks = member.task(workers).spec.tasks;
         let rank = f64::from(member.index + 1) / f64::from(tasks);
-        let detects_at = failed_at + peer_s * (EARLIEST_DETECTION + DETECTION_SPREAD * rank);
+        let detects_at =
+            failed_at + exit_detection_s * (EARLIEST_DETECTION + DETECTION_SPREAD * rank);
         if now >= detects_at && !member.worker(workers).hung {
             exit(workers, member, ExitCause::GangMemberLost, None, events);
         }
--- a/crates/gladekeel-testkit/src/stand_ins/store.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/store.rs
@@ -182,7 +182,7 @@
         };
         let changes = self.history.iter().filter(matches);
         let events = changes.map(|change| change.event.clone()).collect();
-        StoreOutcome::Watched(WatchResponse { revision: self.revision, events })
+        StoreOutcome::Changes(WatchResponse { revision: self.revision, events })
     }
 
     fn grant_lease(&mut self, now: f64, ttl_s: f64) -> StoreOutcome {
--- a/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub struct DelayedHeartbeat {
     /// When the heartbeat was created.
-    pub made_at: f64,
+    pub created_at: f64,
     /// The heartbeat.
     pub heartbeat: Heartbeat,
 }
@@ -214,7 +214,7 @@
     pub fn hang(&mut self, now: f64, hung: bool) {
         if hung && !self.hung {
             let heartbeat = self.heartbeat(now);
-            self.delayed_heartbeat = Some(DelayedHeartbeat { made_at: now, heartbeat });
+            self.delayed_heartbeat = Some(DelayedHeartbeat { created_at: now, heartbeat });
         }
         self.hung = hung;
     }
@@ -250,7 +250,9 @@
                 WorkerEvent::TaskStarted(task.task.clone())
             }
             TaskState::Running => task.exit(task.cause.unwrap_or(ExitCause::Done), None),
-            TaskState::Saving => task.exit(task.cause.unwrap_or(ExitCause::Stopped), Some(true)),
+            TaskState::Checkpointing => {
+                task.exit(task.cause.unwrap_or(ExitCause::Stopped), Some(true))
+            }
             TaskState::Waiting => task.exit(ExitCause::GangIncomplete, task.saved),
             _ => return None,
         };
--- a/crates/gladekeel-testkit/src/stand_ins/worker/task.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/task.rs
@@ -44,7 +44,7 @@
 
     /// Whether the task has its image and has not exited.
     pub fn has_started(&self) -> bool {
-        matches!(self.state, TaskState::Waiting | TaskState::Running | TaskState::Saving)
+        matches!(self.state, TaskState::Waiting | TaskState::Running | TaskState::Checkpointing)
     }
 
     /// Ends the task; returns the event.
@@ -71,11 +71,11 @@
             return None;
         }
         if can_save {
-            self.state = TaskState::Saving;
+            self.state = TaskState::Checkpointing;
             self.state_ends_at = now + self.spec.checkpoint_write_s;
             return None;
         }
-        let saves = self.state == TaskState::Saving && grace_s > 0.0;
+        let saves = self.state == TaskState::Checkpointing && grace_s > 0.0;
         if saves {
             return None;
         }
--- a/crates/gladekeel-testkit/tests/fake_worker.rs
+++ b/crates/gladekeel-testkit/tests/fake_worker.rs
@@ -49,6 +49,6 @@
     let late = DirectCommands { token: 7, incarnation: 1, commands: start(&task) };
     assert!(!worker.handle_direct_commands(100.0, &late, &find).0);
     // The delayed heartbeat contains the state of the machine when it hung.
-    let DelayedHeartbeat { made_at, heartbeat } = worker.delayed_heartbeat.take().unwrap();
-    assert_eq!((made_at, heartbeat.incarnation, heartbeat.tasks.len()), (2.0, 1, 1));
+    let DelayedHeartbeat { created_at, heartbeat } = worker.delayed_heartbeat.take().unwrap();
+    assert_eq!((created_at, heartbeat.incarnation, heartbeat.tasks.len()), (2.0, 1, 1));
 }
--- a/crates/gladekeel-testkit/tests/gangs/orderly_stop.rs
+++ b/crates/gladekeel-testkit/tests/gangs/orderly_stop.rs
@@ -6,7 +6,11 @@
     let mut gang = GangFixture::running(2);
     gang.run_until(17.0);
     gang.stop(0, 0, 10.0);
-    assert_eq!(gang.worker(0).heartbeat(17.0).tasks[0].state, TaskState::Running, "not `Saving`");
+    assert_eq!(
+        gang.worker(0).heartbeat(17.0).tasks[0].state,
+        TaskState::Running,
+        "not `Checkpointing`"
+    );
     gang.run_until(20.5);
     assert_eq!(gang.exit_of(0), None, "the task has saved and waits for the other one");
     gang.stop(1, 1, 10.0);
--- a/crates/gladekeel-testkit/tests/heartbeat_balancing.rs
+++ b/crates/gladekeel-testkit/tests/heartbeat_balancing.rs
@@ -22,11 +22,12 @@
     balancer: &mut HeartbeatBalancer,
     now: f64,
     receivers: &mut [HeartbeatReceiver],
-    usable: &[bool],
+    can_relay: &[bool],
 ) -> usize {
     let mut redirected = 0;
     for (machine, receiver) in receivers.iter_mut().enumerate() {
-        if let Some(target) = balancer.rebalance(now, &machine_name(machine), *receiver, usable) {
+        if let Some(target) = balancer.rebalance(now, &machine_name(machine), *receiver, can_relay)
+        {
             *receiver = target;
             redirected += 1;
         }
@@ -54,10 +55,10 @@
     assert!(workers[0].abs_diff(workers[1]) <= 100, "unbalanced peers: {workers:?}");
 }
 
-/// Guards against a leader that leaves all heartbeats to the only usable peer: that peer was
-/// overloaded while the leader was not.
+/// Guards against a leader that leaves all heartbeats to the only peer that can relay them: that
+/// peer was overloaded while the leader was not.
 #[test]
-fn a_leader_receives_a_share_if_a_single_peer_is_usable() {
+fn a_leader_receives_a_share_if_a_single_peer_can_relay() {
     let mut balancer = new_balancer(0.05);
     let mut receivers = vec![HeartbeatReceiver::Peer(0); 900];
     send_all_heartbeats(&mut balancer, 0.0, &mut receivers, &[true, false]);
--- a/crates/gladekeel-testkit/tests/invariants/response_status.rs
+++ b/crates/gladekeel-testkit/tests/invariants/response_status.rs
@@ -8,14 +8,14 @@
     let mut tolerant = checker();
     for (expected, status) in [(200, 200), (400, 400), (422, 422), (200, 503), (422, 429), (400, 0)]
     {
-        tolerant.check_status(1.0, expected, status, "correct or temporary");
+        tolerant.check_response_status(1.0, expected, status, "correct or temporary");
     }
     assert!(violated(&tolerant).is_empty());
     for (expected, status) in
         [(200, 201), (200, 404), (200, 422), (400, 201), (422, 201), (422, 400)]
     {
         let mut checker = checker();
-        checker.check_status(1.0, expected, status, "wrong");
+        checker.check_response_status(1.0, expected, status, "wrong");
         assert_eq!(violated(&checker), ["response_status"], "{status} instead of {expected}");
     }
 }
--- a/crates/gladekeel-testkit/tests/node_startup.rs
+++ b/crates/gladekeel-testkit/tests/node_startup.rs
@@ -43,22 +43,22 @@
 /// Guards against serving workers while there is no leader: their requests kept a small processor
 /// busy for 4 s.
 #[test]
-fn a_node_is_settled_when_it_becomes_leader() {
+fn a_node_is_ready_to_serve_when_it_becomes_leader() {
     let (mut store, mut node) = (new_store(), Node::new(example_settings(0, 1), 7, 0.0));
-    assert!(!node.is_settled(0.0));
+    assert!(!node.is_ready_to_serve(0.0));
     let steps = (0..40).map(|step| f64::from(step) * 0.05);
-    let settled_at = steps.into_iter().find(|now| {
+    let ready_at = steps.into_iter().find(|now| {
         tick(&mut node, &mut store, *now);
-        node.is_settled(*now)
+        node.is_ready_to_serve(*now)
     });
-    assert!(settled_at.is_some_and(|at| at <= 1.0), "settled at {settled_at:?}");
+    assert!(ready_at.is_some_and(|at| at <= 1.0), "ready to serve at {ready_at:?}");
     assert!(node.leader().is_some());
 }
 
 /// Guards against a follower that serves workers before it knows the protocol level of the leader,
 /// which the leader's heartbeat states: the follower would redirect all workers to the leader.
 #[test]
-fn a_follower_is_settled_after_a_heartbeat_from_the_leader() {
+fn a_follower_is_ready_to_serve_after_a_heartbeat_from_the_leader() {
     let mut store = new_store();
     let mut leader = Node::new(example_settings(0, 2), 7, 0.0);
     let mut follower = Node::new(example_settings(1, 2), 8, 0.0);
@@ -71,9 +71,9 @@
         }
     }
     assert!(
-        !follower.is_settled(3.0),
+        !follower.is_ready_to_serve(3.0),
         "the follower knows the leader, but has no heartbeat from it"
     );
     deliver_frames(&mut follower, 3.0, heartbeats);
-    assert!(follower.is_settled(3.0));
+    assert!(follower.is_ready_to_serve(3.0));
 }
--- a/crates/gladekeel-testkit/tests/two_versions/stored_values.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/stored_values.rs
@@ -30,7 +30,7 @@
 fn an_unknown_setting_leaves_the_others_in_force() {
     let mut node = TestNode::with_peers(&[Some(0), Some(0)]);
     let value = json!({"beta": 1.5, "round_s": 2.0, "of_another_version": 7.5});
-    let version = node.put(keys::OPTIONS, value);
+    let version = node.put(keys::RUNTIME_SETTINGS, value);
     node.advance(5);
     let (status, body) = node.request("GET", "/admin/settings", Vec::new());
     assert_eq!(status, 200);
@@ -92,7 +92,7 @@
 fn a_settings_change_on_a_stale_node_preserves_the_other_settings() {
     let mut node = TestNode::with_peers(&[Some(PROTOCOL_LEVEL)]);
     node.advance(5);
-    let version = node.put(keys::OPTIONS, json!({"beta": 1.5}));
+    let version = node.put(keys::RUNTIME_SETTINGS, json!({"beta": 1.5}));
     let change = json!({"version": version, "settings": {"idle_s": 20.0}}).to_string();
     let (status, _) = node.request("PUT", "/admin/settings", change.clone().into_bytes());
     assert_eq!(status, 409);
--- a/crates/gladekeel-wire/src/admin.rs
+++ b/crates/gladekeel-wire/src/admin.rs
@@ -114,7 +114,7 @@
 
 /// The response to `GET /admin/machines`; only the leader serves it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Machines {
+pub struct MachineList {
     /// All machines that the leader knows.
     pub machines: Vec<MachineStatus>,
 }
--- a/crates/gladekeel-wire/src/cloud.rs
+++ b/crates/gladekeel-wire/src/cloud.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of machines that one [`RentRequest`] may create.
-pub const MAX_MACHINES_PER_RENT_REQUEST: u32 = 50;
+/// Maximum number of machines that one [`CreateMachinesRequest`] may create.
+pub const MAX_MACHINES_PER_CREATE_REQUEST: u32 = 50;
 /// Maximum number of machines that one delete request may name.
 pub const MAX_MACHINES_PER_DELETE_REQUEST: usize = 100;
 /// Maximum number of machines in one page of the machine list.
@@ -54,10 +54,10 @@
 }
 
 /// A request to create machines. Requests are idempotent by
-/// [`request_id`](RentRequest::request_id): repeating a request whose outcome is unknown creates
-/// no further machines.
+/// [`request_id`](CreateMachinesRequest::request_id): repeating a request whose outcome is unknown
+/// creates no further machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RentRequest {
+pub struct CreateMachinesRequest {
     /// Idempotency key, which is never reused for another request.
     #[serde(rename = "charter")]
     pub request_id: String,
@@ -70,12 +70,13 @@
     /// Whether to create spot instances instead of on-demand ones.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// Number of machines, at most [`MAX_MACHINES_PER_RENT_REQUEST`].
+    /// Number of machines, at most [`MAX_MACHINES_PER_CREATE_REQUEST`].
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Names of machines: the response to a [`RentRequest`], and the body of a delete request.
+/// Names of machines: the response to a [`CreateMachinesRequest`], and the body of a delete
+/// request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
     /// Names of the machines.
--- a/crates/gladekeel-wire/src/settings/mod.rs
+++ b/crates/gladekeel-wire/src/settings/mod.rs
@@ -125,8 +125,8 @@
     pub gang_wait_s: f64,
     /// Time within which the tasks of a running gang detect that one of them has exited. When a
     /// gang is stopped, all of its tasks must receive the command within this time.
-    #[serde(default = "default_gang_peer_s")]
-    pub gang_peer_s: f64,
+    #[serde(rename = "gang_peer_s", default = "default_gang_peer_s")]
+    pub gang_exit_detection_s: f64,
 }
 
 fn default_gang_wait_s() -> f64 {
--- a/crates/gladekeel-wire/src/settings/validation.rs
+++ b/crates/gladekeel-wire/src/settings/validation.rs
@@ -101,7 +101,7 @@
         require_positive(self.lease_s, "deployment.workers.lease_s")?;
         require_positive(self.cancellation_deadline_s, "deployment.workers.cancel_s")?;
         require_positive(self.gang_wait_s, "deployment.workers.gang_wait_s")?;
-        require_positive(self.gang_peer_s, "deployment.workers.gang_peer_s")
+        require_positive(self.gang_exit_detection_s, "deployment.workers.gang_peer_s")
     }
 }
 
--- a/crates/gladekeel-wire/src/worker.rs
+++ b/crates/gladekeel-wire/src/worker.rs
@@ -24,7 +24,7 @@
     Running,
     /// The task is stopping and writes a checkpoint within its grace period.
     #[serde(rename = "flushing")]
-    Saving,
+    Checkpointing,
     /// The task has exited; [`TaskStatus::cause`] holds the reason.
     Exited,
     /// A state that this version does not know; the task still holds its resources.
@@ -173,7 +173,7 @@
     /// Name of the controller to send heartbeats to; `None` if unknown, in which case the worker
     /// tries any other controller.
     #[serde(rename = "harbor", default, skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<String>,
+    pub controller: Option<String>,
 }
 
 /// Commands that the leader sends to a worker without waiting for its next heartbeat.
--- a/crates/gladekeel/src/output.rs
+++ b/crates/gladekeel/src/output.rs
@@ -1,7 +1,7 @@
 //! Formatting of the service's responses as human-readable text.
 
 use gladekeel_wire::{
-    admin::{MachineStatus, Machines, NodeStatus, Status, TeamStatus},
+    admin::{MachineList, MachineStatus, NodeStatus, Status, TeamStatus},
     job::JobStatus,
 };
 use std::collections::BTreeMap;
@@ -63,7 +63,7 @@
     seconds.map_or_else(|| "never".to_owned(), |seconds| format!("{seconds:.1} s ago"))
 }
 
-pub fn machines(list: Machines) -> String {
+pub fn machines(list: MachineList) -> String {
     list.machines.iter().map(machine_line).collect()
 }
 
--- a/crates/gladekeel/src/service.rs
+++ b/crates/gladekeel/src/service.rs
@@ -67,7 +67,7 @@
 fn transport_error(server: SocketAddr, error: ClientError) -> CommandError {
     match error {
         ClientError::NotSent(source) => CommandError::Unreachable { server, source },
-        ClientError::NoAnswer(source) => CommandError::NoResponse { server, source },
+        ClientError::NoResponse(source) => CommandError::NoResponse { server, source },
     }
 }
 
