--- a/crates/gladekeel-controller/src/leader/job/mod.rs
+++ b/crates/gladekeel-controller/src/leader/job/mod.rs
@@ -55,12 +55,14 @@
     pub zone: Option<ZoneIdx>,
     /// Final state of the job; `None` until the store has one.
     pub final_state: Option<JobState>,
-    /// Whether another controller has committed the job's cancellation and this leader's view of
-    /// the store does not show the cancellation yet.
+    /// Whether this node or another controller has committed the job's cancellation and this
+    /// leader's view of the store does not show the cancellation yet.
     pub cancellation_pending: bool,
-    /// For a cancelled job, a time on the node's clock at which the job was not cancelled yet;
-    /// negative infinity if no such time is known. The tasks must be off their machines within a
-    /// deadline from the cancellation, whose exact time is not known.
+    /// For a cancelled job, the time on the node's clock from which the cancellation deadline
+    /// counts; negative infinity if no such time is known. The tasks must be off their machines by
+    /// that deadline. The exact time of the cancellation is not known: the value is a time at which
+    /// the job was not cancelled yet or, if this node committed the cancellation for a user, the
+    /// time of the store's response.
     pub cancelled_no_earlier_than: f64,
     /// Tasks that have completed.
     pub done: TaskBitmap,
--- a/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -1,9 +1,8 @@
-//! Changes of jobs: submission, cancellation, final state and removal, as seen in the store view
-//! or received from other controllers.
+//! Changes of jobs: submission, cancellation, final state and removal, as seen in the store view.
 //!
-//! The node calls these functions for each change of its store view. A cancellation that another
-//! controller has committed is applied before the store view contains it, so that the job's tasks
-//! are stopped at once ("Cancelled work ends in time" in `docs/safety.md`).
+//! The node calls these functions for each change of its store view. A cancellation that this node
+//! or another controller has committed is applied before the store view contains it, so that the
+//! job's tasks are stopped at once ("Cancelled work ends in time" in `docs/safety.md`).
 
 use crate::leader::{Job, Leader, StopReason};
 use crate::store_view::{StoreView, StoredJob};
@@ -79,8 +78,10 @@
         }
     }
 
-    /// Applies a cancellation that another controller has committed. `not_before` is a time, on
-    /// the node's clock, at which the job was not yet cancelled.
+    /// Applies a cancellation that this node or another controller has committed and that the store
+    /// view does not contain yet. `not_before` is the time, on the node's clock, from which the
+    /// cancellation deadline counts: if another controller committed the cancellation, a time at
+    /// which the job was not cancelled yet; if this node did, the time of the store's response.
     pub fn apply_pending_cancellation(&mut self, id: &JobId, not_before: f64) {
         let Some(job_idx) = self.job_names.get(id) else { return };
         let job = self.jobs.get_mut(&job_idx).filter(|job| !job.is_finished());
--- a/crates/gladekeel-controller/src/store_view.rs
+++ b/crates/gladekeel-controller/src/store_view.rs
@@ -72,12 +72,12 @@
     pub drain_orders: BTreeMap<String, u64>,
 }
 
-/// The number of a job's tasks that are done and that are running.
+/// The number of a job's tasks that are done and that are assigned to machines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobProgress {
     /// Number of tasks that have completed.
     pub done: u32,
-    /// Number of tasks that are assigned to machines.
+    /// Number of tasks that are assigned to machines; all of these count as running.
     pub running: u32,
 }
 
