--- a/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -1,9 +1,8 @@
-//! Changes of jobs: submission, cancellation, final state and removal, as seen in the store view
-//! or received from other controllers.
+//! Changes of jobs: submission, cancellation, final state and removal, as seen in the store view.
 //!
-//! The node calls these functions for each change of its store view. A cancellation that another
-//! controller has committed is applied before the store view contains it, so that the job's tasks
-//! are stopped at once ("Cancelled work ends in time" in `docs/safety.md`).
+//! The node calls these functions for each change of its store view. A cancellation that this node
+//! or another controller has committed is applied before the store view contains it, so that the
+//! job's tasks are stopped at once ("Cancelled work ends in time" in `docs/safety.md`).
 
 use crate::leader::{Job, Leader, StopReason};
 use crate::store_view::{StoreView, StoredJob};
@@ -29,11 +28,11 @@
         }
         // An earlier leader has counted the arrival of a job that existed before this term. Gangs
         // are counted again, so that their warm pool is rebuilt at once.
-        let is_new_in_term = now > self.since;
+        let is_new_in_term = now > self.term_started_at;
         let counts_as_arrival = !is_final && (is_new_in_term || job.is_gang());
         self.jobs.insert(job_idx, job);
         if counts_as_arrival {
-            self.count_arrival(job_idx);
+            self.record_arrival(job_idx);
         }
         self.changed_progress.insert(job_idx);
         self.timers.request_cycle();
@@ -79,8 +78,10 @@
         }
     }
 
-    /// Applies a cancellation that another controller has committed. `not_before` is a time, on
-    /// the node's clock, at which the job was not yet cancelled.
+    /// Applies a cancellation that this node or another controller has committed and that the store
+    /// view does not contain yet. `not_before` is the time, on the node's clock, from which the
+    /// cancellation deadline counts: if another controller committed the cancellation, a time at
+    /// which the job was not cancelled yet; if this node did, the time of the store's response.
     pub fn apply_pending_cancellation(&mut self, id: &JobId, not_before: f64) {
         let Some(job_idx) = self.job_names.get(id) else { return };
         let job = self.jobs.get_mut(&job_idx).filter(|job| !job.is_finished());
@@ -100,7 +101,7 @@
 
     /// Marks all attempts of a cancelled job to be stopped, and requests the commands.
     fn stop_cancelled_job(&mut self, job_idx: JobIdx) {
-        self.cancelled_on_machines.insert(job_idx);
+        self.cancelled_jobs_on_machines.insert(job_idx);
         self.commands.request_commands_on(self.attempts.of_job(job_idx).machines());
         for id in self.attempts.ids_of_job(job_idx) {
             self.attempts.update(id, |attempt| {
