--- a/crates/gladekeel-controller/src/assignment_log/layout.rs
+++ b/crates/gladekeel-controller/src/assignment_log/layout.rs
@@ -25,14 +25,15 @@
     pub(super) sequence: U64,
 }
 
-/// A job, to which other rows refer by the position of this row.
+/// A row for a job. Other rows of the segment refer to the job by the position of this row.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct JobRow {
     pub name_len: U16,
 }
 
-/// A machine, to which other rows refer by the position of this row.
+/// A row for a machine and an incarnation of its worker. Assignment rows refer to the pair by the
+/// position of this row.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct MachineRow {
@@ -40,7 +41,7 @@
     pub name_len: U16,
 }
 
-/// An attempt that may be on its machine from this segment on.
+/// A row for an assignment: from this segment on, the attempt may be on the machine.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct AssignmentRow {
@@ -50,7 +51,7 @@
     pub machine: U16,
 }
 
-/// An attempt that is proven to be no longer on its machine.
+/// A row for a release: the attempt is proven to be no longer on its machine.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct ReleaseRow {
@@ -60,7 +61,7 @@
     pub outcome: U16,
 }
 
-/// A progress page, whose two bitmaps are stored at the end of the segment.
+/// A row for a progress page, whose two bitmaps are stored at the end of the segment.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct ProgressPageRow {
@@ -70,8 +71,8 @@
     pub restarted_len: U16,
 }
 
-/// A machine together with one incarnation of its worker, as a [`MachineRow`] and the machine's
-/// name describe them.
+/// A machine together with one incarnation of its worker, stored as a [`MachineRow`] and the name
+/// of the machine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct MachineIncarnation {
     pub name: String,
--- a/crates/gladekeel-controller/src/assignment_log/reader.rs
+++ b/crates/gladekeel-controller/src/assignment_log/reader.rs
@@ -12,7 +12,7 @@
 use std::{fmt, str::Utf8Error};
 use zerocopy::{FromBytes, Immutable, KnownLayout, Unaligned, little_endian::U16};
 
-/// Why a value is not a segment in the layout of this version.
+/// Why a stored value cannot be decoded as a segment in the layout of this controller version.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum UnreadableSegment {
     /// The text is not base64 without padding.
@@ -33,13 +33,13 @@
     /// The name of a job is not a valid job id.
     #[error(transparent)]
     InvalidJobId(#[from] InvalidId),
-    /// A row refers to the job at a position that the segment does not contain.
+    /// A row refers to a job by its position, and the segment has no job at that position.
     #[error("a row refers to the job at position {0}, which the segment does not contain")]
     UnknownJob(u16),
-    /// A row refers to the machine at a position that the segment does not contain.
+    /// A row refers to a machine by its position, and the segment has no machine at that position.
     #[error("a row refers to the machine at position {0}, which the segment does not contain")]
     UnknownMachine(u16),
-    /// A release has an outcome that this version does not know.
+    /// A release has an outcome number that this controller version does not know.
     #[error(transparent)]
     UnknownOutcome(#[from] UnknownOutcome),
     /// The value is longer than the header of the segment says.
@@ -75,9 +75,9 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the text is not exactly one segment in the layout of this version. The
-/// decoder makes no guesses: a leader that took a damaged segment for a shorter one would start
-/// tasks that are already running.
+/// Returns an error if the text is not exactly one segment in the layout of this controller
+/// version. The decoder makes no guesses: a leader that took a damaged segment for a shorter one
+/// would start tasks that are already running.
 pub fn decode(text: &str) -> Result<Segment, UnreadableSegment> {
     let bytes = STANDARD_NO_PAD.decode(text)?;
     let mut input = UndecodedBytes(&bytes);
@@ -210,7 +210,7 @@
     }
 }
 
-/// The jobs and machines to which the other rows refer by position.
+/// The jobs and machines of a segment, in row order. Other rows refer to them by position.
 struct Names {
     jobs: Vec<JobId>,
     machines: Vec<MachineIncarnation>,
--- a/crates/gladekeel-controller/src/assignment_log/records.rs
+++ b/crates/gladekeel-controller/src/assignment_log/records.rs
@@ -2,14 +2,15 @@
 
 use gladekeel_wire::JobId;
 
-/// How an attempt ended. The numbers are part of the stored format.
+/// How an attempt ended. The discriminants of the variants are part of the stored format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The task of the attempt is done.
     Done = 1,
     /// The task of the attempt returns to the queue.
     Requeued = 2,
-    /// The task of the attempt returns to the queue for its only speculative restart.
+    /// The task of the attempt returns to the queue for a speculative restart, of which each task
+    /// gets at most one.
     Restarted = 3,
 }
 
@@ -37,7 +38,8 @@
     }
 }
 
-/// An attempt that may be on its machine from this segment on, until it is released.
+/// The assignment of a task to a machine. From the segment that contains this record on, the
+/// attempt may be on the machine until the attempt is released.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Assignment {
     /// The job of the task.
@@ -49,30 +51,31 @@
     /// The incarnation of the worker on the machine. The attempt cannot be running in a newer
     /// incarnation.
     pub incarnation: u64,
-    /// The number of the attempt, which is unique across all leaders.
+    /// The id of the attempt as stored in the log, which is unique across all leaders.
     pub attempt: u64,
 }
 
-/// An attempt that is proven to be no longer on its machine.
+/// The release of an attempt, which is proven to be no longer on its machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Release {
     /// The job of the task.
     pub job: JobId,
     /// The task's index within its job.
     pub index: u32,
-    /// The number of the attempt.
+    /// The id of the attempt as stored in the log.
     pub attempt: u64,
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
 }
 
-/// The complete progress of one page of a job's tasks. A page is written when releases that record
-/// parts of this progress are about to be overwritten.
+/// The complete progress of the tasks on one page of a job. A progress page is written when
+/// releases that record parts of this progress are about to be overwritten.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgressPage {
     /// The job whose tasks are on the page.
     pub job: JobId,
-    /// The page's number in the job; see [`TASKS_PER_PAGE`](crate::task_bitmap::TASKS_PER_PAGE).
+    /// The number of the page within the job. A page covers
+    /// [`TASKS_PER_PAGE`](crate::task_bitmap::TASKS_PER_PAGE) tasks.
     pub page: u32,
     /// The bitmap of the finished tasks, without trailing zero bytes.
     pub done: Vec<u8>,
--- a/crates/gladekeel-controller/src/assignment_log/writer.rs
+++ b/crates/gladekeel-controller/src/assignment_log/writer.rs
@@ -53,7 +53,7 @@
     pub machine: &'a str,
     /// The incarnation of the worker on the machine.
     pub incarnation: u64,
-    /// The number of the attempt.
+    /// The id of the attempt as stored in the log.
     pub attempt: u64,
 }
 
@@ -71,9 +71,9 @@
 
 /// Builds one segment row by row.
 ///
-/// The writer does not limit the size of the segment. Before adding a row, callers must compare the
-/// sum of [`SegmentWriter::size`] and [`max_assignment_bytes`] or [`MAX_PROGRESS_PAGE_BYTES`] with
-/// [`segment_capacity`].
+/// The writer does not limit the size of the segment. Before adding a row, callers must check that
+/// [`SegmentWriter::size`] plus [`max_assignment_bytes`] or [`MAX_PROGRESS_PAGE_BYTES`] does not
+/// exceed [`segment_capacity`].
 #[derive(Debug, Default)]
 pub struct SegmentWriter {
     jobs: Interner<JobId>,
@@ -134,7 +134,7 @@
         self.bitmaps.extend_from_slice(restarted);
     }
 
-    /// Encodes the segment with this sequence number as the text that the store keeps.
+    /// Encodes the segment as the text to be stored. `sequence` is the segment's sequence number.
     pub fn encode(&self, sequence: u64) -> String {
         let mut segment = Vec::with_capacity(self.size());
         segment.extend_from_slice(self.header(sequence).as_bytes());
@@ -210,7 +210,7 @@
     U16::new((rows.len() / size_of::<R>()) as u16)
 }
 
-/// The length of a name or a bitmap, in the form in which its row stores it.
+/// The length of a name or a bitmap, as stored in its row.
 fn length(bytes: &[u8]) -> U16 {
     U16::new(bytes.len() as u16)
 }
