--- a/crates/gladekeel-controller/src/leader/cluster_state.rs
+++ b/crates/gladekeel-controller/src/leader/cluster_state.rs
@@ -15,8 +15,8 @@
 /// rebuilds it from heartbeats and the cloud's lists.
 #[derive(Debug, Default)]
 pub struct ClusterState {
-    /// The indices by which the other fields refer to names. The field is filled only between two
-    /// tokens; during a term the leader itself holds the catalog.
+    /// The names of zones, machine types and images, to which the other fields refer by index. This
+    /// field is filled only between two terms; during a term the leader itself holds the catalog.
     pub(super) catalog: Catalog,
     pub(super) machine_names: Interner<String, MachineIdx>,
     pub(super) machines: BTreeMap<MachineIdx, Machine>,
@@ -25,19 +25,19 @@
     pub(super) cloud: CloudRequestQueue,
     pub(super) autoscaler: AutoscalerState,
     pub(super) warm_pool: WarmPool,
-    /// Since when each zone has been reachable. The field is filled only between two tokens, like
+    /// Since when each zone has been reachable. This field is filled only between two terms, like
     /// the catalog; during a term the failure detector holds this state.
     pub(super) reachable_zones: ReachableZones,
-    /// Moving average of the run time as a multiple of the user's estimate, by class of job.
+    /// Moving averages of the ratio of a task's run time to the user's estimate, by job class.
     pub(super) run_time_ratios: HashMap<String, f64>,
     /// Counters for metrics.
     pub counters: LeaderCounters,
 }
 
 impl ClusterState {
-    /// Prepares the state for a new token on the same node. Heartbeats kept arriving between the
-    /// two tokens, so the silence of a machine continues to count. Assignments are dropped, to be
-    /// replayed from the log.
+    /// Prepares the state for a new token on the same node. The duration of each machine's silence
+    /// is kept, since heartbeats arrived without interruption. Attempts are dropped, and are then
+    /// replayed from the assignment log.
     pub(super) fn renew(&mut self) {
         for machine in self.machines.values_mut() {
             machine.reset_for_new_token();
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -80,8 +80,8 @@
     pub epoch: f64,
     /// The settings of the deployment.
     pub deployment: Rc<Deployment>,
-    /// A random number drawn for this term, which becomes part of the ids of its requests to create
-    /// machines.
+    /// A random number drawn for this term, which becomes part of the ids of the term's requests to
+    /// create machines.
     pub request_id_salt: u64,
 }
 
@@ -101,9 +101,10 @@
     catalog: Catalog,
     timers: Timers,
 
-    /// Desired state: the jobs in the store, and the teams' quotas with their current usage.
+    /// Desired state: the jobs in the store.
     jobs: BTreeMap<JobIdx, Job>,
     job_names: Interner<JobId, JobIdx>,
+    /// The quotas of the teams and their current usage.
     teams: Vec<TeamQuota>,
 
     /// Assignments of tasks to machines, from their proposal until their release is committed.
@@ -116,10 +117,10 @@
     /// Assignment log: changes that are to be committed, and the transaction in flight.
     log_writer: AssignmentLogWriter,
 
-    /// Failure detection.
+    /// Failure detection: decides which machines to probe, and which to delete as failed.
     failure_detector: FailureDetector,
-    /// When the newest request to the store that received a response was sent, in seconds on the
-    /// node's clock.
+    /// When this node sent the newest of the store requests that have received a response, in
+    /// seconds on the node's clock.
     store_contact_at: f64,
     /// Cancelled jobs that may still have attempts on machines.
     cancelled_jobs_on_machines: BTreeSet<JobIdx>,
@@ -129,11 +130,11 @@
     /// Whether scheduling is suspended; see [`Leader::set_scheduling_suspended`].
     scheduling_suspended: bool,
 
-    /// Commands to workers.
+    /// Direct commands: the machines to which commands or probes are to be sent.
     commands: CommandQueue,
     token_renewal: TokenRenewal,
 
-    /// Cost accounting.
+    /// Cost accounting: when costs were last added up and logged.
     cost_accounting: CostAccounting,
 
     /// Status: jobs whose progress has changed since their progress was last published.
@@ -143,14 +144,14 @@
 impl Leader {
     /// Builds a leader from a view of the store and the rows of the assignment log.
     ///
-    /// The view must be as of the write of the term's token or later, and the log must have been
-    /// read under that token. `cluster` is the state that a previous term of this node left, if
-    /// there was one.
+    /// The view must be at least as new as the write of the term's token, and the log must have
+    /// been read under that token. `cluster` is the state that remains from a previous term of this
+    /// node, if there was one.
     ///
-    /// Every attempt that the log does not release counts as being on its machine until the
-    /// contrary is proven. A task without such an attempt is on no machine: a start is only sent
-    /// after its assignment is committed, and a commit under an older token fails once this token
-    /// is written.
+    /// Every attempt that the log assigns and does not release counts as being on its machine until
+    /// it is proven to be off the machine. A task without such an attempt is on no machine: a start
+    /// is sent only after its assignment is committed, and a commit under an older token fails once
+    /// this token is written.
     ///
     /// # Errors
     ///
@@ -264,8 +265,8 @@
         }
     }
 
-    /// Records when the newest request to the store that received a response was sent. `None`
-    /// means that no request has received one, and leaves the recorded time as it is.
+    /// Records when this node sent the newest of the store requests that have received a response.
+    /// `None` means that no request has received one, and leaves the recorded time unchanged.
     pub fn record_store_contact(&mut self, at: Option<f64>) {
         self.store_contact_at = at.unwrap_or(self.store_contact_at);
     }
@@ -277,9 +278,9 @@
         self.token_renewal.is_required() || self.attempt_numbers.are_nearly_exhausted()
     }
 
-    /// Suspends or resumes scheduling. The node suspends it while a value in the store cannot be
-    /// read. Nothing is bound or preempted in the meantime; running tasks continue, and
-    /// cancelled ones are still stopped.
+    /// Suspends or resumes scheduling. The node suspends scheduling while a value in the store
+    /// cannot be read. No task is bound or preempted in the meantime; running tasks continue, and
+    /// the tasks of cancelled jobs are still stopped.
     pub fn set_scheduling_suspended(&mut self, suspended: bool) {
         self.scheduling_suspended = suspended;
     }
@@ -330,7 +331,7 @@
         &self.cluster.counters
     }
 
-    /// Returns for how long not a single machine has been seen.
+    /// Returns how long no machine at all has been seen, and how many should send heartbeats.
     pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
         self.failure_detector.heartbeat_silence(now)
     }
--- a/crates/gladekeel-controller/src/leader/status.rs
+++ b/crates/gladekeel-controller/src/leader/status.rs
@@ -8,9 +8,9 @@
 /// The number of unfinished jobs and of their pending tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backlog {
-    /// Jobs that are not finished.
+    /// The number of unfinished jobs.
     pub jobs: usize,
-    /// Tasks of unfinished jobs that are waiting for a machine.
+    /// The number of tasks of unfinished jobs that are waiting for a machine.
     pub pending_tasks: u64,
 }
 
@@ -49,13 +49,13 @@
         }
     }
 
-    /// The number of segments of the assignment log that are in use.
+    /// The number of live segments of the assignment log, whose slots cannot be overwritten yet.
     pub fn log_segments(&self) -> usize {
         self.log_writer.segment_count()
     }
 
-    /// The age of the oldest unfinished job since its submission, in seconds; `None` if all jobs
-    /// are finished.
+    /// The time since the oldest unfinished job was submitted, in seconds; `None` if all jobs are
+    /// finished.
     pub fn oldest_job_s(&self, now: f64) -> Option<f64> {
         self.unfinished_jobs().map(|job| now - job.submitted_at).max_by(f64::total_cmp)
     }
--- a/crates/gladekeel-controller/src/leader/timers.rs
+++ b/crates/gladekeel-controller/src/leader/timers.rs
@@ -1,12 +1,12 @@
-//! Timers of the leader's periodic steps, and detection of ticks that come late on this node.
+//! Timers of the leader's periodic steps, and detection of late ticks on this node.
 
 use crate::runtime_settings::RuntimeSettings;
 
-/// Ticks come many times a second. After a gap longer than this, in seconds, this node counts as
-/// lagging.
+/// The longest time between two ticks, in seconds, that does not count as a lag of this node. Ticks
+/// are due many times a second.
 const MAX_TICK_GAP_S: f64 = 0.5;
 /// A requested scheduling cycle runs early, but not before this fraction of the cycle interval has
-/// passed.
+/// passed since the previous cycle.
 const MIN_CYCLE_INTERVAL_FRACTION: f64 = 0.25;
 
 /// The times at which the periodic steps last ran, in seconds on the node's clock.
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Records a tick, and notes a lag if the tick comes late.
+    /// Records a tick, and records a lag if the tick is late.
     pub fn tick(&mut self, now: f64) {
         if now - self.last_tick_at > MAX_TICK_GAP_S {
             self.last_lag_at = now;
@@ -50,8 +50,8 @@
         self.cycle_requested = true;
     }
 
-    /// Whether a scheduling cycle is due. If so, the timer restarts, and the caller must run the
-    /// cycle.
+    /// Returns whether a scheduling cycle is due. If so, restarts the timer, and the caller must
+    /// run the cycle.
     pub fn cycle_due(&mut self, now: f64, settings: &RuntimeSettings) -> bool {
         let since_last_s = now - self.last_cycle_at;
         let min_interval_s = settings.cycle_interval_s * MIN_CYCLE_INTERVAL_FRACTION;
@@ -64,8 +64,8 @@
         is_due
     }
 
-    /// Whether the maintenance steps, which examine every machine, are due. If so, the timer
-    /// restarts, and the caller must run them.
+    /// Returns whether the maintenance steps, which examine every machine, are due. If so, restarts
+    /// the timer, and the caller must run these steps.
     pub fn maintenance_due(&mut self, now: f64, settings: &RuntimeSettings) -> bool {
         let is_due = now - self.last_maintenance_at >= settings.cycle_interval_s;
         if is_due {
--- a/crates/gladekeel-controller/src/leader/token_renewal.rs
+++ b/crates/gladekeel-controller/src/leader/token_renewal.rs
@@ -1,9 +1,10 @@
 //! Tracks whether the leader needs a new fencing token before it can continue.
 //!
-//! This module enforces "Who may decide" and "Direct commands" of `docs/safety.md`: a request of
-//! unknown outcome that may still be executed under the old token can only fail once there is a
-//! new one. The node checks [`Leader::needs_new_token`](super::Leader::needs_new_token) and, if it
-//! returns true, writes the leader key again.
+//! This module enforces "Who may decide" and "Direct commands" of `docs/safety.md`. A request whose
+//! outcome is unknown may still be executed under the old token; once there is a new token, the
+//! request can only fail. The node checks
+//! [`Leader::needs_new_token`](super::Leader::needs_new_token) and, if it returns true, writes the
+//! leader key again.
 
 use std::fmt;
 
@@ -15,7 +16,7 @@
     /// A commit failed because a key that only the leader writes had another version than
     /// expected, so the leader's view of the store is wrong.
     UnexpectedConflict,
-    /// A start received no response and may be executed at any later time.
+    /// A direct start received no response and may be executed at any later time.
     UnansweredStart,
 }
 
@@ -29,8 +30,8 @@
     }
 }
 
-/// The first reason for which a new token became required, if there is one. A leader under a new
-/// token starts without a reason.
+/// The requirement of a new token, with the first reason for it. Each term begins without this
+/// requirement.
 #[derive(Debug, Default)]
 pub(super) struct TokenRenewal {
     reason: Option<TokenRenewalReason>,
