--- a/crates/gladekeel-controller/src/leader/assignment_log/commit.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/commit.rs
@@ -1,9 +1,9 @@
 //! Building of the leader's transactions, and handling of their outcomes.
 //!
 //! The leader's state reflects only committed transactions, never a transaction that was merely
-//! sent. A transaction without an outcome may be executed at any later time. In that case the
-//! leader requires a new token, which makes the transaction fail if it has not been executed by
-//! then, and replays the log.
+//! sent. A transaction whose outcome is unknown may still be executed at any later time. The leader
+//! then requires a new token, which makes the transaction fail if it has not been executed yet, and
+//! replays the log.
 
 use super::writer::{CommitMarker, InFlightSegment, InFlightTransaction, LeaderRecords};
 use crate::{
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Withdraws the proposals among these attempts that are not in flight. A gang is placed as a
-    /// whole or not at all: if one of its attempts is to be withdrawn, its other proposals are
+    /// Withdraws those of the attempts that are only proposed and not in flight. A gang is placed
+    /// as a whole or not at all: if one of its attempts is to be withdrawn, its other proposals are
     /// withdrawn too, and its committed attempts are stopped.
     pub(in crate::leader) fn withdraw_proposals(&mut self, ids: &[AttemptId], now: f64) {
         let mut gangs = BTreeSet::new();
--- a/crates/gladekeel-controller/src/leader/assignment_log/mod.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/mod.rs
@@ -1,7 +1,7 @@
 //! The leader's side of the assignment log: writing the log, and replaying it at the start of a
 //! term. [`crate::assignment_log`] defines the format of its segments.
 //!
-//! The log is the write-ahead record of the tasks that may be on a machine. The leader changes its
+//! The log is the write-ahead log of the tasks that may be on a machine. The leader changes its
 //! state only according to what is committed:
 //!
 //! | step | module | state after a crash that follows the step |
--- a/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
@@ -1,9 +1,10 @@
 //! Replay of the log when a node becomes the leader, or continues to lead under a new token.
 //!
-//! The log must have been read under the leader's own token. From then on no other node can change
-//! the log, so pages that were read one after the other form one consistent snapshot. Segments are
-//! replayed in the order of their sequence numbers. An attempt that is assigned and not released
-//! counts as on its machine ("Reading" in `docs/safety.md`); every other task is on no machine.
+//! The log must have been read under the leader's own token. No other node can change the log while
+//! the token is valid, so the result is a consistent snapshot even if several requests were needed
+//! to read the log. Segments are replayed in the order of their sequence numbers. An attempt that
+//! is assigned and not released counts as on its machine ("Reading" in `docs/safety.md`); a task
+//! without such an attempt is on no machine.
 
 use super::writer::{LiveSegment, ProgressPageRef, Slot};
 use crate::{
@@ -100,7 +101,7 @@
     }
 
     /// Applies a page of a job's progress. Returns a reference to the page, or `None` if the job is
-    /// not in the store; such a job is over, with all of its tasks.
+    /// not in the store, which means that the job and all of its tasks have ended.
     fn replay_progress_page(
         &mut self,
         progress: ProgressPage,
@@ -115,7 +116,7 @@
     }
 
     /// Applies the progress that a release records. Returns a reference to the page that contains
-    /// the progress, or `None` if the release records none or the job is not in the store.
+    /// the progress, or `None` if the release records no progress or the job is not in the store.
     fn replay_release(&mut self, release: &Release) -> Option<ProgressPageRef> {
         let (job_idx, job) = self.job_by_id(&release.job)?;
         let tasks = match release.outcome {
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/batch.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/batch.rs
@@ -10,11 +10,11 @@
 
 /// Maximum size of a transaction in bytes. The store accepts up to 64 KiB.
 const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
-/// Upper bound of the bytes that a precondition adds besides its key.
+/// Upper bound of the bytes that a precondition adds to a transaction, without its key.
 const PRECONDITION_OVERHEAD_BYTES: usize = 40;
-/// Upper bound of the bytes that a put adds besides its key and value.
+/// Upper bound of the bytes that a put adds to a transaction, without its key and value.
 const PUT_OVERHEAD_BYTES: usize = 40;
-/// Upper bound of the bytes that a delete adds besides its key.
+/// Upper bound of the bytes that a delete adds to a transaction, without its key.
 const DELETE_OVERHEAD_BYTES: usize = 20;
 
 /// A segment to which rows can still be added, and a record of its contents.
@@ -66,7 +66,7 @@
         self.max_ops.saturating_sub(self.ops() + self.reserved_ops)
     }
 
-    /// Whether this many more operations may be added.
+    /// Whether `ops` more operations may be added, not counting the reserved ones.
     pub fn allows_ops(&self, ops: usize) -> bool {
         ops <= self.ops_left()
     }
@@ -76,15 +76,15 @@
         self.transaction.writes.len() + self.segments.len()
     }
 
-    /// Whether this many more operations may be added, and the size of the transaction is still
-    /// below its limit.
+    /// Whether `ops` more operations may be added, and the size of the transaction is still below
+    /// its limit.
     pub fn fits(&self, ops: usize) -> bool {
         let segment_bytes = self.segments.len() * self.segment_text_bytes();
         self.allows_ops(ops) && self.bytes + segment_bytes < MAX_TRANSACTION_BYTES
     }
 
-    /// Returns a segment that has capacity for this many more bytes, or `None` if the batch has no
-    /// such capacity.
+    /// Returns a segment with capacity for `bytes` more bytes, opening a new segment if necessary.
+    /// Returns `None` if the batch cannot take another segment.
     pub fn segment_with_capacity(&mut self, bytes: usize) -> Option<&mut OpenSegment> {
         let is_full = |segment: &OpenSegment| segment.writer.size() + bytes > self.segment_capacity;
         if self.segments.last().is_none_or(is_full) {
@@ -115,14 +115,14 @@
         self.segments.iter().any(|segment| segment.contents.whole_pages.contains(&page))
     }
 
-    /// Adds the precondition that a key has this version; version 0 means that the key must not
+    /// Adds the precondition that `key` has this version; version 0 means that the key must not
     /// exist.
     pub fn require(&mut self, key: String, version: u64) {
         self.bytes += key.len() + PRECONDITION_OVERHEAD_BYTES;
         self.transaction.preconditions.push(Precondition { key, version });
     }
 
-    /// Adds a write of a value to a key, with the precondition that the key has this version.
+    /// Adds a write of a value to `key`, with the precondition that `key` has this version.
     pub fn put<T: Serialize>(&mut self, key: String, version: u64, value: &T) {
         let value = serde_json::to_value(value).expect("stored types always serialise");
         self.bytes += key.len() + value.to_string().len() + PUT_OVERHEAD_BYTES;
@@ -130,7 +130,7 @@
         self.transaction.writes.push(Write::Put { key, value, lease: None });
     }
 
-    /// Adds the deletion of a key, with the precondition that the key has this version.
+    /// Adds the deletion of `key`, with the precondition that `key` has this version.
     pub fn delete(&mut self, key: String, version: u64) {
         self.bytes += key.len() + DELETE_OVERHEAD_BYTES;
         self.require(key.clone(), version);
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
@@ -1,4 +1,4 @@
-//! Filling of a transaction with pending changes, the most time-critical first.
+//! Fills a transaction with pending changes, the most time-critical changes first.
 
 use super::{
     AssignmentLogWriter, LeaderRecords, NAMED_ASSIGNMENT_BYTES, RELEASE_ROW_BYTES,
@@ -19,8 +19,8 @@
 
 /// Number of live segments above which the log is compacted.
 const COMPACTION_THRESHOLD: usize = 256;
-/// If the live assignments need many segments, the log is compacted only above this multiple of
-/// the number of segments that they need.
+/// The log is compacted only above this multiple of the number of segments that the live
+/// assignments need, if this limit is higher than [`COMPACTION_THRESHOLD`].
 const COMPACTION_FACTOR: usize = 4;
 /// Maximum number of segments that one transaction compacts.
 const MAX_COMPACTED_SEGMENTS: usize = 3;
@@ -129,8 +129,8 @@
         ids.iter().filter(is_pending).all(|id| self.batch.contents.released.contains(id))
     }
 
-    /// Compacts the log if it is too long: copies the records of the oldest segments that are still
-    /// the newest ones into new segments, so that the slots of the old segments become reusable.
+    /// Compacts the log if it is too long: copies those records of the oldest segments that no
+    /// newer segment replaces into new segments, so that the slots of the old ones become reusable.
     pub fn compact(&mut self) {
         let writer = self.writer;
         for segment in writer.slots.live().iter().take(self.segments_to_compact()) {
@@ -149,8 +149,8 @@
         excess.min(MAX_COMPACTED_SEGMENTS)
     }
 
-    /// Copies the assignments of an old segment that are still the newest records and are not about
-    /// to be released. Returns whether all of them fit.
+    /// Copies the assignments of an old segment that no newer segment contains and whose attempts
+    /// are not about to be released. Returns whether all of these assignments fit.
     fn copy_assignments(&mut self, segment: &LiveSegment) -> bool {
         for id in &segment.attempts {
             let is_live = self.records.is_newest_assignment(segment.sequence, *id)
@@ -162,8 +162,8 @@
         true
     }
 
-    /// Copies the progress pages of an old segment that are still the newest records. Returns
-    /// whether all of them fit.
+    /// Copies the progress pages of which an old segment may still hold the newest record. Returns
+    /// whether all of these pages fit.
     fn copy_progress(&mut self, segment: &LiveSegment) -> bool {
         for page in &segment.progress_pages {
             let is_copied = self.batch.has_whole_page(*page);
@@ -199,7 +199,7 @@
     }
 
     /// Adds the machine types, with all of their parts in one transaction. A node that read only
-    /// some of the parts might otherwise reject a job because it fits none of the machine types.
+    /// some of the parts might otherwise find no machine type for a job and reject the job.
     fn add_machine_types(&mut self) {
         let Some(types) = &self.writer.pending.machine_types else { return };
         let versions = &self.writer.versions.machine_types;
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/in_flight.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/in_flight.rs
@@ -33,7 +33,7 @@
 /// A segment in flight.
 #[derive(Debug, Default)]
 pub(in crate::leader::assignment_log) struct InFlightSegment {
-    /// The segment. The version in its slot is the one before the transaction.
+    /// The segment. Its slot holds the version that the key had before the transaction.
     pub segment: LiveSegment,
     /// The progress pages that the segment records in whole, so that no older segment is needed for
     /// these pages.
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/limits.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on the size of transactions, and the time at which the next one may be sent.
+//! Limits on the size of transactions, and the time at which the next transaction may be sent.
 
 use crate::assignment_log::segment_capacity;
 use gladekeel_store::TokenBucket;
@@ -8,8 +8,8 @@
 /// committed as a group.
 const GROUP_COMMIT_INTERVAL_S: f64 = 0.15;
 /// How much longer a transaction may wait for rate-limit tokens, in seconds, if the available
-/// tokens do not cover the pending writes. One large transaction fills its segments; several small
-/// ones do not.
+/// tokens do not cover the pending writes. The wait saves writes: one large transaction fills its
+/// segments, while several small ones do not.
 const MAX_TOKEN_WAIT_S: f64 = 0.3;
 /// Delay before the writes of a failed transaction are retried, in seconds.
 const RETRY_DELAY_S: f64 = 0.25;
@@ -17,7 +17,7 @@
 /// are. A segment of this size holds a few rows.
 const MIN_VALUE_BYTES: usize = 256;
 
-/// Limits of the store, taken from the settings and reduced after refusals.
+/// Limits of the store, taken from the settings and reduced when the store refuses a transaction.
 #[derive(Debug, Default)]
 pub(super) struct TransactionLimits {
     /// Maximum number of writes in a transaction.
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Halves the limits after the store has refused a transaction with this many `writes` as too
-    /// large.
+    /// Halves the limits after the store has refused a transaction as too large. `writes` is the
+    /// number of writes in that transaction.
     pub fn halve(&mut self, writes: usize) {
         self.max_ops = (writes / 2).max(1);
         self.segment_capacity = (self.segment_capacity / 2).max(MIN_VALUE_BYTES);
@@ -66,9 +66,9 @@
         now >= self.not_before
     }
 
-    /// Returns how many writes the next transaction may contain: as many as the rate limit allows
-    /// now. Returns `None` if the rate limit allows no write, or if it is better to wait until it
-    /// allows more of the `wanted_ops`.
+    /// Returns how many writes the next transaction may contain: as many as the rate limit and the
+    /// store's limits allow now. Returns `None` if the rate limit allows no write, or if it is
+    /// better to wait until the rate limit allows more of the `wanted_ops`.
     pub fn allowed_ops(
         &self,
         now: f64,
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
@@ -35,7 +35,7 @@
 pub(super) use slots::{LiveSegment, ProgressPageRef, Slot};
 use std::collections::BTreeMap;
 
-/// One in this many operations of a transaction is reserved for final states.
+/// Of every `FINAL_STATE_DIVISOR` operations of a transaction, one is reserved for final states.
 const FINAL_STATE_DIVISOR: usize = 4;
 /// Approximate size of an assignment in a segment that already contains the names of its job and
 /// machine, in bytes.
@@ -44,18 +44,19 @@
 const NAMED_ASSIGNMENT_BYTES: usize = 48;
 /// Approximate size of a release in a segment, in bytes.
 const RELEASE_ROW_BYTES: usize = 18;
-/// Operations that a transaction must have left for housekeeping to be added.
+/// The number of operations that must still be available in a transaction for housekeeping to be
+/// added.
 const MIN_HOUSEKEEPING_OPS: usize = 2;
 /// Rate-limit tokens that must be left over after a transaction for housekeeping to be added to
 /// that transaction.
 const HOUSEKEEPING_SPARE_TOKENS: f64 = 4.0;
 /// Expected share of the store's write rate that is available for assignments.
 const ASSIGNMENT_WRITE_SHARE: f64 = 0.6;
-/// Lower bound of the limit on the proposed assignments that may be pending after a scheduling
-/// cycle.
+/// The limit on the proposed assignments that are pending after a scheduling cycle is at least this
+/// number.
 const MIN_CYCLE_ASSIGNMENTS: usize = 200;
-/// Upper bound of the limit on the proposed assignments that may be pending after a scheduling
-/// cycle.
+/// The limit on the proposed assignments that are pending after a scheduling cycle is at most this
+/// number.
 const MAX_CYCLE_ASSIGNMENTS: usize = 4000;
 
 /// The parts of the leader's state that the log writer reads.
@@ -74,7 +75,7 @@
     }
 
     /// Whether the segment with this sequence number may hold the newest record of a progress page:
-    /// the job is not final, and no newer segment records the page in whole.
+    /// the job has no final state, and no newer segment records the page in whole.
     fn is_newest_record(&self, sequence: u64, page: ProgressPageRef) -> bool {
         self.jobs.get(&page.job).is_some_and(|job| {
             let recorded_by = job.progress_segments.get(&page.page);
@@ -86,7 +87,7 @@
 /// Versions of the keys that only the leader overwrites or removes.
 #[derive(Debug, Default)]
 struct KeyVersions {
-    /// Versions of the machine type keys, by part.
+    /// Versions of the keys that store parts of the machine types, by part number.
     machine_types: BTreeMap<u32, u64>,
     /// Versions of the drain order keys, by machine name.
     drains: BTreeMap<String, u64>,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Returns the pending writes, to which the caller may add.
+    /// Returns the pending writes, to which the caller may add further writes.
     pub fn pending(&mut self) -> &mut PendingWrites {
         &mut self.pending
     }
@@ -155,9 +156,9 @@
         self.slots.reclaim(records);
     }
 
-    /// Returns the next transaction, if one is due: no transaction is in flight, writes are
-    /// pending, and the rate limit allows a transaction with enough operations. The leader's
-    /// `token` is a precondition of the transaction.
+    /// Returns the next transaction, if one is due: no transaction is in flight, the delay after
+    /// the previous one has passed, writes are pending, and the rate limit allows enough of them.
+    /// The leader's `token` is a precondition of the transaction.
     pub(super) fn next_transaction(
         &mut self,
         now: f64,
@@ -226,8 +227,8 @@
         self.pending.completed_jobs.len().min((max_ops / FINAL_STATE_DIVISOR).max(1))
     }
 
-    /// Returns the number of bytes that releases may take in a batch: half of its segment bytes, or
-    /// all that the pending assignments leave, whichever is more.
+    /// Returns the number of bytes that releases may take in a batch: half of the bytes of its
+    /// segments, or all bytes that the pending assignments do not need, whichever is more.
     fn release_bytes(&self, batch: &WriteBatch) -> usize {
         let total = batch.ops_left() * self.limits.segment_capacity;
         let assignments = self.pending.proposed.len() * ASSIGNMENT_ROW_BYTES;
@@ -240,12 +241,13 @@
         self.in_flight.as_ref()?.commit_marker.as_ref()
     }
 
-    /// Whether the transaction in flight contains a proposal.
+    /// Whether the transaction in flight contains the assignment of this proposed attempt.
     pub(super) fn is_in_flight(&self, id: AttemptId) -> bool {
         self.in_flight.as_ref().is_some_and(|in_flight| in_flight.proposed.contains(&id))
     }
 
-    /// Takes the transaction in flight. The caller does this once the transaction has an outcome.
+    /// Removes and returns the transaction in flight. Called when the outcome of its commit request
+    /// arrives.
     pub(super) fn take_in_flight(&mut self) -> Option<InFlightTransaction> {
         self.in_flight.take()
     }
@@ -289,8 +291,8 @@
         }
     }
 
-    /// Rolls back a transaction that was not executed and never will be. Its slots are released,
-    /// and its writes are still pending, so that they are retried in the next transaction.
+    /// Rolls back a transaction that was not executed and never will be. Its slots become reusable,
+    /// and its writes remain pending, so that they are retried in the next transaction.
     pub(super) fn roll_back(&mut self, now: f64, transaction: InFlightTransaction) {
         let segments = transaction.segments.into_iter();
         self.slots.roll_back(segments.map(|segment| segment.segment.slot));
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/pending.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/pending.rs
@@ -5,16 +5,17 @@
 use gladekeel_wire::cloud::MachineTypes;
 use std::collections::BTreeSet;
 
-/// Changes that are decided or proven, and not yet known to be committed.
+/// Changes that the leader has decided on or of which it has proof, and that are not yet known to
+/// be committed.
 ///
 /// The contents of a transaction in flight remain pending, so that nothing is lost if the
 /// transaction fails. Other modules of the leader add entries. An entry is removed only by a
 /// commit, or by a change that makes the entry obsolete.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct PendingWrites {
-    /// Attempts to assign.
+    /// Proposed attempts whose assignments are to be written.
     pub(super) proposed: BTreeSet<AttemptId>,
-    /// Attempts to release. Each of them is proven to be off its machine.
+    /// Attempts whose releases are to be written. Each attempt is proven to be off its machine.
     pub(super) released: BTreeSet<AttemptId>,
     /// Jobs whose tasks are all done, and whose final state is to be written.
     pub(super) completed_jobs: BTreeSet<JobIdx>,
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/slots.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/slots.rs
@@ -29,7 +29,7 @@
 pub(in crate::leader::assignment_log) struct LiveSegment {
     /// The slot that stores the segment.
     pub slot: Slot,
-    /// The position of the segment in the log.
+    /// The sequence number of the segment, which is its position in the log.
     pub sequence: u64,
     /// Attempts that the segment assigns.
     pub attempts: Vec<AttemptId>,
@@ -38,8 +38,8 @@
 }
 
 impl LiveSegment {
-    /// Drops trailing attempts and pages that newer segments or releases have made obsolete. In
-    /// each of the two lists, stops at the last entry that is still the newest record.
+    /// Drops entries that newer segments or releases have made obsolete from the end of each of the
+    /// two lists, until the last entry is one whose newest record may be in this segment.
     fn drop_obsolete_tail(&mut self, records: LeaderRecords<'_>) {
         let sequence = self.sequence;
         let is_obsolete = |id: &mut AttemptId| !records.is_newest_assignment(sequence, *id);
