--- a/crates/gladekeel-controller/src/leader/commands/outcome.rs
+++ b/crates/gladekeel-controller/src/leader/commands/outcome.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Counts a request without a response against its machine, unless this node has lagged and may
-    /// itself have caused the timeout.
+    /// Counts a missing response against the machine, unless this node has lagged and may itself
+    /// have caused the timeout.
     fn on_no_response(&mut self, now: f64, machine_idx: MachineIdx) {
         if self.timers.lagged_within(LAG_GRACE_S, now) {
             return;
@@ -113,8 +113,8 @@
     }
 
     /// Applies the statuses of the tasks that a response lists. A task that is missing from the
-    /// response is not proven to be absent, since a response to a heartbeat may still be in transit
-    /// and start the task.
+    /// response is not proven to be absent: the leader's response to a heartbeat may still be in
+    /// transit to the worker and start the task.
     fn apply_listed_tasks(&mut self, now: f64, machine_idx: MachineIdx, heartbeat: &Heartbeat) {
         for status in &heartbeat.tasks {
             let id = self.attempt_id(status);
--- a/crates/gladekeel-controller/src/leader/commands/queue.rs
+++ b/crates/gladekeel-controller/src/leader/commands/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of machines that are to receive commands or a probe, and the machines that have
+//! The queue of machines to which commands or a probe are to be sent, and the machines that have
 //! unsettled starts or undelivered stops from earlier requests.
 
 use gladekeel_sched::{JobIdx, MachineIdx};
@@ -15,9 +15,10 @@
     probes: BTreeSet<MachineIdx>,
     probes_in_flight: usize,
     max_probes_in_flight: usize,
-    /// Machines that may have a start without a response.
+    /// Machines that may have an unsettled start: one that received no response and may still be
+    /// executed.
     with_unsettled_starts: BTreeSet<MachineIdx>,
-    /// Machines that may not have received a stop.
+    /// Machines to which a stop was sent that possibly did not arrive.
     with_undelivered_stops: BTreeSet<MachineIdx>,
 }
 
@@ -60,7 +61,7 @@
         self.probes.insert(machine);
     }
 
-    /// Requests a retry of the stops that may not have been received.
+    /// Requests a retry of the stops that possibly did not arrive.
     pub fn retry_undelivered_stops(&mut self) {
         self.machines.append(&mut self.with_undelivered_stops);
     }
@@ -93,17 +94,18 @@
         self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
     }
 
-    /// Records a machine that may not have received a stop.
+    /// Records that a stop for a machine possibly did not arrive.
     pub(super) fn record_undelivered_stop(&mut self, machine: MachineIdx) {
         self.with_undelivered_stops.insert(machine);
     }
 
-    /// Records a machine that has a start without a response.
+    /// Records that a start for a machine received no response.
     pub(super) fn record_unsettled_start(&mut self, machine: MachineIdx) {
         self.with_unsettled_starts.insert(machine);
     }
 
-    /// Forgets the machines for which `has_unsettled_start` returns false.
+    /// Drops the machines for which `has_unsettled_start` returns false from the machines with
+    /// unsettled starts.
     pub(super) fn retain_unsettled_starts(
         &mut self,
         mut has_unsettled_start: impl FnMut(MachineIdx) -> bool,
--- a/crates/gladekeel-controller/src/leader/commands/request.rs
+++ b/crates/gladekeel-controller/src/leader/commands/request.rs
@@ -1,4 +1,4 @@
-//! Selection of the commands that are due for a machine, and the requests that carry them.
+//! Selection of the direct commands that are due for a machine, and the requests that carry them.
 
 use crate::leader::{Attempt, AttemptId, Leader, Machine, StopReason};
 use gladekeel_sched::MachineIdx;
@@ -13,7 +13,7 @@
 pub struct WorkerRequest {
     /// The worker's address.
     pub addr: String,
-    /// The commands; `None` for a probe, which only requests the heartbeat.
+    /// The commands; `None` for a probe, which only requests a heartbeat.
     pub body: Option<DirectCommands>,
     /// The fencing token under which the request was built. The outcome is ignored if the leader
     /// has a newer token when the outcome arrives.
@@ -76,7 +76,7 @@
     }
 
     /// Builds the request with the commands that are due for a machine. Returns `None` if no
-    /// command is due or the machine cannot be sent a request now. A silent machine is left to the
+    /// command is due or no request can be sent to the machine now. A silent machine is left to the
     /// failure detector, since a request to it would hang.
     fn command_request(
         &mut self,
@@ -134,8 +134,8 @@
         due
     }
 
-    /// Returns the stop for an attempt that has a stop reason and has not been sent a stop. Counts
-    /// the stop as sent.
+    /// Returns the stop for a committed attempt that has a stop reason, if the state of its task
+    /// requires a stop and none was sent yet. Counts the stop as sent.
     fn due_stop(&mut self, id: AttemptId, incarnation: u64) -> Option<Command> {
         let attempt =
             self.attempts.get(id).filter(|attempt| attempt.is_committed_in(incarnation))?;
@@ -177,21 +177,21 @@
 }
 
 impl Machine {
-    /// Whether starts may be sent to the machine: it is not leaving the cluster, and it
-    /// acknowledges the messages that it receives.
+    /// Whether starts may be sent to the machine: it is not leaving the cluster, and its worker
+    /// acts on the responses to its heartbeats.
     fn may_receive_starts(&self) -> bool {
         !self.is_leaving() && self.acknowledgements.missed() == 0
     }
 }
 
-/// Whether a task in this state must be sent a stop for this reason.
+/// Whether a stop for `reason` must be sent to a task in `state`.
 fn needs_stop(state: TaskState, reason: StopReason) -> bool {
     match state {
         // The image fetch is left to complete, so that the next attempt of the gang finds the
         // image on the machine.
         TaskState::Fetching => reason != StopReason::GangIncomplete,
         TaskState::Waiting | TaskState::Running => true,
-        // The task is stopping already. Only a cancellation leaves it no time to save its progress.
+        // The task is already saving its progress. Only a cancellation does not wait for that.
         TaskState::Checkpointing => reason == StopReason::Cancelled,
         TaskState::Exited | TaskState::Other => false,
     }
--- a/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
+++ b/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
@@ -1,29 +1,29 @@
-//! Tracking of starts that had no response, until it is certain that they can no longer be
-//! executed.
+//! Tracking of direct starts that received no response, until it is certain that they can no longer
+//! be executed.
 //!
 //! A worker may execute such a start at any later time while the fencing token and incarnation of
-//! the start match. The start is settled by a newer incarnation of the worker, by the deletion of
-//! the machine, or by a new token once the machine has sent a heartbeat under that token.
+//! the start match its own. The start is settled by a newer incarnation of the worker, by the
+//! deletion of the machine, or by a new token once the machine has sent a heartbeat under that
+//! token.
 
 use super::{WorkerOutcome, WorkerRequest};
 use crate::leader::{Leader, Machine};
 
-/// How long a start may be without a response before a new token is required to settle it, in
-/// seconds.
+/// How long a start may remain unanswered before a new token is required to settle it, in seconds.
 const UNSETTLED_START_S: f64 = 15.0;
-/// How long a start of a cancelled job may be without a response before a new token is required,
-/// in seconds. The limit is shorter because the task must never start.
+/// How long a start of a cancelled job may remain unanswered before a new token is required, in
+/// seconds. The limit is shorter because the task must never start.
 const UNSETTLED_CANCELLED_START_S: f64 = 1.0;
-/// How long a requested deletion of the machine is expected to settle a start, in seconds, counted
-/// from when the start was found to have no response. No new token is required meanwhile.
+/// For this many seconds after a start was found to have no response, a requested deletion of the
+/// machine is expected to settle the start. No new token is required during this time.
 const DELETION_TIMEOUT_S: f64 = 2.0 * UNSETTLED_START_S;
 
 impl Machine {
-    /// Whether a new token is required to settle a start that has been without a response since
-    /// `since`. `is_wanted` is false if the task must never start.
+    /// Whether a new token is required to settle a start that has been unanswered since `since`.
+    /// `is_wanted` is false if the task must never start.
     fn needs_new_token(&self, now: f64, since: f64, is_wanted: bool) -> bool {
-        // Only a heartbeat under the new token settles the start. A machine that sends no
-        // heartbeats gains nothing from a new token.
+        // Only a heartbeat under the new token settles the start, so a new token has no use while
+        // the machine sends no heartbeats.
         let sends_heartbeats = self.liveness.silent_since() > since;
         let deletion_may_settle = self.deletion.is_requested() && now - since < DELETION_TIMEOUT_S;
         let limit_s = if is_wanted { UNSETTLED_START_S } else { UNSETTLED_CANCELLED_START_S };
@@ -32,8 +32,8 @@
 }
 
 impl Leader {
-    /// Settles the starts of a request whose outcome is known, or records that the starts had no
-    /// response.
+    /// Settles the starts of a request whose outcome is known, or records that the starts received
+    /// no response.
     pub(super) fn settle_starts(
         &mut self,
         now: f64,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Whether any start without a response requires a new token: it has had none for a long time,
-    /// or for a short time if its job is cancelled and the start must never be executed.
+    /// Whether any unanswered start requires a new token: the start has been unanswered for a long
+    /// time, or for a short time if its job is cancelled and the start must never be executed.
     pub(in crate::leader) fn unsettled_start_needs_new_token(&mut self, now: f64) -> bool {
         let mut needs_new_token = false;
         self.commands.retain_unsettled_starts(|machine_idx| {
