--- a/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
@@ -58,8 +58,8 @@
             && self.is_machine_usable(attempt.machine)
     }
 
-    /// Whether an attempt whose task is not on its machine can be released: the attempt must not
-    /// be started any more, and no unsettled command can still start it.
+    /// Whether an attempt whose task is not on its machine can be released: the attempt must not be
+    /// started any more, and no unsettled direct start of the attempt can still be executed.
     fn can_release_absent(&self, id: AttemptId) -> bool {
         let Some(attempt) = self.attempts.get(id) else { return false };
         let must_not_start = attempt.stop_reason.is_some()
@@ -69,8 +69,8 @@
         must_not_start && !machine.is_some_and(|machine| machine.commands.may_still_start(id))
     }
 
-    /// Whether no task of a job may be started any more. Tasks of a finished gang may not have
-    /// reported their exit yet.
+    /// Whether a job is finished or removed, so that none of its tasks may be started any more. The
+    /// exit of some tasks of a finished gang may still be unreported.
     fn is_job_finished(&self, job_idx: JobIdx) -> bool {
         self.jobs.get(&job_idx).is_none_or(Job::is_finished)
     }
@@ -80,8 +80,8 @@
         self.cluster.machines.get(&machine_idx).is_some_and(|machine| !machine.is_leaving())
     }
 
-    /// Sends another stop for an attempt that has a stop reason. Sends none if the task may finish
-    /// saving its progress or fetching its image first.
+    /// Adds another stop to `commands` for an attempt that has a stop reason, unless the task may
+    /// first finish saving its progress or fetching its image.
     fn resend_stop(
         &mut self,
         id: AttemptId,
@@ -168,7 +168,7 @@
         token: HeartbeatToken,
         commands: &mut Vec<Command>,
     ) {
-        // A gang task may have been placed on another machine under the same attempt number.
+        // A gang task may have been placed on another machine under the same attempt id.
         let is_assigned_here =
             self.attempts.get(id).is_some_and(|attempt| attempt.machine == machine_idx);
         if is_assigned_here || token != HeartbeatToken::Current {
@@ -179,7 +179,7 @@
         if status.state != TaskState::Exited {
             commands.push(Command::Stop { task, attempt, grace_s: 0.0 });
         } else if machine.is_some_and(|machine| !machine.commands.may_still_start(id)) {
-            // The attempt is no longer in the assignment log, so its exit is committed. After a
+            // The leader has no such attempt on this machine, so its release is committed. After a
             // heartbeat under the current token, no start of the attempt can still arrive.
             commands.push(Command::Forget { task, attempt });
         }
--- a/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
@@ -41,8 +41,8 @@
 /// What a heartbeat reports about an attempt that is assigned to the sender's machine.
 enum AttemptReport<'a> {
     /// The heartbeat gives no evidence about the attempt. Either the attempt belongs to an earlier
-    /// incarnation and is being released, or the heartbeat is delayed and older than the
-    /// attempt's incarnation.
+    /// incarnation than the heartbeat and is being released, or the heartbeat was delayed and
+    /// belongs to an earlier incarnation than the attempt.
     NotCovered,
     /// The task is not on the machine.
     Absent,
@@ -121,7 +121,7 @@
     }
 
     /// Records that a heartbeat has reached this controller. While the leader may not renew
-    /// leases, this is all that it records about the heartbeat.
+    /// leases, nothing else about the heartbeat is recorded.
     pub fn record_heartbeat(&mut self, now: f64, heartbeat: &Heartbeat) {
         let machine_idx = self.cluster.machine_names.get(heartbeat.machine.as_str());
         if let Some(machine) = machine_idx.and_then(|idx| self.cluster.machines.get_mut(&idx)) {
@@ -130,8 +130,8 @@
     }
 
     /// Applies what a heartbeat reports about its machine; the response to a direct command
-    /// contains a heartbeat too. Returns the machine if the heartbeat is newer than every message
-    /// received from the worker so far, else `None`.
+    /// contains a heartbeat too. Returns the machine, or `None` if the heartbeat is not newer than
+    /// every message received from the worker so far, or if the machine's deletion is confirmed.
     pub(in crate::leader) fn apply_heartbeat(
         &mut self,
         now: f64,
--- a/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Marks all attempts of a cancelled job to be stopped, and requests the commands.
+    /// Marks all attempts of a cancelled job to be stopped, and requests that the stops be sent.
     fn stop_cancelled_job(&mut self, job_idx: JobIdx) {
         self.cancelled_jobs_on_machines.insert(job_idx);
         self.commands.request_commands_on(self.attempts.of_job(job_idx).machines());
