--- a/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
@@ -20,9 +20,9 @@
 use gladekeel_wire::settings::WorkerTimings;
 use std::collections::BTreeSet;
 
-/// For how long, in seconds, a machine must have been suspect before it counts as failed: other
-/// machines respond to probes and this one does not. The machine is probed at least once more
-/// during this time.
+/// How long a machine must have been suspect before it counts as failed, in seconds. A machine is
+/// suspect while other machines respond to probes and this one does not. The machine is probed at
+/// least once more during this time.
 const MIN_SUSPECT_S: f64 = 2.5;
 /// The boot timeout of a machine, as a multiple of the usual boot time of its type.
 const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
@@ -31,7 +31,7 @@
 /// The boot time assumed for a machine of unknown type, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// The reachability of zones, which the failure detector keeps from one pass to the next.
+/// The state that the failure detector keeps between its passes: the reachability of zones.
 #[derive(Debug)]
 pub(in crate::leader) struct FailureDetector {
     zones: ZoneReachability,
@@ -59,7 +59,8 @@
         self.zones.record_heartbeat(zone, now);
     }
 
-    /// Whether no machine in a zone has been seen although heartbeats from the zone are overdue.
+    /// Whether a zone counts as unreachable: heartbeats from the zone are overdue, and none of its
+    /// machines has been seen in the meantime.
     pub fn is_zone_unreachable(&self, zone: ZoneIdx, now: f64) -> bool {
         self.zones.is_unreachable(zone, now)
     }
@@ -69,7 +70,7 @@
         self.zones.unreachable_zones(now)
     }
 
-    /// Returns for how long not a single machine has been seen.
+    /// Returns how long no machine at all has been seen, and how many should send heartbeats.
     pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
         self.zones.heartbeat_silence(now)
     }
@@ -115,7 +116,7 @@
     }
 
     /// Whether a machine is to be probed: its heartbeat is overdue, or the machine was up before
-    /// this term and the leader should learn its tasks earlier than from its next heartbeat.
+    /// this term and the leader should learn its tasks before its next heartbeat arrives.
     fn needs_probe(&self, machine: &Machine) -> bool {
         let is_unseen = !machine.liveness.was_seen() && machine.has_booted();
         let is_overdue = machine.liveness.silent_s(self.now) > self.thresholds.probe_after_s;
@@ -140,7 +141,7 @@
     }
 
     /// Whether a machine responds to probes although its lease has expired. Its heartbeats reach
-    /// no controller, so the machine would lose every long task, again and again.
+    /// no controller, so its lease would expire again and again, and no long task would complete.
     fn is_outbound_partitioned(&self, machine: &Machine) -> bool {
         let liveness = &machine.liveness;
         liveness.responsive_without_heartbeats_s(self.now) > self.thresholds.outbound_partition_s
--- a/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -12,16 +12,16 @@
 /// reclaimed, in seconds.
 const TERMINATION_MARGIN_S: f64 = 0.5;
 
-/// A cache of which gangs are reachable at one point in time.
+/// Caches for each gang whether all of its machines are reachable at one point in time.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct GangReachability(BTreeMap<JobIdx, bool>);
 
-/// The steps that evacuate the machines that are leaving.
+/// The steps that evacuate the machines that are leaving the cluster.
 #[derive(Debug, Default)]
 struct Evacuation {
     /// Machines to mark for deletion because the cloud reclaims them.
     reclaimed: Vec<MachineIdx>,
-    /// Uncommitted attempts, whose tasks are to be placed on other machines.
+    /// Proposed attempts to withdraw, whose tasks are to be placed on other machines.
     withdraw: Vec<AttemptId>,
     /// Attempts to stop, either to save their progress or because they would not complete in time.
     stop: Vec<AttemptId>,
@@ -45,8 +45,8 @@
 }
 
 impl Leader {
-    /// Moves tasks off the machines that are leaving. The leader calls this in each tick, and when
-    /// the cloud has confirmed deletions.
+    /// Moves tasks off the machines that are leaving the cluster. The leader calls this function in
+    /// each tick, and when the cloud has confirmed deletions.
     pub(in crate::leader) fn evacuate_leaving_machines(&mut self, now: f64) {
         let machines = &self.cluster.machines;
         self.cluster.leaving.retain(|idx| machines.get(idx).is_some_and(Machine::is_leaving));
@@ -172,8 +172,8 @@
 }
 
 /// Whether a machine that the cloud reclaims is to be deleted now: the time of its termination has
-/// come, or it is idle. Tasks that are still on the machine are lost, which its confirmed deletion
-/// proves.
+/// come, or the machine is idle. Tasks that are still on the machine are lost; the confirmation of
+/// the deletion proves that they are off the machine.
 fn is_reclaimed(machine: &Machine, now: f64) -> bool {
     machine.termination_at.is_some_and(|at| now >= at || machine.is_idle())
 }
--- a/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
@@ -33,12 +33,12 @@
     last_seen: f64,
 }
 
-/// The time for which not a single machine has been seen.
+/// How long no machine at all has been seen, and how many machines should send heartbeats.
 #[derive(Debug, Clone, Copy)]
 pub struct HeartbeatSilence {
     /// The number of machines from which heartbeats are expected.
     pub expected_machines: usize,
-    /// For how long no machine has been seen, in seconds.
+    /// How long no machine at all has been seen, in seconds.
     pub silent_s: f64,
 }
 
@@ -87,7 +87,7 @@
         self.zones.keys().copied().filter(move |zone| self.is_unreachable(*zone, now))
     }
 
-    /// Returns for how long not a single machine has been seen.
+    /// Returns how long no machine at all has been seen, and how many should send heartbeats.
     pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
         HeartbeatSilence { expected_machines: self.expected, silent_s: now - self.last_seen }
     }
--- a/crates/gladekeel-controller/src/leader/failure_detection/thresholds.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/thresholds.rs
@@ -4,16 +4,17 @@
 
 /// How long a deletion may take with a slow cloud API and many queued requests, in seconds.
 const MAX_DELETION_S: f64 = 15.0;
-/// The number of heartbeat timeouts without a heartbeat after which a machine counts as partitioned
-/// from all controllers, if the machine responds to probes and its lease has expired.
+/// A machine that responds to probes and whose lease has expired counts as partitioned from all
+/// controllers after this many heartbeat timeouts without a heartbeat.
 const OUTBOUND_PARTITION_TIMEOUTS: f64 = 2.0;
-/// Added to the time of these heartbeat timeouts, in seconds.
+/// Margin in seconds that is added to [`OUTBOUND_PARTITION_TIMEOUTS`] heartbeat timeouts.
 const OUTBOUND_PARTITION_MARGIN_S: f64 = 4.0;
-/// The machines of a silent zone count as failed at least this long before a cancellation deadline
-/// that is counted from the beginning of their silence, in seconds.
+/// The machines of a silent zone count as failed at least this many seconds before the end of a
+/// cancellation deadline that starts at the beginning of their silence.
 const ZONE_DEADLINE_MARGIN_S: f64 = 8.0;
-/// A machine counts as recently seen within this fraction of the unreachable timeout, so that the
-/// silence of a zone is noticed well before the machines of the zone count as failed.
+/// A machine counts as recently seen while its silence is shorter than this fraction of the
+/// unreachable timeout, so that the silence of a zone is noticed well before the machines of the
+/// zone count as failed.
 const RECENTLY_SEEN_FRACTION: f64 = 0.6;
 /// The highest number of machines per processor core at which a new leader probes all machines at
 /// once. The responses of more machines would take longer to process than their next heartbeats
@@ -23,7 +24,7 @@
 /// case.
 const MAX_SILENT_LEASES: f64 = 3.0;
 
-/// The thresholds of the failure detector at one time. All fields but the flags are in seconds.
+/// The thresholds of one pass of the failure detector. All fields except the flags are in seconds.
 pub(super) struct DetectionThresholds {
     /// Silence after which a machine is probed.
     pub probe_after_s: f64,
@@ -55,7 +56,7 @@
     pub unreachable_after_s: f64,
     /// The number of machines in the cluster.
     pub machines: usize,
-    /// When the newest request to the store that received a response was sent.
+    /// When this node sent the newest of the store requests that have received a response.
     pub store_contact_at: f64,
 }
 
