--- a/crates/gladekeel-controller/src/leader/machine/acknowledgements.rs
+++ b/crates/gladekeel-controller/src/leader/machine/acknowledgements.rs
@@ -8,25 +8,25 @@
 use gladekeel_wire::worker::Command;
 use std::collections::BTreeSet;
 
-/// The number of consecutive responses without effect after which a worker has to respond to a
-/// direct command.
+/// The number of consecutive responses without effect that suggests an inbound partition. The
+/// machine is then deleted unless its worker responds to direct commands.
 const MAX_MISSED_ACKS: u32 = 2;
 
-/// The effects that the next heartbeat of a worker shows if the response to the previous one
+/// The effects that the next heartbeat of a worker shows if the response to its previous heartbeat
 /// arrived.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct ExpectedEffects {
     /// Whether the response carried a fencing token that the worker had not yet seen.
     token_seen: bool,
-    /// Attempts to start, by the numbers that workers use.
+    /// The numbers, as known to the worker, of the attempts for which the response has a start.
     starts: Vec<u64>,
-    /// Attempts to forget, by the numbers that workers use.
+    /// The numbers, as known to the worker, of the attempts for which the response has a forget.
     forgets: Vec<u64>,
 }
 
 impl ExpectedEffects {
     /// Returns the expected effects of a response with `commands`. `knows_token` says whether the
-    /// heartbeat to which it responds was created under this leader's token.
+    /// worker built the heartbeat before the response under this leader's token.
     pub fn of_response(commands: &[Command], knows_token: bool) -> ExpectedEffects {
         let mut effects = ExpectedEffects { token_seen: !knows_token, ..Default::default() };
         for command in commands {
@@ -80,8 +80,8 @@
         self.expected = ExpectedEffects::default();
     }
 
-    /// Records that the worker's lease has expired although its heartbeats arrived. The worker then
-    /// counts as one on which several responses had no effect.
+    /// Records that the worker's lease has expired although its heartbeats arrived. The expiry
+    /// counts like several responses without effect.
     pub fn record_expired_lease(&mut self) {
         self.missed = self.missed.max(MAX_MISSED_ACKS);
     }
@@ -91,7 +91,8 @@
         self.missed
     }
 
-    /// Whether so many responses had no effect that a single lost response does not explain it.
+    /// Whether several consecutive responses had no effect, which a single lost response does not
+    /// explain.
     pub fn suggest_partition(&self) -> bool {
         self.missed >= MAX_MISSED_ACKS
     }
--- a/crates/gladekeel-controller/src/leader/machine/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/machine/liveness.rs
@@ -42,8 +42,8 @@
     unanswered_commands: u32,
     /// Since when the worker has counted as unresponsive; `None` if it does not.
     unresponsive_since: Option<f64>,
-    /// Since when other machines are known to have responded while this one was unresponsive;
-    /// `None` if there is no such suspicion.
+    /// Since when the machine has been suspect, because other machines responded while this one was
+    /// unresponsive; `None` if it is not suspect.
     suspect_since: Option<f64>,
 }
 
--- a/crates/gladekeel-controller/src/leader/machine/mod.rs
+++ b/crates/gladekeel-controller/src/leader/machine/mod.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// When a machine was provisioned, from which the boot timeout of the machine is counted.
+/// When a machine was provisioned. The boot timeout of the machine counts from this time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ProvisionedAt {
     /// The machine was provisioned at this time, in seconds on the node's clock.
@@ -125,14 +125,14 @@
     pub draining: bool,
     /// Whether the machine is kept in the warm pool, for gangs that should start without delay.
     pub warm_pool: bool,
-    /// Whether the machine gets no new tasks for a while because tasks failed or were refused on
-    /// the machine.
+    /// The recent task failures and refused starts, which keep new tasks off the machine for a
+    /// while.
     pub quarantine: Quarantine,
     /// The attempts on the machine, and the resources that they request.
     pub workload: Workload,
-    /// Whether the existence of the machine is known from another source than its heartbeats. A
-    /// delayed copy of a heartbeat may name a machine that no longer exists, so a machine whose
-    /// existence is not confirmed gets no tasks.
+    /// Whether the cloud, the assignment log or a heartbeat under the leader's token confirms that
+    /// the machine exists. A delayed copy of an older heartbeat may name a machine that no longer
+    /// exists, so a machine whose existence is not confirmed gets no tasks.
     pub existence_confirmed: bool,
     /// The direct commands to the worker that have not received a response.
     pub commands: OutstandingCommands,
@@ -217,8 +217,8 @@
         self.listing.state().is_some() || self.provisioned_at == ProvisionedAt::BeforeTerm
     }
 
-    /// Whether the messages exchanged with the machine allow new tasks on it: its existence is
-    /// confirmed, and its worker acts on the responses to its heartbeats.
+    /// Whether the machine is reachable, so that it may get new tasks: its existence is confirmed,
+    /// and its worker acts on the responses to its heartbeats.
     pub fn is_reachable(&self) -> bool {
         self.existence_confirmed && self.acknowledgements.missed() == 0
     }
--- a/crates/gladekeel-controller/src/leader/machine/outstanding_commands.rs
+++ b/crates/gladekeel-controller/src/leader/machine/outstanding_commands.rs
@@ -1,8 +1,9 @@
 //! Direct commands to a worker that await a response or have received none.
 //!
 //! A start that was sent directly and received no response may be executed at any later time.
-//! Until the start is settled, its attempt is neither released for being absent from a heartbeat
-//! nor forgotten ("Proof of absence" in `docs/safety.md`).
+//! Until the start is settled, its attempt is not released when the task is absent from a
+//! heartbeat, and no forget command is sent for the attempt ("Proof of absence" in
+//! `docs/safety.md`).
 
 use crate::leader::AttemptId;
 use std::collections::BTreeMap;
@@ -36,7 +37,7 @@
         self.unsettled_starts.extend(starts.iter().map(|id| (*id, UnsettledStart::InFlight)));
     }
 
-    /// Records that the request in flight has its outcome: a response, or none.
+    /// Records that the request in flight has ended, with a response or without one.
     pub fn record_request_outcome(&mut self) {
         self.in_flight = false;
     }
