--- a/crates/gladekeel-controller/src/assignment_log/writer.rs
+++ b/crates/gladekeel-controller/src/assignment_log/writer.rs
@@ -205,7 +205,7 @@
     }
 }
 
-/// The number of rows of type `R` that these bytes contain.
+/// The number of rows of type `R` in the encoded `rows`.
 fn row_count<R>(rows: &[u8]) -> U16 {
     U16::new((rows.len() / size_of::<R>()) as u16)
 }
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
@@ -135,8 +135,8 @@
         };
     }
 
-    /// Returns how many more assignments a scheduling cycle should decide: about as many as can be
-    /// written in one second, minus those already proposed.
+    /// Returns how many more assignments a scheduling cycle should propose: about as many as can be
+    /// written in one second, minus the proposed assignments that are already pending.
     pub fn max_new_assignments(&self, deployment: &Deployment) -> usize {
         let capacity = self.limits.segment_capacity as f64;
         let bytes_per_s = capacity * deployment.store.write_rps * ASSIGNMENT_WRITE_SHARE;
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/slots.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/slots.rs
@@ -38,8 +38,8 @@
 }
 
 impl LiveSegment {
-    /// Drops entries that newer segments or releases have made obsolete from the end of each of the
-    /// two lists, until the last entry is one whose newest record may be in this segment.
+    /// Drops entries from the end of each of the two lists while newer segments or releases have
+    /// made the last entry obsolete.
     fn drop_obsolete_tail(&mut self, records: LeaderRecords<'_>) {
         let sequence = self.sequence;
         let is_obsolete = |id: &mut AttemptId| !records.is_newest_assignment(sequence, *id);
--- a/crates/gladekeel-controller/src/leader/commands/mod.rs
+++ b/crates/gladekeel-controller/src/leader/commands/mod.rs
@@ -8,10 +8,10 @@
 //! is built. Adding a machine twice, or a machine for which no command is due, is therefore
 //! harmless.
 //!
-//! Upholds "Direct commands" of `docs/safety.md`: a start that received no response may be executed
-//! at any later time while its fencing token and incarnation match those of the worker. Until such
-//! a start is [settled](unsettled_starts), its attempt is not released when the task is absent from
-//! a heartbeat, and no forget command is sent for the attempt.
+//! This module upholds "Direct commands" of `docs/safety.md`: a start that received no response may
+//! be executed at any later time while its fencing token and incarnation match those of the worker.
+//! Until such a start is [settled](unsettled_starts), its attempt is not released when the task is
+//! absent from a heartbeat, and no forget command is sent for the attempt.
 
 mod outcome;
 mod queue;
--- a/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
@@ -26,7 +26,8 @@
 const MIN_SUSPECT_S: f64 = 2.5;
 /// The boot timeout of a machine, as a multiple of the usual boot time of its type.
 const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
-/// Added to the boot timeout, in seconds, for machine types whose usual boot time is near zero.
+/// Margin that is added to the boot timeout, in seconds, because the usual boot time of some
+/// machine types is near zero.
 const BOOT_TIMEOUT_MARGIN_S: f64 = 10.0;
 /// The boot time assumed for a machine of unknown type, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
--- a/crates/gladekeel-controller/src/leader/machine/acknowledgements.rs
+++ b/crates/gladekeel-controller/src/leader/machine/acknowledgements.rs
@@ -18,15 +18,15 @@
 pub struct ExpectedEffects {
     /// Whether the response carried a fencing token that the worker had not yet seen.
     token_seen: bool,
-    /// The numbers, as known to the worker, of the attempts for which the response has a start.
+    /// The attempt numbers in the start commands of the response.
     starts: Vec<u64>,
-    /// The numbers, as known to the worker, of the attempts for which the response has a forget.
+    /// The attempt numbers in the forget commands of the response.
     forgets: Vec<u64>,
 }
 
 impl ExpectedEffects {
     /// Returns the expected effects of a response with `commands`. `knows_token` says whether the
-    /// worker built the heartbeat before the response under this leader's token.
+    /// worker had already seen this leader's token when it built the heartbeat.
     pub fn of_response(commands: &[Command], knows_token: bool) -> ExpectedEffects {
         let mut effects = ExpectedEffects { token_seen: !knows_token, ..Default::default() };
         for command in commands {
--- a/crates/gladekeel-controller/src/leader/machine/image_cache.rs
+++ b/crates/gladekeel-controller/src/leader/machine/image_cache.rs
@@ -16,7 +16,7 @@
 pub struct ImageCache {
     /// Images that are cached or being fetched, least recently used first.
     entries: Vec<CacheEntry>,
-    /// The images that are completely fetched, since a task was seen to use them.
+    /// The images that are known to be completely fetched, because a task was seen to use them.
     cached: BTreeSet<ImageIdx>,
 }
 
--- a/crates/gladekeel-controller/src/leader/machine/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/machine/liveness.rs
@@ -8,7 +8,8 @@
 /// unresponsive.
 const MAX_UNANSWERED_COMMANDS: u32 = 2;
 
-/// The newest heartbeat that reached a controller.
+/// When a heartbeat last reached a controller, and the newest incarnation that sent one. Before the
+/// first heartbeat, `at` is the time at which the machine became known.
 #[derive(Debug, Clone, Copy)]
 struct LastHeartbeat {
     at: f64,
--- a/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
@@ -179,7 +179,7 @@
         if status.state != TaskState::Exited {
             commands.push(Command::Stop { task, attempt, grace_s: 0.0 });
         } else if machine.is_some_and(|machine| !machine.commands.may_still_start(id)) {
-            // The leader has no such attempt on this machine, so its release is committed. After a
+            // The attempt is no longer assigned here, so its release is committed. After a
             // heartbeat under the current token, no start of the attempt can still arrive.
             commands.push(Command::Forget { task, attempt });
         }
--- a/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
@@ -23,7 +23,8 @@
     /// ones. A worker has only one heartbeat in flight and applies responses in order, so the
     /// heartbeat also reflects every earlier response of this leader.
     Current,
-    /// Another token. Commands or responses may still be in transit to the worker.
+    /// Another token. Commands or responses whose effects the heartbeat does not show may still be
+    /// in transit to the worker.
     Other,
 }
 
