--- a/crates/gladekeel-controller/src/leader/machine/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/machine/liveness.rs
@@ -8,7 +8,8 @@
 /// unresponsive.
 const MAX_UNANSWERED_COMMANDS: u32 = 2;
 
-/// The newest heartbeat that reached a controller.
+/// When a heartbeat last reached a controller, and the newest incarnation that sent one. Before the
+/// first heartbeat, `at` is the time at which the machine became known.
 #[derive(Debug, Clone, Copy)]
 struct LastHeartbeat {
     at: f64,
@@ -42,8 +43,8 @@
     unanswered_commands: u32,
     /// Since when the worker has counted as unresponsive; `None` if it does not.
     unresponsive_since: Option<f64>,
-    /// Since when other machines are known to have responded while this one was unresponsive;
-    /// `None` if there is no such suspicion.
+    /// Since when the machine has been suspect, because other machines responded while this one was
+    /// unresponsive; `None` if it is not suspect.
     suspect_since: Option<f64>,
 }
 
