--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Format, lints, documentation and tests; the one command that README names.
+# Checks formatting, lints and documentation, and runs all tests.
 set -euo pipefail
 cd "$(dirname "$0")"
 
