--- a/crates/gladekeel-sched/src/autoscaling.rs
+++ b/crates/gladekeel-sched/src/autoscaling.rs
@@ -10,7 +10,7 @@
 //! counts as due at the time when a new machine could have completed it. In addition:
 //!
 //! - work that has yet to arrive counts to the extent that it will be due by the same time;
-//! - as long as there is work for them, as many machines are requested as were busy recently, so
+//! - as many machines are requested as were busy recently, as far as there is work for them, so
 //!   that lost machines are replaced before work is late;
 //! - a pending gang needs its machines at once, in addition to those that run other tasks.
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// The rate at which work of a class of jobs arrives, as measured in the last minutes.
+/// The rate at which work of a class of jobs arrives, as measured over the last few minutes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ArrivalRate {
     /// Number of machines that the arriving work keeps busy.
@@ -81,7 +81,8 @@
     pub scale_out: f64,
     /// Number of machines that the known work requires; idle machines beyond it may be removed.
     pub required: f64,
-    /// Number of machines up to which idle spot machines are kept, for the usual load.
+    /// Total number of machines up to which idle spot machines are kept, in anticipation of the
+    /// usual load.
     pub retain: f64,
 }
 
@@ -181,8 +182,8 @@
             .fold(0.0, f64::max)
     }
 
-    /// Returns how many machines to add so that pending gangs fit beside all running tasks, even if
-    /// those tasks are about to end.
+    /// Returns how many machines to add so that pending gangs fit in addition to all running tasks,
+    /// even if those tasks are about to end.
     fn scale_out_for_gangs(&self) -> f64 {
         let gangs = self.pending_gangs();
         if gangs > 0.0 { self.running() + gangs - self.supply.total() } else { 0.0 }
@@ -226,8 +227,8 @@
         }
     }
 
-    /// Returns how many of the recently busy machines are missing although there is work for them;
-    /// zero or negative if none is missing.
+    /// Returns how many of the recently busy machines must be replaced, because they are neither up
+    /// nor booting although there is work for them; zero or negative if there are none.
     fn lost_machines(&self, input: &ScalingInput<'_>) -> f64 {
         let with_work = self.smoothed_busy.min(input.running() + input.pending());
         with_work - input.supply.up - input.supply.booting.len() as f64
--- a/crates/gladekeel-sched/src/candidate_index.rs
+++ b/crates/gladekeel-sched/src/candidate_index.rs
@@ -23,7 +23,7 @@
 struct CandidateKey {
     /// Free CPUs, in thousandths.
     free_cpus: i64,
-    /// Position of the machine in the cycle.
+    /// Position of the machine in the cycle's list of machines.
     machine: u32,
 }
 
@@ -66,7 +66,7 @@
     /// Position of each machine's pool in `pools`, by the machine's position; `None` if the
     /// machine is not a candidate.
     pool_of: Vec<Option<usize>>,
-    /// Machines that take no further tasks in this cycle.
+    /// Positions of the reserved machines, which take no further tasks in this cycle.
     reserved: BTreeSet<usize>,
     /// Machines that are not fetching any image.
     network_idle: MachinesByPool,
@@ -165,8 +165,8 @@
     }
 
     /// Returns the machines on which the image is in this state, by pool; `None` if the image is
-    /// not indexed. The machines for [`ImageState::Fetching`] include those that have the image,
-    /// and those for the absent states are chosen by network state alone.
+    /// not indexed. [`ImageState::Fetching`] also returns machines that have the image, and the
+    /// absent states return all machines in that network state, whatever images they have.
     fn machines_by_pool(
         &mut self,
         state: ImageState,
@@ -268,8 +268,8 @@
         }
     }
 
-    /// Records that a machine starts to fetch an image. `free` is what was free on the machine
-    /// before the task that needs the image was bound to it.
+    /// Records that a machine starts to fetch an image. `free` holds the machine's free resources
+    /// before the task that needs the image was bound.
     pub fn record_fetch_started(&mut self, position: usize, free: Resources, image: ImageIdx) {
         let Some(pool) = self.pool_of.get(position).copied().flatten() else { return };
         let key = CandidateKey::new(free, position);
--- a/crates/gladekeel-sched/src/cycle/binder.rs
+++ b/crates/gladekeel-sched/src/cycle/binder.rs
@@ -12,7 +12,7 @@
 enum Entitlement {
     /// The task is a speculative restart, which goes ahead of other jobs' new tasks.
     SpeculativeRestart,
-    /// The task is within its team's guarantee, which bounds the number of such tasks.
+    /// The task is within its team's guarantee, whatever its job's fair share.
     Guarantee,
     /// The task is within its job's fair share.
     FairShare,
@@ -60,9 +60,9 @@
 
     /// Binds tasks of overdue jobs and returns the jobs that may still be placed afterwards.
     ///
-    /// If an overdue gang does not fit now but would fit on empty machines, the jobs behind it are
-    /// left out and wait: the resources that the gang needs become free together only if these jobs
-    /// do not take them.
+    /// If an overdue gang does not fit now but would fit on empty machines, the jobs after it in
+    /// `order` are not returned and must wait: the resources that the gang needs become free
+    /// together only if these jobs do not take them.
     fn bind_overdue<'o>(&mut self, order: &'o [usize], allocations: &[u32]) -> &'o [usize] {
         for (rank, position) in order.iter().copied().enumerate() {
             let job = &self.cycle.jobs[position];
@@ -80,8 +80,9 @@
         order
     }
 
-    /// Binds the fair share of an overdue job, or one task if its tasks are so large that the share
-    /// rounds down to none. Reserves a machine if the job still has no task on any machine.
+    /// Binds as many tasks of an overdue job as its fair share covers, or one task if the tasks are
+    /// so large that the share covers none. Reserves a machine if the job still has no task on any
+    /// machine.
     fn bind_overdue_array(&mut self, position: usize, allocation: u32) {
         let tasks = allocation.max(1);
         self.bind_tasks(position, tasks, Entitlement::FairShare, ImageFilter::Any);
@@ -120,7 +121,8 @@
             .chunk_by(|a, b| jobs[*a].priority == jobs[*b].priority)
             .map(<[usize]>::to_vec)
             .collect();
-        // Guarantees precede shares, so that no team waits for another one within its guarantee.
+        // Guarantees precede shares, so that a team's guaranteed tasks never wait for other teams'
+        // tasks.
         let entitlements = [Entitlement::Guarantee, Entitlement::FairShare, Entitlement::Borrowed];
         for entitlement in entitlements {
             for group in &groups {
@@ -184,8 +186,8 @@
     /// Binds all pending tasks of a gang or none of them; returns whether they were bound.
     fn bind_gang(&mut self, position: usize, entitlement: Entitlement) -> bool {
         let job = &self.cycle.jobs[position];
-        // A gang must fit into what is left of the cycle's bindings. Only the first bindings of a
-        // cycle may exceed the maximum, since a gang can be larger than a whole cycle.
+        // A gang must fit into the number of bindings that the cycle may still make. Only a gang
+        // that is bound first may exceed it, since a gang can have more tasks than `max_bindings`.
         let exceeds_cycle = !self.bindings.is_empty()
             && self.bindings.len() + job.pending as usize > self.cycle.max_bindings;
         if job.pending == 0
--- a/crates/gladekeel-sched/src/cycle/gang.rs
+++ b/crates/gladekeel-sched/src/cycle/gang.rs
@@ -21,7 +21,7 @@
     tasks: Reverse<u32>,
     /// Free CPUs, in thousandths: the fullest machine is preferred.
     free_cpus: i64,
-    /// Position of the machine in the cycle.
+    /// Position of the machine in the cycle's list of machines.
     machine: usize,
     /// Zone of the machine.
     zone: ZoneIdx,
@@ -49,9 +49,9 @@
     slowest_image: ImageState,
 }
 
-/// Returns machines for all pending tasks of a gang; `None` if they do not fit on the free
-/// resources. A single-zone gang gets the zone where its image is ready soonest and, among such
-/// zones, the one where it needs the fewest machines.
+/// Returns machines for all pending tasks of a gang; `None` if the usable machines' free resources
+/// cannot hold all of them. A single-zone gang gets the zone where its image is ready soonest and,
+/// among such zones, the one where it needs the fewest machines.
 pub(super) fn place(
     cycle: &SchedulingCycle,
     gang: usize,
--- a/crates/gladekeel-sched/src/cycle/state.rs
+++ b/crates/gladekeel-sched/src/cycle/state.rs
@@ -4,15 +4,16 @@
 use crate::snapshot::{SchedulableJob, SchedulableMachine, TeamQuota};
 use crate::{DenseIndex, Resources};
 
-/// Upper bound for the share of the cluster that one task counts for. It keeps the share finite if
-/// a task requests a resource of which the cluster has none.
+/// Upper bound on the share of the cluster that one task requests. It keeps the share finite if a
+/// task requests a resource of which the cluster has none.
 const MAX_TASK_SHARE: f64 = 1e6;
 /// Lower bound for the task share by which an allocation is divided: the share of a task that
 /// requests nothing is 0.
 const MIN_TASK_SHARE: f64 = 1e-12;
 /// Added before rounding down, so that a floating-point error does not cost a whole task.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// Maximum number of tasks in an allocation, before the job's remaining tasks bound it.
+/// Upper bound on an allocation, in tasks, before its conversion to an integer; the number of the
+/// job's remaining tasks then limits the allocation further.
 const MAX_TASKS: f64 = 1e9;
 
 /// The snapshot that a scheduling cycle works on. Binding and preemption update this snapshot.
@@ -34,8 +35,8 @@
 }
 
 impl SchedulingCycle {
-    /// Returns the positions of the jobs in scheduling order: overdue jobs first, the longest wait
-    /// ahead; then by descending priority, ascending virtual size and descending age.
+    /// Returns the positions of the jobs in scheduling order: overdue jobs first, by descending
+    /// waiting time; then by descending priority, ascending virtual size and descending age.
     pub fn job_order(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.jobs.len()).collect();
         order.sort_by_key(|position| {
--- a/crates/gladekeel-sched/src/indices.rs
+++ b/crates/gladekeel-sched/src/indices.rs
@@ -33,7 +33,7 @@
         pub struct $name(u32);
 
         impl $name {
-            /// Returns the index with this number.
+            /// Returns the index with the value `number`.
             pub const fn new(number: u32) -> $name {
                 $name(number)
             }
--- a/crates/gladekeel-sched/src/intern.rs
+++ b/crates/gladekeel-sched/src/intern.rs
@@ -18,7 +18,7 @@
 }
 
 impl<T: Clone + Eq + Hash, I: DenseIndex> Interner<T, I> {
-    /// Returns the index of a name, and assigns the next free one if the name has none yet.
+    /// Returns the index of a name, and assigns the next free index if the name has none yet.
     pub fn intern(&mut self, name: &T) -> I {
         if let Some(index) = self.indices.get(name) {
             return *index;
--- a/crates/gladekeel-sched/src/preemption.rs
+++ b/crates/gladekeel-sched/src/preemption.rs
@@ -24,7 +24,7 @@
 pub struct PreemptionCandidate {
     /// Identifies the candidate to the caller.
     pub id: u64,
-    /// Position of the candidate's machine in the cycle.
+    /// Position of the candidate's machine in the cycle's list of machines.
     pub machine: usize,
     /// Team of the candidate's job.
     pub team: TeamIdx,
@@ -57,13 +57,13 @@
 /// work come first.
 #[derive(Debug, Clone)]
 pub struct PreemptionCandidates {
-    /// The candidates of each machine, by the machine's position in the cycle.
+    /// The candidates on each machine, by the machine's position in the cycle's list of machines.
     by_machine: Vec<Vec<PreemptionCandidate>>,
 }
 
 /// The candidates to stop on one machine so that a task fits there.
 struct Eviction {
-    /// Work that is lost in all, in CPU-seconds.
+    /// Total work that the candidates lose, in CPU-seconds.
     lost_work: f64,
     /// The candidates' [`PreemptionCandidate::id`]s.
     ids: Vec<u64>,
@@ -258,8 +258,8 @@
         && job.is_feasible_on(machine)
 }
 
-/// Returns the zones to try for a gang, one after another; `None` in the list stands for all zones
-/// at once.
+/// Returns the zone constraints to try for a gang, in order; `None` in the list allows all zones at
+/// once.
 fn allowed_zones(cycle: &SchedulingCycle, gang: &SchedulableJob) -> Vec<Option<ZoneIdx>> {
     if !gang.single_zone {
         return vec![gang.zone];
--- a/crates/gladekeel-sched/src/resources.rs
+++ b/crates/gladekeel-sched/src/resources.rs
@@ -6,8 +6,8 @@
 
 /// Number of integer units in one CPU, GPU or GB: amounts are kept in thousandths.
 const UNIT: f64 = 1000.0;
-/// Tolerance in rounding, so that the error of a floating-point product does not change an exact
-/// amount.
+/// Rounding tolerance in thousandths, so that a floating-point error in a product does not move an
+/// exact amount to a neighbouring thousandth.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// An amount of CPU, GPU and memory, in thousandths, so that sums are exact.
@@ -34,7 +34,7 @@
         Resources { cpus: round_down(cpus), gpus: round_down(gpus), memory: round_down(memory_gb) }
     }
 
-    /// Whether each of these amounts is at most the one in `other`.
+    /// Whether each of these amounts is at most the corresponding amount in `other`.
     pub fn fits_in(self, other: Resources) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus && self.memory <= other.memory
     }
@@ -50,8 +50,8 @@
             .min(i64::from(max)) as u32
     }
 
-    /// Returns the largest of the shares that these resources have of a capacity's CPUs, GPUs and
-    /// memory; infinite if they include a resource of which the capacity has none.
+    /// Returns the dominant share of these resources: the largest fraction of a capacity's CPUs,
+    /// GPUs or memory that they take. Infinite if they include a resource that the capacity lacks.
     pub fn dominant_share_of(self, capacity: Resources) -> f64 {
         let share = |request: i64, capacity: i64| match (request, capacity) {
             (0, _) => 0.0,
--- a/crates/gladekeel-sched/src/snapshot.rs
+++ b/crates/gladekeel-sched/src/snapshot.rs
@@ -106,9 +106,9 @@
     pub task_request: Resources,
     /// Number of tasks that have not completed.
     pub remaining: u32,
-    /// How many of the `remaining` tasks are to be placed; the others count as assigned.
+    /// How many of the `remaining` tasks the cycle may place; the others count as assigned.
     pub pending: u32,
-    /// How many of the `pending` tasks are speculative restarts.
+    /// How many of the `pending` tasks are speculative restarts, which were stopped as stragglers.
     pub speculative_restarts: u32,
     /// Container image of the job.
     pub image: ImageIdx,
@@ -122,17 +122,18 @@
     pub max_tasks_per_zone: u32,
     /// Whether spot machines are allowed.
     pub allows_spot: bool,
-    /// Number of tasks on machines, by zone index; zones beyond the end have none.
+    /// Number of the job's tasks on machines in each zone, by zone index; zones beyond the end have
+    /// none.
     pub tasks_by_zone: Vec<u32>,
     /// Whether the job is a gang, whose tasks start all together or not at all.
     pub gang: bool,
-    /// Whether the job is a gang that has not started and has lost some of its assigned tasks; the
-    /// lost tasks may then be placed without the others.
+    /// Whether a gang's pending tasks may be placed without the others, because the gang has not
+    /// started and only replaces tasks that it lost. Ignored unless `gang` is true.
     pub replaces_gang_members: bool,
     /// Seconds for which the job has waited beyond the allowed time without a task on any machine;
     /// 0 if it is not overdue. Jobs with the longest wait go first.
     pub overdue_s: u32,
-    /// Whether the job may use only machines that have its image for now, because it should start
+    /// Whether the job may for now use only machines that have its image, because it should start
     /// sooner than the image can be fetched.
     pub requires_cached_image: bool,
 }
--- a/crates/gladekeel-sched/src/straggler.rs
+++ b/crates/gladekeel-sched/src/straggler.rs
@@ -44,8 +44,8 @@
     stragglers
 }
 
-/// Returns the median of `values` and reorders them; the upper of the two middle values if their
-/// number is even, `None` if there are no values.
+/// Returns the median of `values`, or the upper of the two middle values if their number is even;
+/// `None` if there are no values. Reorders `values`.
 pub fn median(values: &mut [f64]) -> Option<f64> {
     if values.is_empty() {
         return None;
