--- a/crates/gladekeel-sched/tests/autoscaling.rs
+++ b/crates/gladekeel-sched/tests/autoscaling.rs
@@ -34,7 +34,10 @@
         "the tasks of a late job all run at once"
     );
     let both = plan(&[demand(150.0), demand(300.0)], 0.0, &[]);
-    assert_eq!(both.scale_out, 3.0, "work that is due later waits for the same machines");
+    assert_eq!(
+        both.scale_out, 3.0,
+        "the work due at 300 s fits on the machines for the work due at 150 s"
+    );
     assert_eq!(plan(&[JobDemand { running: 4.0, ..demand(900.0) }], 4.0, &[]).required, 4.0);
 }
 
--- a/crates/gladekeel-sched/tests/common/mod.rs
+++ b/crates/gladekeel-sched/tests/common/mod.rs
@@ -8,7 +8,7 @@
     snapshot::{SchedulableJob, SchedulableMachine, TeamQuota},
 };
 
-/// This many CPUs, and one GB of memory for each CPU.
+/// An amount of `cpus` CPUs, with one GB of memory for each CPU.
 pub fn resources(cpus: f64) -> Resources {
     Resources::requested(cpus, 0.0, cpus)
 }
--- a/crates/gladekeel-sched/tests/fair_share.rs
+++ b/crates/gladekeel-sched/tests/fair_share.rs
@@ -3,7 +3,7 @@
 use gladekeel_sched::fair_share::{Demand, FairShare};
 use proptest::prelude::*;
 
-/// Demands of jobs with these numbers of remaining tasks, each of which requests one unit of
+/// Demands of jobs whose numbers of remaining tasks are `sizes`; each task requests one unit of
 /// capacity.
 fn demands(sizes: &[u32]) -> Vec<Demand> {
     sizes.iter().map(|n| Demand { remaining: *n, task_share: 1.0 }).collect()
--- a/crates/gladekeel-sched/tests/scheduling_cycle.rs
+++ b/crates/gladekeel-sched/tests/scheduling_cycle.rs
@@ -130,8 +130,8 @@
     );
 }
 
-/// Guards against a job that never starts: small tasks would take the resources of every machine as
-/// soon as they become free, so that no machine ever holds a large task.
+/// Guards against a job that never starts: small tasks would take free resources on every machine
+/// as soon as there are any, so that no machine ever has enough for a large task.
 #[test]
 fn a_machine_is_reserved_for_an_overdue_job_whose_task_fits_nowhere() {
     let mut machines = vec![machine(0, false); 2];
--- a/crates/gladekeel-sched/tests/straggler.rs
+++ b/crates/gladekeel-sched/tests/straggler.rs
@@ -1,12 +1,13 @@
-//! Tests of which running tasks are stragglers.
+//! Tests of straggler detection.
 
 use gladekeel_sched::{
     MachineIdx,
     straggler::{RunningTask, find_stragglers, median},
 };
 
-/// Guards against restarts that gain nothing: a slow task on a machine whose other tasks run at a
-/// normal pace, or that is alone there, may just have more to do than the other tasks of its job.
+/// Guards against restarts that gain nothing: a slow task that is alone on its machine, or shares
+/// the machine with tasks that run at a normal pace, may just have more to do than other tasks of
+/// its job.
 #[test]
 fn only_tasks_on_machines_whose_tasks_are_all_slow_are_stragglers() {
     let task = |machine, run_time_s, may_restart| RunningTask {
