--- a/crates/gladekeel-controller/src/leader/scheduling/binding.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/binding.rs
@@ -18,8 +18,9 @@
 }
 
 impl Leader {
-    /// Proposes the assignment of a job's next pending task. The task's resources count against
-    /// the team's quota and the machine's capacity from now on, and the task counts in its zone.
+    /// Proposes the assignment of a job's next pending task. From now on, the task's resources
+    /// count against the team's quota and the machine's capacity, and the task counts in the job's
+    /// [`zone_placement`](crate::leader::Job::zone_placement).
     pub(super) fn bind(&mut self, binding: TaskBinding, now: f64) {
         let (Some(job), Some(machine)) =
             (self.jobs.get_mut(&binding.job), self.cluster.machines.get_mut(&binding.machine))
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle.rs
@@ -16,7 +16,8 @@
         if self.jobs.values().all(|job| job.pending.is_empty()) {
             return;
         }
-        // Resources are reserved for an overdue gang on machines that are currently full, too.
+        // Full machines are included for an overdue gang, since the cycle checks whether the
+        // machines could hold the gang if no other task were on them.
         let scope = if self.has_overdue_gang(now) { MachineScope::All } else { MachineScope::Free };
         let mut input = self.cycle_input(now, scope);
         let pending: u32 = input.cycle.jobs.iter().map(|job| job.pending).sum();
@@ -56,8 +57,8 @@
     }
 
     /// Returns the attempt number for the tasks of a gang that are bound in this cycle. If other
-    /// tasks of the gang are already on machines, waiting for the missing ones, the new tasks get
-    /// the same number as those.
+    /// tasks of the gang are already on machines, waiting for the missing ones, the new tasks
+    /// share the attempt number of those tasks.
     fn next_gang_attempt(&mut self, job_idx: JobIdx) -> u64 {
         let gang = &self.jobs[&job_idx];
         if self.attempts.of_job(job_idx).is_empty() {
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -7,7 +7,8 @@
 use gladekeel_wire::job::JobKind;
 use std::collections::{BTreeSet, HashMap};
 
-/// A job that has waited for longer than this without a task on any machine is scheduled first.
+/// A job that has waited for longer than this without a task on any machine is overdue and is
+/// scheduled first.
 pub(super) const OVERDUE_AFTER_S: f64 = 60.0;
 /// Once an array or service has waited for longer than this without a task on any machine, all jobs
 /// may use the warm pool.
@@ -41,7 +42,7 @@
     /// Machines that can take a task now.
     Free,
     /// All machines, also those that are full or must not get tasks at present: their resources
-    /// may be reserved for later, or freed by preemption.
+    /// may be kept for an overdue gang, or freed by preemption.
     All,
 }
 
@@ -63,13 +64,14 @@
         input
     }
 
-    /// Adds the machines in `scope` to the input. Every machine that was seen, is not leaving and
-    /// has a known type and zone counts in the total capacity, whatever the scope.
+    /// Adds the machines in `scope` to the input. Every machine whose worker this process has
+    /// seen, that is not leaving and whose type and zone are known counts in the total capacity,
+    /// whatever the scope.
     fn add_machines(&self, input: &mut CycleInput, now: f64, scope: MachineScope) {
         let unreachable_zones: BTreeSet<ZoneIdx> =
             self.failure_detector.unreachable_zones(now).collect();
-        // The warm pool is open to all jobs once an array or service is starved, so that its wait
-        // does not become too long.
+        // The warm pool is open to all jobs once an array or service is starved, so that such a job
+        // does not wait for too long.
         let warm_pool_reserved = !self.is_any_array_or_service_starved(now);
         for (machine_idx, machine) in &self.cluster.machines {
             let (Some(machine_type), Some(zone)) = (machine.machine_type, machine.zone) else {
--- a/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
@@ -6,8 +6,8 @@
 use gladekeel_sched::JobIdx;
 use gladekeel_wire::worker::TaskStatus;
 
-/// How long the scheduler looks for a machine for the replacement of a lost task of a gang that
-/// has not started. After this the gang restarts.
+/// How long a lost task of a gang that has not started may wait for another machine, in seconds.
+/// After that, the whole gang restarts.
 const REPLACEMENT_TIMEOUT_S: f64 = 5.0;
 
 impl Leader {
@@ -19,8 +19,8 @@
         self.jobs.contains_key(&job_idx) && self.attempts.of_job(job_idx).none_started()
     }
 
-    /// Restarts gangs for whose missing tasks no machine was found within
-    /// [`REPLACEMENT_TIMEOUT_S`]. Otherwise their other tasks would occupy machines until the
+    /// Restarts each gang that has tasks on machines while its missing tasks were not bound within
+    /// [`REPLACEMENT_TIMEOUT_S`]. Otherwise the tasks on machines would occupy them until the
     /// workers time out.
     pub(in crate::leader) fn restart_incomplete_gangs(&mut self, now: f64) {
         let is_incomplete = |job_idx: JobIdx, job: &Job| {
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -32,7 +32,8 @@
         input.cycle.run(&settings.fair_share);
         let victims = self.choose_victims(now, settings, &mut input, tasks);
         if victims.is_empty() {
-            // Gangs are preempted only if no single task was, one gang at a time, each as a whole.
+            // A gang is preempted only if no single task can be: at most one gang per call, as a
+            // whole.
             self.preempt_one_gang(now, settings, &mut input, gangs);
         }
         for id in victims {
@@ -64,8 +65,8 @@
             .is_some_and(|waited_s| waited_s >= min_wait_s || requires_cached_image)
     }
 
-    /// How long a job's pending tasks have waited for resources, in seconds; `None` if the job has
-    /// none that wait, or must not be scheduled now.
+    /// How long a job's pending tasks have waited for resources, in seconds; `None` if no pending
+    /// task is waiting or the job must not be scheduled now.
     fn schedulable_wait_s(&self, job_idx: JobIdx, now: f64) -> Option<f64> {
         let job = self.jobs.get(&job_idx)?;
         if job.backoff.is_active(now) || job.pending.is_empty() {
--- a/crates/gladekeel-controller/src/leader/scheduling/stragglers.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/stragglers.rs
@@ -10,7 +10,7 @@
 use gladekeel_wire::{job::JobKind, worker::TaskState};
 use std::collections::{BTreeMap, HashMap};
 
-/// Number of calls in which the scan covers every machine once.
+/// Number of [`StragglerScan::next_batch`] calls in which the scan covers every machine once.
 const CALLS_PER_SCAN: usize = 5;
 
 /// Scans the machines in batches, one batch per call, since examining all running tasks in one
--- a/crates/gladekeel-controller/src/leader/scheduling/victims.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/victims.rs
@@ -11,17 +11,17 @@
 };
 use std::collections::BTreeMap;
 
-/// The limit on victims of one call is the number of machines divided by this, but at least
-/// [`MIN_VICTIMS`].
+/// The maximum number of victims of one [`VictimSearch`] is the number of machines divided by this
+/// value, but at least [`MIN_VICTIMS`].
 const MACHINES_PER_VICTIM: usize = 20;
-/// Lower bound of the limit on victims of one call.
+/// Lower bound on the maximum number of victims of one [`VictimSearch`].
 const MIN_VICTIMS: usize = 8;
-/// Maximum number of gangs for which one call searches for victims, since each search copies the
-/// whole input.
+/// Maximum number of gangs for which one [`VictimSearch`] looks for victims, since looking for the
+/// victims of a gang copies the whole input.
 const MAX_GANG_SEARCHES: usize = 4;
 
-/// Gangs that may be preempted: one candidate for each job and each position of a machine that has
-/// tasks of that job.
+/// Gangs that may be preempted: one candidate for each gang and each machine that has tasks of the
+/// gang, by the gang's job index and the machine's position in the [`CycleInput`].
 pub(super) type GangCandidates = BTreeMap<(JobIdx, usize), PreemptionCandidate>;
 
 /// The candidates for preemption.
@@ -45,9 +45,8 @@
     }
 }
 
-/// The search for tasks to preempt, for one waiting job after another. In `input`, the victims
-/// found so far count as stopped, and their resources as used by the jobs that they were found
-/// for.
+/// Searches for tasks to preempt, for each waiting job in turn. In `input`, the victims found so
+/// far count as stopped, and their resources as used by the jobs for which the victims were found.
 pub(super) struct VictimSearch<'a> {
     pub input: &'a mut CycleInput,
     candidates: PreemptionCandidates,
