--- a/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
@@ -7,11 +7,11 @@
 
 /// Time constant with which the weight of past arrivals decays, in seconds.
 const ARRIVAL_DECAY_S: f64 = 60.0;
-/// Minimum work, in machine-seconds, that the mean due time of a class is divided by. Avoids a
-/// division by zero.
+/// Minimum total work of a class, in machine-seconds. Avoids a division by zero when the mean due
+/// time is updated.
 const MIN_WORK: f64 = 1e-9;
 
-/// A class of jobs, as named by users, on the machine type that its jobs are planned for.
+/// A class of jobs, as named by users, and the machine type that its jobs are planned for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ArrivalClass {
     pub machine_type: MachineTypeIdx,
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/deleted_machines.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/deleted_machines.rs
@@ -2,10 +2,11 @@
 
 use std::collections::{HashMap, VecDeque};
 
-/// How long a tombstone is kept, in seconds. Longer than heartbeats and lists can be delayed.
+/// How long a tombstone is kept, in seconds: longer than any heartbeat or list can be delayed.
 const TOMBSTONE_S: f64 = 600.0;
 
-/// Machines whose deletion is confirmed. Late heartbeats and lists that name them are ignored.
+/// Machines whose deletion is confirmed. Late heartbeats of such machines and their rows in late
+/// lists are ignored.
 #[derive(Debug, Default)]
 pub(super) struct DeletedMachines {
     deleted_at: HashMap<String, f64>,
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/mod.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/mod.rs
@@ -58,7 +58,7 @@
 
     /// Returns the names of the machines for the next delete request, and marks their deletion as
     /// requested. Machines with tasks come first, since those machines are lost or about to lose
-    /// their lease. The machines get no more tasks from now on.
+    /// their lease. The machines have received no new tasks since their deletion was planned.
     fn take_machines_to_delete(&mut self) -> Vec<String> {
         let key = |machine_idx: &MachineIdx| {
             let machine = self.cluster.machines.get(machine_idx)?;
@@ -77,7 +77,8 @@
         names
     }
 
-    /// Returns a rent request that must be retried, else one for the next scale-out.
+    /// Returns a rent request whose retry is due or, if there is none, a new rent request for the
+    /// next scale-out.
     fn next_rent_request(&mut self, now: f64) -> Option<CreateMachinesRequest> {
         if let Some(rent) = self.cluster.cloud.next_rent_retry(now) {
             return Some(rent);
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
@@ -76,7 +76,7 @@
 /// The cloud's list of machines, read page by page.
 #[derive(Debug, Default)]
 struct MachineListing {
-    /// The rows of the pages read so far.
+    /// The rows of those pages of the current list that were read so far.
     rows: Vec<ListedMachine>,
     /// Number of pages of the last complete list.
     pages: u32,
@@ -101,7 +101,7 @@
     backoff_until: f64,
 }
 
-/// Whether the interval has passed since a time; true if there was no such time.
+/// Whether `interval_s` seconds have passed since the time `since`; true if `since` is `None`.
 fn has_passed(since: Option<f64>, interval_s: f64, now: f64) -> bool {
     since.is_none_or(|since| now - since >= interval_s)
 }
@@ -118,8 +118,8 @@
         self.deleted.add(name, now);
     }
 
-    /// Removes records of deletions that are too old for a late heartbeat or list to name the
-    /// machine.
+    /// Removes records of deletions that are so old that no late heartbeat or list can still name
+    /// the machine.
     pub(super) fn expire_deletions(&mut self, now: f64) {
         self.deleted.expire(now);
     }
@@ -129,7 +129,7 @@
         self.no_capacity_until.get(&pool).is_none_or(|until| now >= *until)
     }
 
-    /// Records that a pool had fewer machines than requested.
+    /// Records that the cloud did not rent out all requested machines of a pool.
     pub(super) fn record_no_capacity(&mut self, pool: MachinePool, now: f64) {
         self.no_capacity_until.insert(pool, now + NO_CAPACITY_BACKOFF_S);
     }
@@ -142,8 +142,8 @@
         self.scale_outs.push(ScaleOut { pool, count });
     }
 
-    /// Drops the scale-outs for which no rent request was made yet, before the autoscaler decides
-    /// again.
+    /// Drops the scale-outs for which no rent request was made yet. Called each time before the
+    /// autoscaler plans again.
     pub fn clear_scale_outs(&mut self) {
         self.scale_outs.clear();
     }
--- a/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
@@ -14,20 +14,20 @@
 /// divided between its tasks and its free resources, by their shares of its capacity.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct CostBreakdown {
-    /// Machines that were not up yet.
+    /// Cost of machines that were not up yet.
     pub boot: f64,
-    /// Machines that were up without any task.
+    /// Cost of machines that were up without any task.
     pub idle: f64,
-    /// Free resources on machines that had tasks.
+    /// Cost of free resources on machines that had tasks.
     pub gaps: f64,
-    /// Tasks that were assigned but not running yet, for example while their image was fetched.
+    /// Cost of tasks that were assigned but not running, for example while their image was fetched.
     pub waiting: f64,
-    /// Running tasks.
+    /// Cost of running tasks.
     pub running: f64,
 }
 
 /// When costs were last added up and logged. The sums themselves are in the leader's counters,
-/// which outlive its token.
+/// which outlive its fencing token.
 #[derive(Debug)]
 pub(in crate::leader) struct CostAccounting {
     accounted_until: f64,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Adds the cost of a machine for this many hours.
+    /// Adds the cost of a machine for a period of `hours` hours.
     fn add_machine_cost(&self, costs: &mut CostBreakdown, machine: &Machine, hours: f64) {
         let Some(machine_type_idx) = machine.machine_type else { return };
         let Some(machine_type) = self.catalog.machine_type(machine_type_idx) else { return };
--- a/crates/gladekeel-controller/src/leader/autoscaling/demand.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/demand.rs
@@ -36,8 +36,8 @@
 }
 
 impl Leader {
-    /// Returns the demands of unfinished jobs by machine type. Jobs count only as far as their
-    /// team's limit allows them to run, the oldest jobs first.
+    /// Returns the demands of unfinished jobs by machine type. Tasks that would exceed their team's
+    /// limit do not count; older jobs use the limit first.
     pub(super) fn demands_by_machine_type(
         &self,
         now: f64,
@@ -108,8 +108,8 @@
             .map(|(_, fit)| fit)
     }
 
-    /// Returns how a job fits a machine type, with the price of one task; `None` if the type does
-    /// not fit or is not offered in the job's zone.
+    /// Returns how a job's tasks fit on machines of a type, with the price of one task per hour;
+    /// `None` if no task fits on a machine or the type is not offered in the job's zone.
     fn fit_with_task_price(
         &self,
         job: &Job,
@@ -132,8 +132,8 @@
 struct RemainingQuotas(Vec<Resources>);
 
 impl RemainingQuotas {
-    /// Subtracts the resources of up to `max_tasks` tasks from what is left of a team's limit, and
-    /// returns for how many tasks the limit sufficed.
+    /// Subtracts the resources of up to `max_tasks` tasks from the remaining part of a team's
+    /// limit, and returns the number of tasks for which the remaining part sufficed.
     fn take(&mut self, team: TeamIdx, task_request: Resources, max_tasks: u32) -> u32 {
         let remaining = &mut self.0[team.position()];
         let available = Resources { memory: UNLIMITED_MEMORY, ..*remaining };
--- a/crates/gladekeel-controller/src/leader/autoscaling/machine_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/machine_pool.rs
@@ -1,4 +1,5 @@
-//! Machine pools: the units in which the cloud has capacity and rents out machines.
+//! Machine pools: the groups of machines, each with its own capacity in the cloud, from which
+//! machines are rented.
 
 use gladekeel_sched::{MachineTypeIdx, ZoneIdx};
 
@@ -12,7 +13,7 @@
 }
 
 impl PurchaseModel {
-    /// Returns the purchase model that the cloud's spot flag of a machine stands for.
+    /// Returns the purchase model of a machine for which the cloud reports this spot flag.
     pub fn from_spot_flag(spot: bool) -> PurchaseModel {
         if spot { PurchaseModel::Spot } else { PurchaseModel::OnDemand }
     }
--- a/crates/gladekeel-controller/src/leader/autoscaling/plan.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/plan.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Returns how many machines of the supply exceed the number of machines that are needed.
+/// Returns by how many machines the supply exceeds the number of machines that are needed.
 fn excess(supply: &Supply, needed: f64) -> usize {
     (supply.total() - needed.round()).max(0.0) as usize
 }
--- a/crates/gladekeel-controller/src/leader/autoscaling/supply.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/supply.rs
@@ -66,8 +66,8 @@
     }
 
     /// Whether a machine is up as far as the leader knows. A machine that was up before this leader
-    /// began to lead also counts as long as its silence may have another reason than its loss: the
-    /// silence is short, or the whole zone is unreachable.
+    /// began to lead also counts as long as its silence does not indicate its loss, because the
+    /// silence is short or the whole zone is unreachable.
     fn counts_as_up(&self, machine: &Machine, now: f64, unreachable_after_s: f64) -> bool {
         let is_unreachable = |zone| self.failure_detector.is_zone_unreachable(zone, now);
         let zone_unreachable = || machine.zone.is_some_and(is_unreachable);
--- a/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -1,8 +1,8 @@
 //! The warm pool: machines that are reserved for gangs that should start at once.
 //!
-//! Such a gang would start late if all of its machines had to be freed first, and its image
-//! fetched. Therefore some on-demand machines in each zone are reserved for gangs; how many depends
-//! on the gangs that arrived recently. [`Leader::maintain_warm_pool`] chooses the machines and sets
+//! Such a gang would start late if its machines had to be freed and its image fetched first.
+//! Therefore some on-demand machines in each zone are reserved for gangs; how many depends on the
+//! gangs that arrived recently. [`Leader::maintain_warm_pool`] chooses the machines and sets
 //! [`Machine::warm_pool`]. Scheduling reserves these machines for gangs until an array or service
 //! has waited for too long, and scale-in does not delete them.
 //!
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Adds a gang that needs this many machines for this many machine-seconds of work.
+    /// Adds a gang that needs `machines` machines for `machine_seconds` machine-seconds of work.
     fn add(&mut self, submitted_at: f64, machine_seconds: f64, machines: f64, image: ImageIdx) {
         self.machine_seconds =
             self.machine_seconds * decay_weight(submitted_at - self.last_at) + machine_seconds;
@@ -65,8 +65,9 @@
 
     /// Returns how many machines the gangs of the class keep busy on average.
     fn busy_machines(&self, now: f64) -> f64 {
-        // The sum covers only the time since the first gang, so it is divided by the weight of that
-        // time. The minimum for that time keeps a single gang from causing a high average.
+        // The decayed work covers only the time since the first gang, so it is divided by the
+        // weight of that time. The minimum `observed_s` keeps a single gang from causing a high
+        // average.
         let observed_s = (now - self.first_at).max(GANG_DECAY_S / 6.0);
         let weighted_s = GANG_DECAY_S * (1.0 - decay_weight(observed_s));
         self.machine_seconds * decay_weight(now - self.last_at) / weighted_s
@@ -95,7 +96,7 @@
     }
 }
 
-/// The warm pool of one machine type in one zone.
+/// Identifies the warm pool of one machine type in one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PoolKey {
     machine_type: MachineTypeIdx,
@@ -190,9 +191,9 @@
         candidates
     }
 
-    /// Chooses the machines of a zone that are reserved. Prefers machines that are in the pool
-    /// already, then machines that have the most of `images` cached, then machines on which tasks
-    /// request the fewest CPUs.
+    /// Chooses about `target` of `machines`, which have the same type and zone, for the warm pool.
+    /// Prefers machines that are in the pool already, then machines that have the most of `images`
+    /// cached, then machines on which tasks request the fewest CPUs.
     fn choose_warm_pool(
         &self,
         mut machines: Vec<MachineIdx>,
--- a/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/zone_demand.rs
@@ -80,8 +80,8 @@
         demand
     }
 
-    /// Returns the free capacity of the machines of a purchase model, including machines that are
-    /// being rented.
+    /// Returns the free capacity of the machines of a purchase model, as a number of machines by
+    /// type and zone. Machines that are being rented count as free.
     fn free_by_zone(&self, purchase_model: PurchaseModel) -> MachinesByZone {
         let mut free = MachinesByZone::default();
         for machine in self.cluster.machines.values() {
