--- a/crates/gladekeel-controller/src/leader/job/failure_backoff.rs
+++ b/crates/gladekeel-controller/src/leader/job/failure_backoff.rs
@@ -48,9 +48,9 @@
         self.failed_on.insert(machine);
     }
 
-    /// Whether the failures are caused by the job and not by the machines. A large job also has
-    /// tasks on faulty machines, so failures on several machines are not sufficient: a job that
-    /// fails by itself has more failures than the `unfinished` attempts that it has.
+    /// Whether the failures are caused by the job and not by the machines. Failures on several
+    /// machines are not sufficient, since a large job may have tasks on several faulty machines:
+    /// the failures must also outnumber the job's `unfinished` attempts.
     pub(in crate::leader) fn is_job_faulty(&self, unfinished: u32) -> bool {
         self.failed_on.len() >= MIN_FAILED_MACHINES && self.failures > unfinished
     }
--- a/crates/gladekeel-controller/src/leader/job/mod.rs
+++ b/crates/gladekeel-controller/src/leader/job/mod.rs
@@ -1,6 +1,6 @@
 //! A job: its specification and the state of its tasks, as the leader keeps them.
 //!
-//! Reconciliation adds jobs as they appear in the store and applies the ends of their attempts;
+//! Reconciliation adds jobs as they appear in the store and applies the outcomes of their attempts;
 //! scheduling binds their pending tasks. The [attempt table](super::attempt_table) holds their
 //! attempts on machines.
 
@@ -71,7 +71,7 @@
     /// Tasks that were preempted. No task is preempted a second time, since it might then never
     /// complete.
     pub preempted: TaskBitmap,
-    /// Tasks that are not on any machine.
+    /// Tasks that wait to be bound to a machine.
     pub pending: TaskQueue,
     /// Number of attempts on machines, by zone.
     pub zone_placement: ZonePlacement,
@@ -169,12 +169,12 @@
         }
     }
 
-    /// Marks all tasks as done. For gangs, whose tasks complete together.
+    /// Marks all tasks of a gang as done, since they complete together.
     pub(super) fn mark_all_done(&mut self) {
         (0..self.spec.tasks).for_each(|task_index| _ = self.done.insert(task_index));
     }
 
-    /// Marks all tasks as preempted. For gangs, whose tasks are preempted together.
+    /// Marks all tasks of a gang as preempted, since they are preempted together.
     pub(super) fn mark_all_preempted(&mut self) {
         (0..self.spec.tasks).for_each(|task_index| _ = self.preempted.insert(task_index));
     }
--- a/crates/gladekeel-controller/src/leader/job/objectives.rs
+++ b/crates/gladekeel-controller/src/leader/job/objectives.rs
@@ -11,7 +11,7 @@
 const DEFAULT_COMPLETION_MULTIPLE: f64 = 4.0;
 /// An image fetch is too long if it takes more than this fraction of the start objective.
 const MAX_FETCH_FRACTION: f64 = 0.6;
-/// A job waits for machines that have its image for this fraction of the start objective.
+/// The fraction of the start objective for which a job waits for a machine that has its image.
 const CACHED_IMAGE_WAIT_FRACTION: f64 = 0.5;
 
 impl Job {
@@ -26,9 +26,9 @@
         self.spec.deadline_s.or(objective_s).unwrap_or(DEFAULT_COMPLETION_MULTIPLE * run_s)
     }
 
-    /// Whether the job may use only machines that have its image for now. That is so if fetching
-    /// the image, which takes `fetch_s` seconds, is too long for the start objective of the job's
-    /// class, and the job has not yet waited too long for such a machine.
+    /// Whether the job may for now use only machines that have its image: fetching the image, which
+    /// takes `fetch_s` seconds, is too long for the start objective of the job's class, and the job
+    /// has not yet waited too long for such a machine.
     pub fn requires_cached_image(&self, deployment: &Deployment, fetch_s: f64, now: f64) -> bool {
         if self.gave_up_on_cached_image {
             return false;
--- a/crates/gladekeel-controller/src/leader/job/run_time_history.rs
+++ b/crates/gladekeel-controller/src/leader/job/run_time_history.rs
@@ -2,8 +2,8 @@
 
 use gladekeel_sched::straggler;
 
-/// Maximum number of run times kept for each job: enough for a median, and few enough for jobs that
-/// have many tasks.
+/// Maximum number of run times kept for each job: enough for a median, and few even if the job has
+/// many tasks.
 const MAX_RUN_TIMES: usize = 64;
 
 /// Run times of a job's recently completed tasks.
--- a/crates/gladekeel-controller/src/leader/job/task_queue.rs
+++ b/crates/gladekeel-controller/src/leader/job/task_queue.rs
@@ -81,8 +81,8 @@
         self.waiting_since.get_or_insert(now);
     }
 
-    /// Removes the tasks that are completed or assigned according to the assignment log. Only for
-    /// replay, before any task is requeued.
+    /// Keeps only the tasks for which `is_pending` returns true. Replay uses this to remove tasks
+    /// that are completed or assigned according to the assignment log, before any task is requeued.
     pub(in crate::leader) fn retain(&mut self, is_pending: impl FnMut(&u32) -> bool) {
         debug_assert_eq!(
             self.speculative_restarts, 0,
--- a/crates/gladekeel-controller/src/leader/job/zone_placement.rs
+++ b/crates/gladekeel-controller/src/leader/job/zone_placement.rs
@@ -33,7 +33,8 @@
         *self.count_mut(zone) += 1;
     }
 
-    /// Removes an attempt from the count; `zone` must be the one with which it was added.
+    /// Removes an attempt from the count of `zone`, which must be the zone in which the attempt was
+    /// counted.
     pub(in crate::leader) fn remove(&mut self, zone: Option<ZoneIdx>) {
         let count = self.count_mut(zone);
         *count = count.saturating_sub(1);
