--- a/crates/gladekeel-controller/src/leader/attempt.rs
+++ b/crates/gladekeel-controller/src/leader/attempt.rs
@@ -27,11 +27,11 @@
     Straggler,
     /// The machine is being drained or reclaimed.
     Drained,
-    /// The gang lost another task, so the gang restarts. Its progress since the last checkpoint is
-    /// lost.
+    /// Another task of the gang was lost, so the whole gang restarts. The progress of this task
+    /// since its last checkpoint is lost.
     GangRestart,
-    /// The gang was not complete in time. An image fetch in progress is not stopped, so that the
-    /// next attempt finds the image cached; otherwise the gang might never be complete.
+    /// Some tasks of the gang did not start in time. An image fetch in progress is not stopped, so
+    /// that the next attempt finds the image cached; otherwise the gang might never be complete.
     GangIncomplete,
 }
 
@@ -56,10 +56,10 @@
     pub running_since: Option<f64>,
     /// Why the attempt must stop; `None` if it need not.
     pub stop_reason: Option<StopReason>,
-    /// How often a stop was sent since the stop reason was set, or since a stop may have been lost.
+    /// Number of stops sent for the stop reason; reset to 0 when a stop may have been lost.
     pub stops_sent: u32,
-    /// Whether no further direct start may be sent, because one was sent already or because an
-    /// earlier leader made the attempt. Starts in responses to heartbeats do not count.
+    /// Whether no further direct start, which is sent outside heartbeat responses, may be sent,
+    /// because one was sent already or because an earlier leader made the attempt.
     pub no_direct_start: bool,
     /// The resources that the task requests.
     pub resources: Resources,
--- a/crates/gladekeel-controller/src/leader/attempt_id.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_id.rs
@@ -28,8 +28,8 @@
         self.0
     }
 
-    /// Returns the number by which workers know the attempt. The attempt must be one of a gang's
-    /// task, and `task_index` the index of that task.
+    /// Returns the number by which workers know the attempt. The attempt must belong to a task of a
+    /// gang, and `task_index` must be the index of that task.
     pub fn gang_number(self, task_index: u32) -> u64 {
         self.0 - u64::from(task_index)
     }
--- a/crates/gladekeel-controller/src/leader/attempt_table.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_table.rs
@@ -33,7 +33,7 @@
     machines: BTreeMap<MachineIdx, u32>,
 }
 
-/// Returned for a job that has no attempts.
+/// The value that [`AttemptTable::of_job`] returns for a job without attempts.
 static NO_ATTEMPTS: JobAttempts = JobAttempts {
     ids: BTreeSet::new(),
     uncommitted: 0,
@@ -126,8 +126,7 @@
         self.of_job(job).ids.iter().copied().collect()
     }
 
-    /// The images of the attempts on a machine that were not seen running or exited yet, each image
-    /// once.
+    /// The images, each once, of a machine's attempts that were not seen running or exited yet.
     pub fn images_not_yet_running(&self, machine: MachineIdx) -> impl Iterator<Item = ImageIdx> {
         self.not_yet_running.get(&machine).into_iter().flat_map(|images| images.keys().copied())
     }
@@ -197,7 +196,7 @@
         }
     }
 
-    /// Changes the counts of a job for an attempt in these categories.
+    /// Adds an attempt in these categories to the counts of its job, or removes it from them.
     fn count_in_job(&mut self, job: JobIdx, categories: Categories, change: Change) {
         let of_job = self.by_job.entry(job).or_default();
         change.apply_if(categories.uncommitted, &mut of_job.uncommitted);
@@ -242,7 +241,7 @@
     }
 }
 
-/// The counts that include an attempt.
+/// Which counts of the [`AttemptTable`] include an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Categories {
     uncommitted: bool,
--- a/crates/gladekeel-controller/src/leader/catalog.rs
+++ b/crates/gladekeel-controller/src/leader/catalog.rs
@@ -1,8 +1,8 @@
 //! The catalog: maps the names of teams, zones, machine types and images to dense indices.
 //!
 //! Names are converted to indices where they enter the leader; the rest of the leader uses the
-//! indices only. The indices stay the same when the leader takes a new token, since the cluster
-//! state outlives the token and refers to machine types, zones and images by index.
+//! indices only. The indices stay the same when the leader takes a new fencing token, since the
+//! cluster state outlives the token and refers to machine types, zones and images by index.
 
 use gladekeel_sched::{
     DenseIndex, ImageIdx, Interner, MachineTypeIdx, Resources, TeamIdx, ZoneIdx,
@@ -29,8 +29,8 @@
 }
 
 impl Catalog {
-    /// Prepares the catalog for a new token. Names keep their indices; the machine types are
-    /// replaced by those in the store.
+    /// Prepares the catalog for a new fencing token. Names keep their indices; the machine types
+    /// are replaced by those in the store.
     pub fn renew(&mut self, deployment: &Deployment, machine_types: Option<&MachineTypes>) {
         for team in &deployment.teams {
             self.teams.intern(&team.name);
--- a/crates/gladekeel-controller/src/leader/counters.rs
+++ b/crates/gladekeel-controller/src/leader/counters.rs
@@ -2,7 +2,8 @@
 
 use super::autoscaling::cost::CostBreakdown;
 
-/// Counters since this node began to lead. They keep their values when the node renews its token.
+/// Counters since this node began to lead. They keep their values when the node renews its fencing
+/// token.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct LeaderCounters {
     /// Tasks whose start was committed.
