--- a/crates/gladekeel-sched/src/autoscaling.rs
+++ b/crates/gladekeel-sched/src/autoscaling.rs
@@ -17,9 +17,9 @@
 /// The demand of a job for machines of one type.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct JobDemand {
-    /// Pending tasks, in machines.
+    /// Number of machines, possibly fractional, that the job's pending tasks would fill.
     pub pending: f64,
-    /// Tasks assigned to machines, in machines.
+    /// Number of machines, possibly fractional, that the job's assigned tasks fill.
     pub running: f64,
     /// Expected run time of a task, in seconds.
     pub run_s: f64,
@@ -109,7 +109,7 @@
 pub struct ScalingInput<'a> {
     /// The demands of all unfinished jobs.
     pub demands: &'a [JobDemand],
-    /// The machines of the type.
+    /// The machines of the type that is planned.
     pub supply: &'a Supply,
     /// The rates at which work of each class of jobs arrives.
     pub arrivals: &'a [ArrivalRate],
--- a/crates/gladekeel-sched/src/straggler.rs
+++ b/crates/gladekeel-sched/src/straggler.rs
@@ -13,8 +13,7 @@
     pub machine: MachineIdx,
     /// Time for which the task has run, in seconds.
     pub run_time_s: f64,
-    /// Median run time of the job's completed tasks, in seconds; `None` until enough tasks have
-    /// completed.
+    /// Median run time of the job's completed tasks, in seconds; `None` if no run time is known.
     pub median_s: Option<f64>,
     /// Whether the task may be restarted.
     pub may_restart: bool,
@@ -26,7 +25,7 @@
     }
 }
 
-/// Returns the positions of the tasks to restart, in ascending order.
+/// Returns the positions in `tasks` of the tasks to restart, in ascending order.
 ///
 /// A task is slow if it has run for more than `multiple` times the median run time of its job. A
 /// machine's tasks are restarted only if there are several and all of them are slow: a slow task
