--- a/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
@@ -30,12 +30,12 @@
 #[derive(Debug, Default)]
 pub(super) struct ArrivalHistory {
     by_class: BTreeMap<ArrivalClass, ArrivedWork>,
-    /// When the work was last decayed.
+    /// Time up to which the decay has been applied to the work.
     decayed_at: f64,
 }
 
 impl ArrivalHistory {
-    /// Decays the work that has arrived up to `now`.
+    /// Applies the decay to the work that has arrived, for the time since the last call.
     pub fn decay(&mut self, now: f64) {
         let weight = (-(now - self.decayed_at).max(0.0) / ARRIVAL_DECAY_S).exp();
         self.decayed_at = now;
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
@@ -6,7 +6,7 @@
 
 /// How long no request is sent after the cloud's rate limit was exceeded, in seconds.
 const RATE_LIMIT_BACKOFF_S: f64 = 0.5;
-/// How long no request is sent after any other failure, in seconds.
+/// How long no request is sent after a failure other than an exceeded rate limit, in seconds.
 const FAILURE_BACKOFF_S: f64 = 1.0;
 
 /// How long no request is sent after a request has failed with this outcome, in seconds.
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
@@ -20,10 +20,10 @@
 /// Minimum interval between delete requests, so that they do not use up the rate limit that rent
 /// requests need.
 const DELETE_INTERVAL_S: f64 = 0.5;
-/// Minimum interval between two lists of machines.
+/// Minimum interval between two reads of the cloud's list of machines.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
-/// Extra interval between two lists for each page after the first. Without it, long lists would
-/// use up the rate limit.
+/// Additional interval between two reads of the list of machines for each page after the first.
+/// Without it, reads of long lists would use up the rate limit.
 const LIST_INTERVAL_PER_PAGE_S: f64 = 2.0;
 
 /// A rent request that has no final response yet.
@@ -53,7 +53,7 @@
     pub number: u64,
 }
 
-/// A kind of request of which at most one is in flight at a time.
+/// A kind of request to the cloud; at most one request of each kind is in flight at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ExclusiveRequestKind {
     MachineTypes,
@@ -80,7 +80,7 @@
     rows: Vec<ListedMachine>,
     /// Number of pages of the last complete list.
     pages: u32,
-    /// When a list was last completed or aborted; `None` before the first list.
+    /// When the last read of the list was completed or aborted; `None` before the first one.
     ended_at: Option<f64>,
 }
 
@@ -163,8 +163,8 @@
         Some(rent.request.clone())
     }
 
-    /// Returns the next rent request to make, if one more may be pending. Machines beyond the
-    /// maximum of one request stay in the queue.
+    /// Takes the next scale-out from the queue and returns the content of its rent request, if one
+    /// more request may be pending. Machines beyond the maximum of one request stay in the queue.
     pub(super) fn take_scale_out(&mut self, now: f64) -> Option<NewRent> {
         while self.pending_rents.len() < MAX_PENDING_RENTS {
             let ScaleOut { pool, count } = self.scale_outs.pop()?;
@@ -265,7 +265,7 @@
     }
 
     /// Whether a page of the list should be read now. The cloud's list may lag behind by
-    /// `list_lag_s` seconds, so lists are read no more often than that.
+    /// `list_lag_s` seconds, so the interval between two reads of the list is no shorter.
     pub(super) fn list_due(&self, now: f64, list_lag_s: f64) -> bool {
         let further_pages = f64::from(self.listing.pages.max(1) - 1);
         let interval_s =
@@ -294,7 +294,7 @@
         Some(std::mem::take(&mut self.listing.rows))
     }
 
-    /// Aborts a list of which a page could not be read.
+    /// Aborts the current read of the list, because a page could not be read.
     pub(super) fn abort_list(&mut self, now: f64) {
         self.listing.rows.clear();
         self.listing.ended_at = Some(now);
--- a/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cost.rs
@@ -40,7 +40,8 @@
         CostAccounting { accounted_until: now, logged_at: now }
     }
 
-    /// Ends the accounting interval if it is over, and returns its length in hours.
+    /// Returns the length of the current accounting interval in hours and begins the next one;
+    /// `None` if the current interval is still shorter than [`ACCOUNTING_INTERVAL_S`].
     fn end_interval(&mut self, now: f64) -> Option<f64> {
         let elapsed_s = now - self.accounted_until;
         if elapsed_s < ACCOUNTING_INTERVAL_S {
--- a/crates/gladekeel-controller/src/leader/autoscaling/scale_in.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/scale_in.rs
@@ -5,7 +5,7 @@
 use crate::runtime_settings::RuntimeSettings;
 use gladekeel_sched::{MachineIdx, MachineTypeIdx};
 
-/// A machine is not deleted before this age: the cloud charges for a minute in any case.
+/// A machine is not deleted before this age, since the cloud charges for at least one minute.
 const MIN_AGE_S: f64 = 55.0;
 
 impl Leader {
--- a/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -19,13 +19,13 @@
 /// Time constant with which the weight of past gang arrivals decays, in seconds. The arrivals of a
 /// class expire when no gang of the class has arrived for this long.
 const GANG_DECAY_S: f64 = 180.0;
-/// Machines in the pool per machine that gangs keep busy on average. More than 1 because gangs
-/// arrive in bursts.
+/// Number of machines in a warm pool for each machine that gangs keep busy on average. More than 1
+/// because gangs arrive in bursts.
 const POOL_PER_BUSY_MACHINE: f64 = 1.5;
 /// Maximum number of machines beyond the target that stay in a pool, so that a fluctuating target
 /// does not remove and add machines all the time.
 const MAX_EXCESS: usize = 2;
-/// Minimum number of on-demand machines in a zone per machine in the zone's pool.
+/// Minimum number of on-demand machines that a zone must have for each machine in its warm pool.
 const MIN_MACHINES_PER_POOL_MACHINE: usize = 3;
 
 /// The gangs of a class that arrived recently.
