--- a/crates/gladekeel-controller/src/leader/attempt_numbers.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_numbers.rs
@@ -14,7 +14,7 @@
 }
 
 impl AttemptNumbers {
-    /// Returns all attempt numbers of a token.
+    /// Returns all attempt numbers that belong to a fencing token.
     pub fn of_token(token: u64) -> AttemptNumbers {
         AttemptNumbers { next: token * ATTEMPTS_PER_TOKEN, end: (token + 1) * ATTEMPTS_PER_TOKEN }
     }
@@ -26,8 +26,8 @@
         first
     }
 
-    /// Whether the numbers may soon run out, so that a new token is needed. Enough numbers for two
-    /// jobs of the maximum size are kept in reserve.
+    /// Whether the numbers may soon run out, so that a new fencing token is needed. Enough numbers
+    /// for two jobs of the maximum size are kept in reserve.
     pub fn are_nearly_exhausted(&self) -> bool {
         self.next + 2 * u64::from(MAX_TASKS) > self.end
     }
--- a/crates/gladekeel-controller/src/leader/counters.rs
+++ b/crates/gladekeel-controller/src/leader/counters.rs
@@ -6,7 +6,7 @@
 /// token.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct LeaderCounters {
-    /// Tasks whose start was committed.
+    /// Task starts, each counted when the assignment of the task is committed.
     pub task_starts: u64,
     /// Tasks that were restarted as stragglers.
     pub straggler_restarts: u64,
