--- a/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
@@ -7,11 +7,11 @@
 
 /// Time constant with which the weight of past arrivals decays, in seconds.
 const ARRIVAL_DECAY_S: f64 = 60.0;
-/// Minimum work, in machine-seconds, that the mean due time of a class is divided by. Avoids a
-/// division by zero.
+/// Minimum total work of a class, in machine-seconds. Avoids a division by zero when the mean due
+/// time is updated.
 const MIN_WORK: f64 = 1e-9;
 
-/// A class of jobs, as named by users, on the machine type that its jobs are planned for.
+/// A class of jobs, as named by users, and the machine type that its jobs are planned for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ArrivalClass {
     pub machine_type: MachineTypeIdx,
@@ -30,12 +30,12 @@
 #[derive(Debug, Default)]
 pub(super) struct ArrivalHistory {
     by_class: BTreeMap<ArrivalClass, ArrivedWork>,
-    /// When the work was last decayed.
+    /// Time up to which the decay has been applied to the work.
     decayed_at: f64,
 }
 
 impl ArrivalHistory {
-    /// Decays the work that has arrived up to `now`.
+    /// Applies the decay to the work that has arrived, for the time since the last call.
     pub fn decay(&mut self, now: f64) {
         let weight = (-(now - self.decayed_at).max(0.0) / ARRIVAL_DECAY_S).exp();
         self.decayed_at = now;
--- a/crates/gladekeel-controller/src/leader/counters.rs
+++ b/crates/gladekeel-controller/src/leader/counters.rs
@@ -2,10 +2,11 @@
 
 use super::autoscaling::cost::CostBreakdown;
 
-/// Counters since this node began to lead. They keep their values when the node renews its token.
+/// Counters since this node began to lead. They keep their values when the node renews its fencing
+/// token.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct LeaderCounters {
-    /// Tasks whose start was committed.
+    /// Task starts, each counted when the assignment of the task is committed.
     pub task_starts: u64,
     /// Tasks that were restarted as stragglers.
     pub straggler_restarts: u64,
