--- a/crates/gladekeel-controller/src/http_api/admission.rs
+++ b/crates/gladekeel-controller/src/http_api/admission.rs
@@ -35,8 +35,8 @@
     let Some(team) = deployment.teams.iter().find(|team| team.name == spec.team) else {
         return Admission::Rejected(format!("no team {:?}", spec.team));
     };
-    // Tasks of an array can run one after the other; a gang or a service needs all its tasks at
-    // the same time.
+    // Tasks of an array can run one at a time; a gang or a service needs all its tasks at the same
+    // time.
     let concurrent_tasks = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
     // Computed in the scheduler's units, so that every accepted job can be placed.
     let task = Resources::requested(spec.cpus, spec.gpus, spec.memory_gb);
--- a/crates/gladekeel-controller/src/http_api/route.rs
+++ b/crates/gladekeel-controller/src/http_api/route.rs
@@ -67,8 +67,8 @@
         if method == allowed_method { route } else { Route::WrongMethod }
     }
 
-    /// Parses `ID` or `ID/cancel`, the part of a path behind `/api/jobs/`. Returns the route and
-    /// the method that it supports, or `None` for any other path.
+    /// Parses `ID` or `ID/cancel`, the part of a path after `/api/jobs/`. Returns the route and the
+    /// method that it supports, or `None` for any other path.
     fn parse_job_path(path: &str) -> Option<(Route, &'static str)> {
         match path.split_once('/') {
             None => Some((Route::Poll(path.parse().ok()), "GET")),
@@ -103,7 +103,7 @@
     Status,
     /// List all machines.
     Machines,
-    /// Start or end the draining of a machine.
+    /// Start or stop draining a machine.
     Drain {
         /// The machine's name.
         machine: String,
@@ -113,7 +113,7 @@
 }
 
 impl AdminRoute {
-    /// Parses a method and the part of the path behind `/admin/`.
+    /// Parses a method and the part of the path after `/admin/`.
     ///
     /// # Errors
     ///
--- a/crates/gladekeel-controller/src/keys.rs
+++ b/crates/gladekeel-controller/src/keys.rs
@@ -4,11 +4,11 @@
 //! | --- | --- | --- |
 //! | `gk/job/<id>` | a [`JobSpec`](gladekeel_wire::job::JobSpec) with [`ACCEPTED_AT`] | any node, once; removed by the leader |
 //! | `gk/fate/<id>` | a [`JobState`](gladekeel_wire::job::JobState): `"done"` or `"aborted"` | the leader, or any node for a cancellation; once |
-//! | `gk/leader` | a [`LeaderRecord`]; its version is the fencing token | the leader, bound to its lease |
+//! | `gk/leader` | a [`LeaderRecord`]; its version is the fencing token | the leader; attached to its lease |
 //! | `gk/types` | machine types, see [`crate::stored_types`] | the leader |
 //! | `gk/types/<n>` | the machine types that do not fit into `gk/types` | the leader |
 //! | `gk/options` | runtime settings by name | any node, for an operator |
-//! | `gk/drain/<machine>` | `true`: the machine is to be drained | any node, for an operator |
+//! | `gk/drain/<machine>` | `true`: an operator has ordered the machine to drain | any node, for an operator |
 //! | `gl/<slot>` | a segment, see [`crate::assignment_log`] | the leader |
 //!
 //! Every node replicates the keys under `gk/`. Only a node that becomes the leader reads those
@@ -80,7 +80,8 @@
 pub struct LeaderRecord {
     /// The leader's name.
     pub node: String,
-    /// The leader's incarnation. A restarted node is a different candidate.
+    /// The leader's incarnation, a random number that its process drew at the start. A restarted
+    /// node is a different candidate.
     #[serde(rename = "run")]
     pub incarnation: u64,
 }
--- a/crates/gladekeel-controller/src/prometheus.rs
+++ b/crates/gladekeel-controller/src/prometheus.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// The distribution of a duration since the process started.
+/// The distribution of the durations that were recorded since the process started.
 #[derive(Debug)]
 pub(crate) struct DurationHistogram {
     histogram: Histogram<u64>,
--- a/crates/gladekeel-controller/src/runtime_settings.rs
+++ b/crates/gladekeel-controller/src/runtime_settings.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Default time in seconds between the first probe of a machine and the machine counting as
+/// Default time in seconds from the first probe of a machine until the machine counts as
 /// unreachable, which leaves time for several probes.
 const PROBING_PERIOD_S: f64 = 6.5;
 
@@ -24,8 +24,8 @@
     pub straggler_multiple: f64,
     /// Time in seconds for which an idle machine that exceeds the demand is kept.
     pub idle_timeout_s: f64,
-    /// Time in seconds without a heartbeat after which a machine that does not respond to probes
-    /// either is deleted, if other machines of its zone are reachable.
+    /// Time in seconds without a heartbeat after which a machine is deleted, provided that it does
+    /// not respond to probes and that other machines of its zone are reachable.
     pub unreachable_after_s: f64,
     /// Time in seconds that a task waits for capacity before other tasks are preempted for it.
     pub preempt_after_s: f64,
@@ -60,7 +60,7 @@
     Empty,
 }
 
-/// The name and the range of a setting, and the access to its value.
+/// The name and range of a setting, and the function that accesses its value.
 struct SettingDefinition {
     /// The setting's name in the administration API and in the store.
     name: &'static str,
@@ -175,7 +175,7 @@
 
     /// The values of all settings by name.
     pub fn values(&self) -> BTreeMap<String, f64> {
-        // The accessors take a mutable reference.
+        // The accessors take a mutable reference, so they are applied to a copy.
         let mut copy = self.clone();
         SETTINGS
             .iter()
@@ -183,7 +183,7 @@
             .collect()
     }
 
-    /// A copy of these settings with the given values changed.
+    /// Returns a copy of these settings in which the named settings have the given values.
     ///
     /// # Errors
     ///
@@ -203,7 +203,8 @@
         Ok(changed)
     }
 
-    /// A copy of these settings with the JSON values of an operator's request changed.
+    /// Returns a copy of these settings in which the named settings have the JSON values of an
+    /// operator's request.
     ///
     /// # Errors
     ///
--- a/crates/gladekeel-controller/src/shell/mod.rs
+++ b/crates/gladekeel-controller/src/shell/mod.rs
@@ -9,16 +9,16 @@
 //! | `requests` | HTTP requests that wait for the node's reply |
 //! | `peer_connections` | frames from and to the other controllers |
 //! | `outgoing_calls` | calls to the store, the cloud and workers |
-//! | `tick_loop` | ticks of the clock, the delay of serving at startup |
+//! | `tick_loop` | ticks of the clock, the wait at startup until the node is ready to serve |
 //!
 //! # Tasks, shutdown and cancellation
 //!
-//! All tasks run on one thread. The tasks that run for the life of the process (tick loop,
-//! accept loop for peers, one sender per peer) belong to a [`JoinSet`] in [`run`] and are
-//! aborted when the future of [`run`] is dropped. The accept loop owns the tasks of accepted
-//! connections in the same way. The task of an outgoing call is detached and ends when the
-//! call times out at the latest. There is no graceful shutdown, and none is needed: the process
-//! may be killed at any time, because all durable state is in the store (`docs/safety.md`).
+//! All tasks run on one thread. The tasks that run for the life of the process (tick loop, accept
+//! loop for peers, one sender per peer) belong to a [`JoinSet`] in [`run`] and are aborted when the
+//! future of [`run`] is dropped. The accept loop owns the tasks of accepted connections in the same
+//! way. The task of an outgoing call is detached and ends at the latest when the call times out.
+//! There is no graceful shutdown, and none is needed: the process may be killed at any time,
+//! because all durable state is in the store (`docs/safety.md`).
 
 mod listeners;
 mod outgoing_calls;
@@ -65,7 +65,7 @@
     let peer_listener = listeners::bind_peer_listener(settings.peer_listen).await?;
     let mut tasks = JoinSet::new();
     let shell = Rc::new(Shell::new(&settings, &sockets, seed, &mut tasks));
-    tracing::info!(node = settings.node, listen = %settings.listen, "started");
+    tracing::info!(node = settings.node, listen = %settings.listen, "controller started");
     let server = listeners::user_server(user_listener, &settings, &sockets);
     tasks.spawn_local(peer_connections::accept_loop(peer_listener, Rc::clone(&shell)));
     tasks.spawn_local(tick_loop::run(Rc::clone(&shell), sockets, server.counts()));
@@ -96,7 +96,7 @@
         self.started_at.elapsed().as_secs_f64()
     }
 
-    /// The number of open connections by use, given the inbound connections.
+    /// The number of open connections by use. `inbound` counts the inbound connections.
     fn socket_usage(&self, inbound: &ConnectionCounts) -> SocketUsage {
         SocketUsage {
             users: inbound.of_class(listeners::USERS),
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Spawns the task of an outgoing call. `call` must end within the timeout that it gets.
+    /// Spawns the task of an outgoing call. `call` must complete within the timeout that it is
+    /// given.
     fn spawn_call<F>(self: &Rc<Self>, timeout_s: f64, call: F)
     where
         F: AsyncFnOnce(Rc<Shell>, Duration) + 'static,
--- a/crates/gladekeel-controller/src/shell/tick_loop.rs
+++ b/crates/gladekeel-controller/src/shell/tick_loop.rs
@@ -1,4 +1,4 @@
-//! Ticks of the node's clock, and the delay of serving at startup until the leader is known.
+//! Ticks of the node's clock, and the wait at startup until the node is ready to serve requests.
 
 use super::Shell;
 use crate::{node::Event, socket_budget::SocketBudget};
@@ -16,8 +16,8 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Passes a tick to the node every [`TICK_INTERVAL`]. Before each tick, limits the pool of
-/// connections to workers to what the inbound connections leave of the socket budget, and
-/// records the socket usage for the metrics.
+/// connections to workers to the sockets that the inbound connections leave unused, and records the
+/// socket usage for the metrics.
 pub(super) async fn run(shell: Rc<Shell>, sockets: SocketBudget, inbound: Rc<ConnectionCounts>) {
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -29,7 +29,8 @@
     }
 }
 
-/// Passes a tick to the node, and records the duration if the node ran a scheduling cycle.
+/// Passes a tick to the node, and records how long the tick took if the node ran a scheduling
+/// cycle.
 fn tick(shell: &Rc<Shell>) {
     let cycles_before = scheduling_cycles(shell);
     let start = Instant::now();
--- a/crates/gladekeel-controller/src/socket_budget.rs
+++ b/crates/gladekeel-controller/src/socket_budget.rs
@@ -17,8 +17,8 @@
     pub reserved_for_users: usize,
     /// Number of inbound connections that are reserved for workers.
     pub reserved_for_workers: usize,
-    /// Maximum number of connections to workers while all inbound connections are open. Counts
-    /// calls in progress and idle connections that are kept for later calls.
+    /// Maximum number of connections to workers while all inbound connections are open. Includes
+    /// connections with a call in progress and idle connections that are kept for later calls.
     pub worker_calls: usize,
     /// Number of sockets for the listeners, the store, the cloud and the peers, and for
     /// connections that are being refused.
--- a/crates/gladekeel-controller/src/store_view.rs
+++ b/crates/gladekeel-controller/src/store_view.rs
@@ -72,7 +72,7 @@
     pub drain_orders: BTreeMap<String, u64>,
 }
 
-/// The number of a job's tasks that are done and that are assigned to machines.
+/// The numbers of a job's tasks that are done and of those that are assigned to machines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobProgress {
     /// Number of tasks that have completed.
@@ -183,8 +183,8 @@
         ChangeKind::Other
     }
 
-    /// Records whether the store holds assignments of the first version. The field stays set when
-    /// they are removed.
+    /// Records whether the store holds assignments of the first version. The flag stays set when
+    /// the assignments are removed.
     fn apply_legacy_assignments(&mut self, change: &Change) -> ChangeKind {
         self.has_legacy_assignments |= change.current.is_some();
         ChangeKind::Other
--- a/crates/gladekeel-controller/src/stored_types.rs
+++ b/crates/gladekeel-controller/src/stored_types.rs
@@ -9,7 +9,7 @@
 use gladekeel_wire::cloud::{MachineType, MachineTypes};
 use std::{collections::BTreeMap, rc::Rc};
 
-/// Upper bound of the size of a part's JSON around its machine types, in bytes.
+/// Upper bound of the size of a part's JSON without its machine types, in bytes.
 const PART_OVERHEAD_BYTES: usize = 32;
 /// Size of the separator between two machine types of a part, in bytes.
 const SEPARATOR_BYTES: usize = 1;
--- a/crates/gladekeel-controller/tests/assignment_log.rs
+++ b/crates/gladekeel-controller/tests/assignment_log.rs
@@ -86,7 +86,7 @@
 }
 
 /// Guards against a value that is decoded although it is no segment of this layout, and against
-/// full segments that exceed a value of 4096 bytes.
+/// full segments that do not fit into a value of 4096 bytes.
 #[test]
 fn values_in_another_layout_are_rejected() {
     let text = writer_with_rows(&Segment::default()).encode(1);
--- a/crates/gladekeel-controller/tests/formats_37c5e95.rs
+++ b/crates/gladekeel-controller/tests/formats_37c5e95.rs
@@ -1,11 +1,10 @@
-//! Data that version 37c5e95, once in production, stored in the state service, as this version
-//! reads it.
+//! Compatibility with the data that version 37c5e95, which was once in production, stored in the
+//! state service.
 //!
-//! The files `fixtures/37c5e95_*` were written by commit
-//! 37c5e95213a12123977e782109b725d8fe96dbed, which is called production here. They hold the
-//! values that two of its nodes committed, with a key and a value on each line, and two segments
-//! from its writer of the assignment log. Data that production stored must stay readable, so
-//! these files never change with the code.
+//! The files `fixtures/37c5e95_*` were written by commit 37c5e95213a12123977e782109b725d8fe96dbed,
+//! which is called production here. They hold the values that two of its nodes committed, with a
+//! key and a value on each line, and two segments from its writer of the assignment log. Data that
+//! production stored must stay readable, so these files must never be changed along with the code.
 
 mod common;
 
@@ -62,7 +61,7 @@
     assert_eq!(encode(&expected), text);
 }
 
-/// Guards against a new numbering of the outcomes of attempts, or of the progress pages, whose
+/// Guards against renumbered outcomes of attempts, and against renumbered progress pages: page
 /// numbers depend on the size of a page.
 #[test]
 fn outcome_codes_and_page_size_are_unchanged() {
@@ -77,8 +76,8 @@
     assert_eq!(TASKS_PER_PAGE, 4096);
 }
 
-/// Guards against a size limit on segments that are read: production filled segments up to 4 KB,
-/// and these are still stored when the state service accepts only 2 KB.
+/// Guards against a decoder that rejects segments above the current size limit: production filled
+/// segments up to 4 KB, and these are still stored when the state service accepts only 2 KB.
 #[test]
 fn segments_above_the_lowered_size_limit_are_read() {
     let text = include_str!("fixtures/37c5e95_segment_large.txt").trim_end();
@@ -99,8 +98,8 @@
     assert_eq!(encode(&expected), text);
 }
 
-/// Guards against a new leader that looks for the log under other keys or cannot read it. These
-/// segments cover a job from start to end, as production's leader committed them.
+/// Guards against a new leader that looks for the log under other keys or cannot read the log.
+/// These segments cover a job from start to end, as production's leader committed them.
 #[test]
 fn a_committed_log_is_read() {
     let log = |slot| {
@@ -262,7 +261,7 @@
     assert_eq!(store.drain_orders, BTreeMap::from([("n-000007".to_owned(), 17)]));
     assert!(
         !store.has_legacy_assignments,
-        "production stores no assignments in the pages of the first version"
+        "production stores no assignments in the layout of the first version"
     );
 }
 
--- a/crates/gladekeel-controller/tests/formats_fe9a16c.rs
+++ b/crates/gladekeel-controller/tests/formats_fe9a16c.rs
@@ -1,11 +1,11 @@
-//! Data that version fe9a16c stores in the state service, as this version reads and writes it.
+//! Compatibility with the data that version fe9a16c stores in the state service.
 //!
-//! The files `fixtures/fe9a16c_*` were written by commit
-//! fe9a16c011fb47333bb3733953d6dba020195efa. They hold the values that three of its nodes
-//! committed while they ran, stopped, cancelled and finished gangs, an array and a service, with
-//! a key and a value on each line, in the order of the commits, and two segments from its writer
-//! of the assignment log. An update starts from such data, and nodes of both versions use each
-//! other's data, so these files never change with the code.
+//! The files `fixtures/fe9a16c_*` were written by commit fe9a16c011fb47333bb3733953d6dba020195efa.
+//! They hold the values that three of its nodes committed while they ran, stopped, cancelled and
+//! finished gangs, an array and a service, with a key and a value on each line, in the order of the
+//! commits, and two segments from its writer of the assignment log. An upgrade starts from such
+//! data, and nodes of both versions use each other's data, so these files must never be changed
+//! along with the code.
 
 mod common;
 
@@ -62,8 +62,8 @@
     assert_eq!(encode(&expected), text);
 }
 
-/// Guards against a lower size limit on segments that are read: fe9a16c fills segments up to the
-/// capacity of a value of 2 KB.
+/// Guards against a decoder that rejects full segments: fe9a16c fills segments up to the capacity
+/// of a value of 2 KB.
 #[test]
 fn full_segments_are_read_and_written() {
     let text = include_str!("fixtures/fe9a16c_segment_full.txt").trim_end();
@@ -126,8 +126,8 @@
             (1, FIRST_LEADER + 1, AttemptOutcome::Requeued)
         ]
     );
-    // The gang is done when its first task is. The other tasks are released once they have provably
-    // stopped.
+    // The gang is done once its first task is done. The other tasks are released once they have
+    // provably stopped.
     assert_eq!(
         assignments_of(&log[2], &second),
         [
