--- a/crates/gladekeel-wire/src/job/mod.rs
+++ b/crates/gladekeel-wire/src/job/mod.rs
@@ -11,7 +11,7 @@
 /// Maximum number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// The scheduling priority of a job. Jobs of a greater priority are scheduled first.
+/// The scheduling priority of a job. Jobs of a higher priority are scheduled first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
@@ -27,7 +27,7 @@
 }
 
 impl Priority {
-    /// Returns the priority as a number; a greater number is scheduled first.
+    /// Returns the priority as a number; a greater number means a higher priority.
     pub fn level(self) -> u8 {
         self as u8
     }
--- a/crates/gladekeel-wire/src/lib.rs
+++ b/crates/gladekeel-wire/src/lib.rs
@@ -10,11 +10,10 @@
 //! | [`mesh`] | controllers | binary frames over TCP |
 //! | [`settings`] | the platform and a controller | a TOML file |
 //!
-//! This crate performs no I/O and reads no clock. The field names of the platform's protocol
-//! occur only in serde attributes; the Rust names are the usual terms (task, attempt, lease,
-//! fencing token, zone, spot), and the glossary in `docs/` maps the protocol's names to them.
-//! Readers ignore unknown fields, so that the two sides of a connection can be upgraded one
-//! after the other.
+//! This crate performs no I/O and reads no clock. The field names of the platform's protocol occur
+//! only in serde attributes; the Rust names are the usual terms (task, attempt, lease, fencing
+//! token, zone, spot), and the glossary in `docs/` maps the protocol's names to them. Readers
+//! ignore unknown fields, so that the two sides of a connection can be upgraded at different times.
 
 pub mod admin;
 pub mod cloud;
--- a/crates/gladekeel-wire/src/settings/mod.rs
+++ b/crates/gladekeel-wire/src/settings/mod.rs
@@ -142,10 +142,10 @@
 const HEARTBEAT_JITTER_FACTOR: f64 = 1.25;
 /// Time that the delivery of a heartbeat may take, in seconds.
 const HEARTBEAT_LATENCY_S: f64 = 2.0;
-/// Part of the heartbeat interval that is added to [`PROBE_MIN_SILENCE_S`]: the worker is probed
-/// after the sum has passed without a heartbeat.
+/// Fraction of the heartbeat interval that is added to [`PROBE_MIN_SILENCE_S`]: a worker is probed
+/// once the sum has passed without a heartbeat.
 const PROBE_INTERVAL_FACTOR: f64 = 0.3;
-/// Minimum time without a heartbeat before the worker is probed, in seconds.
+/// Minimum time without a heartbeat before a worker is probed, in seconds.
 const PROBE_MIN_SILENCE_S: f64 = 1.5;
 
 impl WorkerTimings {
@@ -194,9 +194,9 @@
 }
 
 impl StoreLimits {
-    /// Returns the limits that controllers must observe: of each limit, the lower one of the
-    /// current and the upcoming value. Lower upcoming limits apply from the start, because the
-    /// time of the change is not announced.
+    /// Returns the limits that controllers must observe: for each limit, the lower of its current
+    /// and upcoming values. Lower upcoming limits apply from the start, because the time of the
+    /// change is not announced.
     pub fn lowest(&self) -> StoreLimits {
         let upcoming = self.upcoming.clone().unwrap_or_default();
         StoreLimits {
--- a/crates/gladekeel-wire/src/store.rs
+++ b/crates/gladekeel-wire/src/store.rs
@@ -61,7 +61,7 @@
     pub writes: Vec<Write>,
 }
 
-/// The response to a transaction. Other responses begin with the same revision field.
+/// The response to a transaction. Page and watch responses have the same revision field.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TransactionResponse {
     /// Revision of the commit, or of the store when it responded if nothing was committed.
--- a/crates/gladekeel-wire/src/worker.rs
+++ b/crates/gladekeel-wire/src/worker.rs
@@ -66,7 +66,7 @@
     /// Id of the task.
     #[serde(rename = "piece")]
     pub task: TaskId,
-    /// Attempt that is running or has run on this machine.
+    /// Number of the attempt that is running or has run on this machine.
     #[serde(rename = "try")]
     pub attempt: u64,
     /// State of the attempt.
@@ -86,7 +86,7 @@
     /// Name of the machine.
     #[serde(rename = "berth")]
     pub machine: String,
-    /// Address at which the worker receives direct commands.
+    /// Address at which the worker receives [direct commands](DirectCommands).
     #[serde(rename = "endpoint")]
     pub addr: String,
     /// Type of the machine.
@@ -128,7 +128,7 @@
         /// Id of the task.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// Attempt to start.
+        /// Number of the attempt to start.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -138,7 +138,7 @@
         /// Id of the task.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// Attempt to stop.
+        /// Number of the attempt to stop.
         #[serde(rename = "try")]
         attempt: u64,
         /// Grace period in seconds: time to write a checkpoint.
@@ -150,7 +150,7 @@
         /// Id of the task.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// Attempt to forget.
+        /// Number of the attempt to forget.
         #[serde(rename = "try")]
         attempt: u64,
     },
--- a/crates/gladekeel-wire/tests/frames_37c5e95.rs
+++ b/crates/gladekeel-wire/tests/frames_37c5e95.rs
@@ -61,8 +61,8 @@
     assert_eq!((FrameHeader::SIZE, size_of::<PeerHeartbeat>()), (24, 12));
 }
 
-/// Guards against peer heartbeats that one of the versions misreads: if its heartbeats are not
-/// understood, a healthy leader is replaced by a takeover.
+/// Guards against peer heartbeats that one of the versions misreads: a healthy leader whose
+/// heartbeats are not understood is replaced by a takeover.
 #[test]
 fn peer_heartbeats_match_production_except_for_the_protocol_level() {
     for (name, sender, contact_age_ms, leader_token) in
@@ -95,8 +95,8 @@
     }
 }
 
-/// Guards against job progress entries that shift against each other: an id of variable length
-/// follows the fixed-size part of each entry.
+/// Guards against job progress entries that are decoded at the wrong offset: an id of variable
+/// length follows the fixed-size part of each entry.
 #[test]
 fn job_progress_matches_production() {
     let bytes = FRAMES.frame("counts");
--- a/crates/gladekeel-wire/tests/frames_fe9a16c.rs
+++ b/crates/gladekeel-wire/tests/frames_fe9a16c.rs
@@ -118,8 +118,8 @@
     assert_eq!(encode_job_ids(two.iter()), b"job-g_2\njob-s.4");
 }
 
-/// Guards against job progress entries that shift against each other: an id of variable length
-/// follows the fixed-size part of each entry.
+/// Guards against job progress entries that are decoded at the wrong offset: an id of variable
+/// length follows the fixed-size part of each entry.
 #[test]
 fn job_progress_round_trips() {
     let bytes = FRAMES.frame("counts");
--- a/crates/gladekeel-wire/tests/mesh.rs
+++ b/crates/gladekeel-wire/tests/mesh.rs
@@ -28,8 +28,8 @@
     assert_eq!(result, Err(InvalidFrame::PayloadTooLarge(MAX_PAYLOAD as u32 + 1)));
 }
 
-/// Guards against a truncated payload of which the readable entries are accepted. A payload that is
-/// cut exactly between two entries cannot be told from a complete one.
+/// Guards against a decoder that accepts the readable entries of a truncated payload. A payload
+/// that is cut exactly between two entries cannot be distinguished from a complete one.
 #[test]
 fn job_progress_round_trips_and_truncated_entries_are_rejected() {
     let ids: Vec<JobId> = (0..3).map(|n| format!("job-{n}").parse().unwrap()).collect();
--- a/crates/gladekeel-wire/tests/store.rs
+++ b/crates/gladekeel-wire/tests/store.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 
 /// Guards against field names that differ from those of the protocol, and against confusing puts
-/// with deletions, which only their fields tell apart.
+/// with deletions, which differ only in the names of their fields.
 #[test]
 fn watch_events_and_writes_have_the_json_names_of_the_protocol() {
     let text = r#"{"logline":433,"news":[{"write":"c/9","value":{"a":1},"entry":433},{"remove":"c/d","entry":432}]}"#;
