--- a/crates/gladekeel-store/src/request.rs
+++ b/crates/gladekeel-store/src/request.rs
@@ -60,7 +60,8 @@
     LeaseGranted(u64),
     /// The lease was renewed or revoked.
     Acknowledged,
-    /// The lease to renew or revoke, or a lease named in a transaction, does not exist.
+    /// The lease to renew or revoke, or a lease named in a transaction, does not exist; or the
+    /// store refused the transaction as invalid, for example as too large, with the same status.
     LeaseNotFound,
     /// The store's rate limit was exceeded; nothing was done.
     RateLimited,
