--- a/crates/gladekeel-http/src/admission/idle.rs
+++ b/crates/gladekeel-http/src/admission/idle.rs
@@ -4,11 +4,11 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::{sync::Notify, time::Instant};
 
-/// Idle connections, in a list for connections that have not sent a request yet and one list for
+/// Idle connections: one list for connections that have not sent a request yet, and one list for
 /// each class.
 pub(super) struct IdleConnections {
-    /// Connections by sequence number, the longest idle first; [`list_index`] maps a class to its
-    /// list.
+    /// The lists of connections, indexed by [`list_index`]. Each maps sequence numbers to
+    /// connections, the longest idle first.
     lists: Vec<BTreeMap<u64, IdleConnection>>,
     next_sequence: u64,
 }
@@ -26,7 +26,7 @@
     sequence: u64,
 }
 
-/// The connections among which one is evicted.
+/// The set of connections from which the longest idle one is evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum EvictFrom {
     /// All connections, including those that have not sent a request yet.
--- a/crates/gladekeel-http/src/client/exchange.rs
+++ b/crates/gladekeel-http/src/client/exchange.rs
@@ -17,10 +17,10 @@
 const MAX_RESPONSE: usize = 64 * 1024 * 1024;
 /// Capacity in bytes for the first read of a response.
 const FIRST_READ_CAPACITY: usize = 4096;
-/// Status of an interim response, which the final response follows.
+/// Status of an interim response, which is followed by the final response.
 const CONTINUE: u16 = 100;
 
-/// A request that is to be sent.
+/// A request before it is sent.
 pub(super) struct OutgoingRequest<'a> {
     pub(super) host: SocketAddr,
     pub(super) method: &'a str,
--- a/crates/gladekeel-http/src/client/pool.rs
+++ b/crates/gladekeel-http/src/client/pool.rs
@@ -27,7 +27,7 @@
 #[derive(Default)]
 struct IdleConnections {
     streams: HashMap<SocketAddr, IdleConnection>,
-    /// Addresses by sequence number, the longest idle first.
+    /// Addresses of idle connections by sequence number, the longest idle first.
     by_sequence: BTreeMap<u64, SocketAddr>,
     next_sequence: u64,
 }
--- a/crates/gladekeel-http/src/codec.rs
+++ b/crates/gladekeel-http/src/codec.rs
@@ -10,7 +10,7 @@
 const MAX_HEADERS: usize = 64;
 /// Maximum size of a response's head in bytes.
 const MAX_RESPONSE_HEAD: usize = 64 * 1024;
-/// Initial capacity in bytes for the head of a response; enough for a usual one.
+/// Initial capacity in bytes for the head of a response, enough for a typical head.
 const RESPONSE_HEAD_CAPACITY: usize = 160;
 
 /// Why a request is rejected. The connection is closed after a rejection, because the start of the
--- a/crates/gladekeel-http/src/connection.rs
+++ b/crates/gladekeel-http/src/connection.rs
@@ -39,7 +39,7 @@
     /// The request was rejected, and an error response was sent.
     #[error("request rejected: {0}")]
     Rejected(#[from] RequestError),
-    /// The class of the client has no connection left, and a 503 response was sent.
+    /// All connections that the class of the client may use are open, and a 503 response was sent.
     #[error("connection limit reached for this class of clients")]
     ClassFull,
 }
@@ -47,7 +47,7 @@
 /// A complete request that was read from the connection.
 struct IncomingRequest {
     request: Request,
-    /// Whether the connection is to be closed after the response.
+    /// Whether the connection is closed after the response.
     close: bool,
 }
 
@@ -91,9 +91,9 @@
         Ok(())
     }
 
-    /// Responds with 503, because the server has no connection left, and closes the connection.
-    /// The request is read first: closing earlier would reset the connection, and the client might
-    /// not receive the response.
+    /// Responds with 503, because the server's connection limit is reached, and closes the
+    /// connection. The request is read first: closing earlier would reset the connection, and the
+    /// client might not receive the response.
     pub(crate) async fn refuse(mut self) -> Result<(), ConnectionError> {
         let _ = self.stream.set_nodelay(true);
         let _ = timeout(FIRST_REQUEST_GRACE, self.read_request()).await;
--- a/crates/gladekeel-http/src/message.rs
+++ b/crates/gladekeel-http/src/message.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The same response with a `Retry-After` header, in seconds.
+    /// Returns this response with a `Retry-After` header of `seconds`.
     pub fn with_retry_after(mut self, seconds: u32) -> Response {
         self.retry_after = Some(seconds);
         self
--- a/crates/gladekeel-http/src/server.rs
+++ b/crates/gladekeel-http/src/server.rs
@@ -31,8 +31,8 @@
         Server { listener, limits, classes, counts }
     }
 
-    /// The same server with other connection classes. Must be called before [`Server::counts`],
-    /// because the counts are created anew.
+    /// Returns this server with other connection classes. Must be called before [`Server::counts`],
+    /// because this function replaces the counts.
     pub fn with_classes(self, classes: ConnectionClasses) -> Server {
         let counts = Rc::new(ConnectionCounts::new(classes.reserved.len()));
         Server { classes, counts, ..self }
