--- a/crates/gladekeel/src/commands.rs
+++ b/crates/gladekeel/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands: the calls to the service that each command makes, and the output.
+//! The subcommands: the calls to the service that each one makes, and the output that it prints.
 
 use crate::{
     arguments::{JobCommand, MachineName, ServiceArguments, SettingAssignment, SettingsCommand},
@@ -62,7 +62,7 @@
     }
 }
 
-/// Changes settings on condition that their version is still the one read before, so that a
+/// Changes settings, provided that their version has not changed since they were read, so that a
 /// concurrent change by another operator is not overwritten.
 fn change_settings(
     service: &ServiceArguments,
--- a/crates/gladekeel/src/error.rs
+++ b/crates/gladekeel/src/error.rs
@@ -8,7 +8,7 @@
 
 /// Exit code of a command that the service refuses, or that fails for another reason.
 const EXIT_FAILED: u8 = 1;
-/// Exit code for an invalid command line; the same as that of clap.
+/// Exit code for an invalid command line; clap uses the same code.
 const EXIT_USAGE: u8 = 2;
 /// Exit code of a command that got no response from the service.
 const EXIT_NO_RESPONSE: u8 = 3;
