--- a/crates/gladekeel-controller/src/cloud_api.rs
+++ b/crates/gladekeel-controller/src/cloud_api.rs
@@ -8,7 +8,8 @@
 };
 use gladekeel_wire::{http::HttpRequest, job::ErrorBody};
 
-/// The error text of the cloud's response if a pool has no machines to rent.
+/// The error text of the cloud's response if the requested pool (machine type, zone, spot or
+/// on-demand) has no machines to rent.
 const NO_CAPACITY: &str = "no capacity";
 
 /// A request to the cloud.
@@ -34,7 +35,8 @@
     Types(MachineTypes),
     /// Machines with these names were rented, possibly fewer than requested.
     Rented(Vec<String>),
-    /// The pool has no machines to rent; the request was not executed.
+    /// The requested pool (machine type, zone, spot or on-demand) has no machines to rent; the
+    /// request was not executed.
     NoCapacity,
     /// The machines were deleted.
     Deleted,
--- a/crates/gladekeel-controller/src/keys.rs
+++ b/crates/gladekeel-controller/src/keys.rs
@@ -32,7 +32,7 @@
 /// Field of a stored job that holds the time at which the job was accepted, in seconds of Unix
 /// time.
 pub const ACCEPTED_AT: &str = "accepted_at";
-/// Prefix of the keys of final states.
+/// Prefix of the keys of jobs' final states.
 pub const FINAL_STATE_PREFIX: &str = "gk/fate/";
 /// Prefix of the keys of the assignment log's slots.
 pub const ASSIGNMENT_LOG_PREFIX: &str = "gl/";
--- a/crates/gladekeel-controller/src/node/admin_requests.rs
+++ b/crates/gladekeel-controller/src/node/admin_requests.rs
@@ -35,7 +35,7 @@
     Drain {
         /// The machine's name.
         machine: String,
-        /// Whether the machine is drained after the change.
+        /// `true` to drain the machine, `false` to undrain it.
         draining: bool,
     },
 }
--- a/crates/gladekeel-controller/src/node/event.rs
+++ b/crates/gladekeel-controller/src/node/event.rs
@@ -76,7 +76,7 @@
         call: CallId,
         /// The request to send.
         request: StoreRequest,
-        /// Seconds without a response after which the call times out: its outcome is unknown.
+        /// Seconds without a response after which the call times out and its outcome is unknown.
         timeout_s: f64,
     },
     /// Call the cloud, and report the outcome with [`Event::Cloud`].
@@ -85,7 +85,7 @@
         call: CallId,
         /// The request to send.
         request: CloudRequest,
-        /// Seconds without a response after which the call times out: its outcome is unknown.
+        /// Seconds without a response after which the call times out and its outcome is unknown.
         timeout_s: f64,
     },
     /// Call a worker, and report the outcome with [`Event::Worker`].
@@ -94,7 +94,7 @@
         call: CallId,
         /// The worker's address and the request to send.
         request: WorkerRequest,
-        /// Seconds without a response after which the call times out: its outcome is unknown.
+        /// Seconds without a response after which the call times out and its outcome is unknown.
         timeout_s: f64,
     },
     /// Send a frame to another controller. The frame may be lost.
--- a/crates/gladekeel-controller/src/node/health.rs
+++ b/crates/gladekeel-controller/src/node/health.rs
@@ -3,12 +3,12 @@
 use super::{Node, RequestId, peers::Peer};
 use crate::http_api::Reply;
 
-/// A node whose last contact with the store is more recent than this is healthy.
+/// Age of the last contact with the store below which a node is healthy, whatever its peers report.
 const HEALTHY_CONTACT_S: f64 = 3.0;
-/// A node without recent contact with the store compares itself only with peers whose last
-/// heartbeat is more recent than this.
+/// Age of a peer's last heartbeat below which a node without recent contact with the store compares
+/// itself with the peer.
 const PEER_SEEN_WITHIN_S: f64 = 2.5;
-/// A peer whose last contact with the store is at least this old counts as having lost contact.
+/// Age of a peer's last contact with the store from which the peer counts as having lost contact.
 const STALE_PEER_CONTACT_MS: u32 = 2500;
 
 impl Node {
--- a/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
@@ -165,7 +165,7 @@
         self.workers_per_receiver[index] += 1;
     }
 
-    /// Removes workers from which no receiver receives heartbeats any more.
+    /// Removes workers that no longer send heartbeats to any controller.
     fn expire_silent(&mut self, now: f64) {
         if now - self.last_expiry_at < self.expire_after_s {
             return;
--- a/crates/gladekeel-controller/src/node/heartbeats/mod.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/mod.rs
@@ -1,4 +1,5 @@
-//! Workers' heartbeats: this node responds, relays them to the leader or redirects the worker.
+//! Workers' heartbeats: this node responds to a heartbeat, relays it to the leader or redirects the
+//! worker.
 //!
 //! A response to a heartbeat renews the worker's lease. `docs/safety.md`, "Keeping leases alive",
 //! therefore states which node may respond: the leader, or another node while its last contact
@@ -22,8 +23,8 @@
 use relays::{HeartbeatRelays, QueuedRelay};
 use routing::{HeartbeatContext, HeartbeatRoute, HeartbeatRouter, LeaderPeer};
 
-/// A peer whose last contact with the store is more recent than this knows who leads, so workers
-/// may be redirected to it.
+/// Age of a peer's last contact with the store below which the peer knows who leads, so that
+/// workers may be redirected to it.
 const MAX_RELAY_CONTACT_AGE_MS: u32 = 2500;
 /// HTTP status of a response to a heartbeat.
 const STATUS_OK: u16 = 200;
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Replies to the workers whose relayed heartbeats have timed out: with the fallback if this
-    /// node may still renew leases, else with an error.
+    /// Replies to the workers whose relayed heartbeats have timed out: with the fallback response
+    /// if this node may still renew leases, else with an error.
     pub(super) fn expire_heartbeat_relays(&mut self, now: f64) {
         while let Some(relay) = self.heartbeats.relays.take_overdue(now) {
             let reply = match relay.fallback.filter(|_| self.may_renew_leases(now)) {
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Handles a heartbeat that a peer has relayed. A peer without a response renews the worker's
-    /// lease itself if it may, so this node responds only if it leads.
+    /// Handles a heartbeat that a peer has relayed. This node responds only if it leads: a peer
+    /// that receives no response renews the worker's lease itself if it may.
     pub(super) fn on_relayed_heartbeat(
         &mut self,
         now: f64,
@@ -184,8 +185,8 @@
             return;
         }
         let response = leader.on_heartbeat(now, &heartbeat, has_fresh_contact);
-        // A response with a new token or commands must reach the worker: the worker's next
-        // heartbeat is expected to show the effect.
+        // A redirection must not replace a response with a new token or commands: the worker's next
+        // heartbeat is expected to show the effect of the response.
         let has_effect = heartbeat.token != response.token || !response.commands.is_empty();
         let redirect = if has_effect {
             None
--- a/crates/gladekeel-controller/src/node/heartbeats/relays.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/relays.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub(super) struct HeartbeatRelays {
     awaiting_response: BTreeMap<CallId, Relay>,
-    /// The next batch.
+    /// The heartbeats of the next batch.
     batch: Vec<QueuedRelay>,
     last_batch_at: f64,
 }
@@ -65,7 +65,7 @@
         self.batch.push(queued);
     }
 
-    /// Takes the next batch; empty if none is due.
+    /// Removes and returns the next batch; empty if no batch is due.
     pub fn take_batch(&mut self, now: f64) -> Vec<QueuedRelay> {
         if self.batch.is_empty() || now - self.last_batch_at < BATCH_INTERVAL_S {
             return Vec::new();
@@ -74,12 +74,12 @@
         std::mem::take(&mut self.batch)
     }
 
-    /// Takes the relay that the leader has responded to; `None` if the relay has timed out.
+    /// Removes and returns the relay to which the leader has responded; `None` if it has timed out.
     pub fn finish(&mut self, call: CallId) -> Option<Relay> {
         self.awaiting_response.remove(&call)
     }
 
-    /// Takes the oldest relay if it has timed out.
+    /// Removes and returns the oldest relay if it has timed out.
     pub fn take_overdue(&mut self, now: f64) -> Option<Relay> {
         let oldest = self.awaiting_response.first_entry()?;
         (now - oldest.get().received_at >= RELAY_TIMEOUT_S).then(|| oldest.remove())
--- a/crates/gladekeel-controller/src/node/heartbeats/routing.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/routing.rs
@@ -57,7 +57,7 @@
     pub may_renew_leases: bool,
     /// Whether the view of the store is fresh.
     pub has_fresh_store_contact: bool,
-    /// The other leader, if heartbeats can be relayed to it.
+    /// The peer that leads, if heartbeats can be relayed to it.
     pub leader_peer: Option<LeaderPeer>,
 }
 
@@ -79,7 +79,7 @@
 }
 
 impl HeartbeatRouter {
-    /// Decides how to handle a heartbeat. `leader` is this node's leader state if it leads.
+    /// Decides how to handle a heartbeat. `leader` is the leader's state if this node leads.
     pub fn route(
         &mut self,
         context: &HeartbeatContext<'_>,
@@ -131,7 +131,7 @@
     fn expire(&mut self, now: f64) {
         while self.by_time.front().is_some_and(|(time, _)| now - time >= REDIRECTION_TTL_S) {
             let Some((time, machine)) = self.by_time.pop_front() else { return };
-            // The machine may have been redirected again since then.
+            // A later redirection of the machine must be kept.
             if self.redirections.get(&machine).is_some_and(|last| last.redirected_at <= time) {
                 self.redirections.remove(&machine);
             }
--- a/crates/gladekeel-controller/src/node/leadership/commits.rs
+++ b/crates/gladekeel-controller/src/node/leadership/commits.rs
@@ -60,8 +60,8 @@
 
     /// Resolves a commit in doubt as committed if the lookup shows that it was applied.
     ///
-    /// The whole commit was applied if and only if its marker is stored under the marker's key:
-    /// nothing else writes to this key under the token.
+    /// The whole commit was applied if and only if its marker (the key and text of its first log
+    /// segment) is in the store: nothing else writes to this key under the leader's token.
     pub(in crate::node) fn on_commit_confirmation(
         &mut self,
         now: f64,
--- a/crates/gladekeel-controller/src/node/leadership/election.rs
+++ b/crates/gladekeel-controller/src/node/leadership/election.rs
@@ -1,4 +1,5 @@
-//! Election of the leader by a key in the store, whose version is the fencing token.
+//! Election of the leader by the leader key in the store; the version of this key is the fencing
+//! token.
 //!
 //! [`Election`] decides which request to the store is due; it never decides that this node
 //! leads. The key is attached to a lease and is deleted with it, so a leader that crashes is
@@ -11,7 +12,7 @@
 /// Time to live of the leader's lease: the store deletes the leader key this long after the last
 /// renewal.
 const LEASE_TTL_MS: u64 = 3000;
-/// Time between renewals of the lease.
+/// Time between renewals of the leader's lease.
 const RENEWAL_INTERVAL_S: f64 = 0.8;
 /// Pause after an election request that changed the leader key or was refused.
 const RETRY_S: f64 = 0.2;
@@ -43,19 +44,19 @@
 pub(super) enum ObservedLeader {
     /// There is no leader key.
     Vacant,
-    /// The key names this incarnation.
+    /// The leader key names this incarnation: this process of this node.
     ThisIncarnation,
-    /// The key names an earlier incarnation of this node, whose process no longer runs.
+    /// The leader key names an earlier incarnation of this node: a process that no longer runs.
     StaleIncarnation {
         /// The version of the leader key.
         version: u64,
     },
-    /// The key names another node.
+    /// The leader key names another node.
     OtherNode,
 }
 
 impl ObservedLeader {
-    /// Compares the stored leader key, if there is one, with this incarnation's record.
+    /// Compares the stored leader key, if there is one, with `own`, the record of this incarnation.
     pub fn of(stored: Option<&(LeaderRecord, u64)>, own: &LeaderRecord) -> ObservedLeader {
         match stored {
             None => ObservedLeader::Vacant,
@@ -69,8 +70,8 @@
 }
 
 impl Election {
-    /// Returns the next request, if one is due, and marks it as in flight. `token_to_renew` is
-    /// the current token if it must be replaced by a higher one.
+    /// Returns the next election request, if one is due, and marks it as in flight.
+    /// `token_to_renew` is the current token if it must be replaced by a higher one.
     pub fn next_request(
         &mut self,
         now: f64,
@@ -83,7 +84,7 @@
         }
         let request = match (observed, self.lease) {
             (ObservedLeader::ThisIncarnation, Some(lease)) => match token_to_renew {
-                // Rewriting the key gives the same leader a higher token.
+                // Rewriting the leader key gives the same leader a higher token.
                 Some(token) => {
                     self.not_before = now + RETRY_IN_DOUBT_S;
                     put_leader_key(record, token, lease.id)
@@ -93,7 +94,8 @@
                 }
                 None => return None,
             },
-            // The key is attached to a lease that this process does not hold, and expires with it.
+            // The leader key is attached to a lease that this process does not hold, and is deleted
+            // when that lease expires.
             (ObservedLeader::ThisIncarnation | ObservedLeader::OtherNode, None) => return None,
             (ObservedLeader::OtherNode, Some(lease)) => StoreRequest::RevokeLease(lease.id),
             (ObservedLeader::Vacant | ObservedLeader::StaleIncarnation { .. }, _)
@@ -113,8 +115,8 @@
         Some(request)
     }
 
-    /// Applies the outcome of a request that was sent at `sent_at`. Returns whether the store
-    /// should be read immediately.
+    /// Applies the outcome of an election request that was sent at `sent_at`. Returns whether the
+    /// store should be read immediately.
     pub fn on_outcome(
         &mut self,
         now: f64,
@@ -164,8 +166,8 @@
     }
 }
 
-/// Builds the transaction that writes the leader key if the key still has `version`; 0 means
-/// that it must not exist.
+/// Builds the transaction that writes the leader key if the key still has `version`; 0 means that
+/// the key must not exist.
 fn put_leader_key(record: &LeaderRecord, version: u64, lease: u64) -> StoreRequest {
     let value = serde_json::to_value(record).expect("stored types always serialise");
     StoreRequest::Commit(Transaction {
--- a/crates/gladekeel-controller/src/node/leadership/mod.rs
+++ b/crates/gladekeel-controller/src/node/leadership/mod.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The leader's state, while this node leads.
+    /// The leader's state while this node leads; `None` otherwise.
     pub fn leader(&self) -> Option<&Leader> {
         match &self.role {
             Role::Leading(leader) => Some(leader),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The leader's state, while this node leads.
+    /// The leader's state while this node leads; `None` otherwise.
     pub fn leader_mut(&mut self) -> Option<&mut Leader> {
         match &mut self.role {
             Role::Leading(leader) => Some(leader),
@@ -102,7 +102,7 @@
     /// Steps down if this node leads and a peer leads under a higher token. Returns whether this
     /// node stepped down.
     ///
-    /// This is how a leader that the store no longer responds to learns of its successor.
+    /// In this way, a leader to which the store no longer responds learns of its successor.
     pub fn step_down_if_superseded(&mut self, peer: &str, peer_token: u64) -> bool {
         let Some(leader) = self.leader().filter(|leader| leader.token < peer_token) else {
             return false;
@@ -113,7 +113,8 @@
     }
 
     /// Applies the leader key that a read has just returned: begins a takeover, steps down, or
-    /// changes nothing. A takeover also follows when the key of a leading node has a new token.
+    /// changes nothing. A takeover also begins if this node already leads and the leader key has a
+    /// new token.
     pub fn follow_leader_key(&mut self, now: f64, stored: Option<&(LeaderRecord, u64)>) {
         let Some((_, token)) = stored.filter(|(record, _)| *record == self.record) else {
             if let Role::Leading(leader) = std::mem::replace(&mut self.role, Role::Follower) {
--- a/crates/gladekeel-controller/src/node/leadership/resignation.rs
+++ b/crates/gladekeel-controller/src/node/leadership/resignation.rs
@@ -20,7 +20,7 @@
 const MIN_ISOLATED_AFTER_S: f64 = 4.0;
 /// Maximum amount by which the silence limit exceeds a worker's heartbeat timeout.
 const HEARTBEAT_TIMEOUT_SLACK_S: f64 = 2.0;
-/// How long a node is not a candidate after its first resignation.
+/// Time after its first resignation for which a node is not a candidate for leadership.
 const CANDIDACY_PAUSE_S: f64 = 6.0;
 /// Maximum number of times that the silence limit and the candidacy pause double.
 const MAX_DOUBLINGS: u32 = 4;
--- a/crates/gladekeel-controller/src/node/leadership/takeover.rs
+++ b/crates/gladekeel-controller/src/node/leadership/takeover.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// The state that this node keeps from leading under a lower token.
+/// The state from leading under a lower token, which the takeover carries over.
 #[derive(Debug)]
 pub(super) struct PreviousTerm {
     cluster: ClusterState,
@@ -125,7 +125,7 @@
     }
 }
 
-/// Parses a row of the assignment log; `None` if its key or value is malformed.
+/// Parses a key and value of the assignment log; `None` if the key or the value is malformed.
 fn parse_row(row: KeyValue) -> Option<LogRow> {
     let slot = keys::parse_log_slot(&row.key)?;
     Some(LogRow { slot, version: row.version, text: row.value.as_str()?.to_owned() })
--- a/crates/gladekeel-controller/src/node/mod.rs
+++ b/crates/gladekeel-controller/src/node/mod.rs
@@ -136,7 +136,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// The leader's state, while this node leads.
+    /// The leader's state while this node leads; `None` otherwise.
     pub fn leader(&self) -> Option<&Leader> {
         self.leadership.leader()
     }
--- a/crates/gladekeel-controller/src/node/outgoing_calls.rs
+++ b/crates/gladekeel-controller/src/node/outgoing_calls.rs
@@ -1,7 +1,8 @@
 //! Calls to the store, the cloud and workers that are in flight.
 //!
-//! Each call has an id, which identifies it in the event with its outcome. If the id is no longer
-//! in the table, the call has been resolved by other means, and the outcome is dropped.
+//! The event with the outcome of a call identifies the call by its id. If the tables of calls in
+//! flight no longer contain the id, the call has been resolved by other means, and the outcome is
+//! dropped.
 
 use super::{Action, RequestId, admin_requests::AdminChange, user_requests::UserWrite};
 use crate::{cloud_api::CloudRequest, leader::WorkerRequest};
@@ -89,7 +90,7 @@
 pub(super) struct WritesInFlight<'a> {
     pub call: CallId,
     pub sent_at: f64,
-    /// The writes to whose users the node has not replied yet.
+    /// The writes whose users have not received a reply yet.
     pub writes: &'a mut Vec<UserWrite>,
 }
 
--- a/crates/gladekeel-controller/src/node/peers/cancellations.rs
+++ b/crates/gladekeel-controller/src/node/peers/cancellations.rs
@@ -50,7 +50,7 @@
     /// Sends the cancellations that this node has committed to all reachable peers.
     ///
     /// A leader whose requests the store refuses then stops the jobs' tasks immediately, rather
-    /// than only when their leases expire.
+    /// than only when the workers' leases expire.
     pub(in crate::node) fn publish_cancellations(&mut self, now: f64, ids: &[JobId]) {
         if ids.is_empty() {
             return;
--- a/crates/gladekeel-controller/src/node/peers/job_progress.rs
+++ b/crates/gladekeel-controller/src/node/peers/job_progress.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Applies job progress from a peer, if the leader key names this peer.
+    /// Applies job progress from a peer, if the leader key names that peer.
     pub(super) fn on_job_progress(&mut self, sender: usize, payload: &[u8]) {
         let sender = &self.peers.get(sender).name;
         let view = &mut self.store.view;
@@ -51,7 +51,7 @@
         let entries = mesh::decode_job_progress(payload).unwrap_or_default();
         for JobProgressEntry { id, done, running } in entries {
             // Progress of a job that is not in this view yet is dropped: the leader publishes the
-            // job's progress again when it changes.
+            // job's progress again when the progress changes.
             if view.jobs.contains_key(&id) {
                 view.job_progress.insert(id, JobProgress { done, running });
             }
--- a/crates/gladekeel-controller/src/node/peers/mod.rs
+++ b/crates/gladekeel-controller/src/node/peers/mod.rs
@@ -180,16 +180,16 @@
 }
 
 impl<'a> PeerMessage<'a> {
-    /// Creates a message without a response.
+    /// Creates a message that expects no response.
     pub fn one_way(kind: FrameKind, payload: &'a [u8]) -> PeerMessage<'a> {
         PeerMessage { kind, status: 0, correlation_id: 0, payload }
     }
 }
 
 impl Node {
-    /// The name of the other node that leads, if one is known: the reachable peer that reports
-    /// leading under a token above the view's, else the node that the leader key names while the
-    /// view of the store is fresh.
+    /// The name of the other node that leads, if one is known: a reachable peer that reports
+    /// leading under a token above the highest in the view of the store, else the node that the
+    /// leader key names, provided that the view is fresh.
     pub(super) fn other_leader(&self, now: f64) -> Option<&str> {
         let view = &self.store.view;
         let reported = self.peers.leader_above(now, view.highest_token);
--- a/crates/gladekeel-controller/src/node/rate_limits.rs
+++ b/crates/gladekeel-controller/src/node/rate_limits.rs
@@ -8,7 +8,7 @@
 const STEADY_REQUEST_SHARE: f64 = 0.6;
 /// Fraction of the store's write rate that one node may use for users' changes. The nodes do not
 /// divide this rate among themselves, since users' changes come in bursts, and after a crash all
-/// of them go to the first node that is available again. If several nodes write at once, the
+/// these changes go to the first node that is available again. If several nodes write at once, the
 /// store refuses the excess and the refused nodes back off.
 const USER_WRITE_SHARE: f64 = 0.3;
 /// Fraction of the cloud's request rate that the leader uses.
--- a/crates/gladekeel-controller/src/node/store_reads/mod.rs
+++ b/crates/gladekeel-controller/src/node/store_reads/mod.rs
@@ -1,10 +1,11 @@
 //! Linearizable reads of the store, and the view that the reads keep up to date.
 //!
-//! A read brings the local replica up to a revision that is current at some time after the read
-//! was sent. The read is therefore the read barrier of every request received before it was sent,
-//! and the time at which it was sent counts as the last contact with the store. `docs/safety.md`
-//! derives from this time how long this node may renew workers' leases. The time of the response
-//! would be too late, since a slow response does not show what has happened since the read.
+//! A read brings the local replica up to a revision that is current at some time after the read was
+//! sent. The read therefore serves as a read barrier for every request that was received before the
+//! read was sent, and the time at which it was sent counts as the last contact with the store.
+//! `docs/safety.md` derives from this time how long this node may renew workers' leases. The time
+//! of the response would be too late, since a slow response does not show what has happened since
+//! the read.
 
 mod scheduler;
 
@@ -27,7 +28,7 @@
 const LEADER_READ_INTERVAL_S: f64 = 0.25;
 /// Time between a follower's reads if nothing requests an earlier one.
 const FOLLOWER_READ_INTERVAL_S: f64 = 0.4;
-/// The view of the store is stale once the last contact with the store is this old.
+/// Age of the last contact with the store from which the view of the store counts as stale.
 const FRESH_CONTACT_S: f64 = 2.5;
 /// Subtracted from the cancellation deadline to allow for clock drift and for responses in
 /// flight.
@@ -85,7 +86,8 @@
         self.last_contact.is_some_and(|contact| now - contact < FRESH_CONTACT_S)
     }
 
-    /// Whether this node may renew workers' leases: see `docs/safety.md`, "Keeping leases alive".
+    /// Whether this node's last contact with the store is recent enough for it to renew workers'
+    /// leases: see `docs/safety.md`, "Keeping leases alive".
     pub fn may_renew_leases(&self, now: f64, workers: &WorkerTimings) -> bool {
         let max_age_s = workers.cancellation_deadline_s - workers.lease_s - LEASE_SAFETY_MARGIN_S;
         self.last_contact.is_some_and(|contact| now - contact < max_age_s)
@@ -189,7 +191,8 @@
     }
 
     fn apply_store_changes(&mut self, now: f64, changes: &[Change]) {
-        // The previous read did not return these changes, so they were made after it was sent.
+        // The previous read did not return these changes, so they were made after that read was
+        // sent.
         let not_before = self.store.last_contact_or_never();
         for change in changes {
             let changed = self.store.view.apply(change, not_before);
--- a/crates/gladekeel-controller/src/node/user_requests/batch.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/batch.rs
@@ -8,7 +8,7 @@
     store::{Precondition, Transaction, Write},
 };
 
-/// Estimated size in bytes beyond which no change is added to a batch.
+/// Estimated size of a batch, in bytes, above which no change is added to it.
 const MAX_BATCH_BYTES: usize = 48 * 1024;
 /// Estimated size in bytes of a change without the job's specification: keys, preconditions and
 /// punctuation.
@@ -78,8 +78,7 @@
         self.transaction.writes.push(Write::Put { key, value, lease: None });
     }
 
-    /// Makes the transaction fail unless `key` has this version; 0 means that the key must not
-    /// exist.
+    /// Makes the transaction fail unless `key` has `version`; 0 means that the key must not exist.
     fn require(&mut self, key: String, version: u64) {
         self.transaction.preconditions.push(Precondition { key, version });
     }
--- a/crates/gladekeel-controller/src/node/user_requests/mod.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/mod.rs
@@ -38,18 +38,18 @@
 
 /// How long a user's request may wait for the store; users' polls time out after 2 s.
 const REQUEST_TIMEOUT_S: f64 = 1.5;
-/// Allowance in bytes for what a job's stored value holds besides the specification.
+/// Allowance in bytes for the part of a job's stored value that is not the specification.
 const STORED_JOB_OVERHEAD_BYTES: usize = 100;
 
 impl Node {
-    /// Replies that the client should retry after one second.
+    /// Replies with status 503: the client should retry after one second.
     pub(super) fn reply_retry_later(&mut self, now: f64, request: RequestId, reason: &str) {
         tracing::debug!(request, reason, "request rejected: client should retry");
         self.reply(now, request, Reply::retry_later(1, reason));
     }
 
-    /// Rejects a request that cannot be queued: the reply tells the client to retry later. Returns
-    /// whether the request was rejected.
+    /// Rejects a request if the queues are full or the store is unavailable; the reply tells the
+    /// client to retry later. Returns whether the request was rejected.
     pub(super) fn reject_if_overloaded(&mut self, now: f64, request: RequestId) -> bool {
         if self.user_requests.is_full() {
             let reason = "too many requests are waiting";
--- a/crates/gladekeel-controller/src/node/user_requests/queue.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/queue.rs
@@ -7,8 +7,8 @@
 use gladekeel_wire::{JobId, job::JobSpec};
 use std::{collections::VecDeque, rc::Rc};
 
-/// Maximum number of queued requests. Requests beyond it are rejected, and their users should
-/// retry later.
+/// Maximum number of queued requests. Further requests are rejected with a reply that tells users
+/// to retry later.
 const MAX_QUEUED: usize = 400;
 /// Maximum number of transactions with users' changes in flight. More than one is allowed so that
 /// a slow response does not delay other changes.
@@ -54,7 +54,7 @@
     },
     /// Reply with the job's state, or reject the submission if the job does not exist.
     Reject {
-        /// The HTTP status.
+        /// The HTTP status of the reply.
         status: u16,
         /// The error message of the reply.
         message: String,
--- a/crates/gladekeel-controller/src/node/user_requests/writes.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/writes.rs
@@ -169,7 +169,7 @@
     }
 
     /// Handles a transaction in doubt: it may have been committed or may still be. A read shows
-    /// which changes are visible; none of them is sent again.
+    /// which changes are visible; no change is sent again.
     fn on_user_writes_in_doubt(&mut self, now: f64, writes: Vec<UserWrite>) {
         for write in writes {
             let next = match write.change {
--- a/crates/gladekeel-controller/src/runtime_settings.rs
+++ b/crates/gladekeel-controller/src/runtime_settings.rs
@@ -20,7 +20,8 @@
     pub fair_share: FairShare,
     /// Time between scheduling cycles, in seconds.
     pub cycle_interval_s: f64,
-    /// A task is a straggler once it has run for this many times the median run time of its job.
+    /// Multiple of the median run time of a job's tasks from which a running task counts as a
+    /// straggler.
     pub straggler_multiple: f64,
     /// Time in seconds for which an idle machine that exceeds the demand is kept.
     pub idle_timeout_s: f64,
@@ -42,7 +43,7 @@
     /// There is no setting of this name.
     #[error("{name}: no such setting; there are {}", SettingDefinition::names().join(", "))]
     Unknown {
-        /// The name in the change.
+        /// The unknown name.
         name: String,
     },
     /// The value is not a number or is out of range.
@@ -50,9 +51,9 @@
     OutOfRange {
         /// The setting's name.
         name: &'static str,
-        /// The smallest value of the setting.
+        /// The smallest allowed value.
         min: f64,
-        /// The largest value of the setting.
+        /// The largest allowed value.
         max: f64,
     },
     /// The change names no setting.
--- a/crates/gladekeel-controller/src/shell/peer_connections.rs
+++ b/crates/gladekeel-controller/src/shell/peer_connections.rs
@@ -30,13 +30,13 @@
 /// Maximum time to receive a frame's header, and again to receive the frame's payload. A connection
 /// that exceeds this time is dead, because peers send a heartbeat every second.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
-/// Maximum number of accepted connections. Each peer needs one; the others allow for
-/// connections whose peer has disappeared without closing them.
+/// Maximum number of open connections that this controller has accepted from peers. Each peer needs
+/// one; the others allow for connections whose peer has disappeared without closing them.
 const MAX_ACCEPTED_CONNECTIONS: usize = 32;
 /// Delay before the next attempt after accepting a connection has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Number of open connections from and to peers.
+/// Counter of the open connections from and to peers.
 #[derive(Default)]
 pub(super) struct ConnectionCounter(Cell<usize>);
 
--- a/crates/gladekeel-controller/src/store_view.rs
+++ b/crates/gladekeel-controller/src/store_view.rs
@@ -33,7 +33,7 @@
     pub accepted_at: Option<f64>,
 }
 
-/// The content of the store that all nodes replicate.
+/// The part of the store that all nodes replicate, as typed values.
 #[derive(Debug, Default)]
 pub struct StoreView {
     /// Jobs whose keys the leader has not removed yet.
@@ -43,10 +43,10 @@
     /// For each cancelled job in `jobs`, the latest known time on this node's clock at which the
     /// job was not cancelled yet. No user can have been notified of the cancellation before then.
     pub cancelled_no_earlier_than: HashMap<JobId, f64>,
-    /// Jobs whose cancellation this node or a peer has committed, before a read returns it. The
-    /// value is the time on this node's clock from which the cancellation deadline counts. Tasks of
-    /// these jobs are stopped and none is started, but responses to users do not rely on this
-    /// field.
+    /// Jobs whose cancellation this node or a peer has committed, but which a read may not have
+    /// returned yet. The value is the time on this node's clock from which the cancellation
+    /// deadline counts. Tasks of these jobs are stopped and none is started, but responses to users
+    /// do not rely on this field.
     pub pending_cancellations: HashMap<JobId, f64>,
     /// Progress of jobs as last published by the leader, for display only.
     pub job_progress: BTreeMap<JobId, JobProgress>,
--- a/crates/gladekeel-controller/src/task_bitmap.rs
+++ b/crates/gladekeel-controller/src/task_bitmap.rs
@@ -4,8 +4,8 @@
 //! that have changed are written and a page always fits into a segment. The size of a page is
 //! part of the stored format.
 
-/// Number of tasks per page. Two bitmaps of a page fit into a segment of any size that a store
-/// allows.
+/// Number of tasks per page. Two bitmaps of a page (done and restarted tasks) fit into a segment of
+/// any size that a store allows.
 pub const TASKS_PER_PAGE: u32 = 4096;
 /// Size of the bitmap of a full page, in bytes.
 pub const PAGE_BYTES: usize = TASKS_PER_PAGE as usize / 8;
--- a/crates/gladekeel-controller/tests/assignment_log.rs
+++ b/crates/gladekeel-controller/tests/assignment_log.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// Guards against a value that is decoded although it is no segment of this layout, and against
+/// Guards against a value that is decoded although it is not a segment in this layout, and against
 /// full segments that do not fit into a value of 4096 bytes.
 #[test]
 fn values_in_another_layout_are_rejected() {
--- a/crates/gladekeel-controller/tests/common/mod.rs
+++ b/crates/gladekeel-controller/tests/common/mod.rs
@@ -8,12 +8,12 @@
 use gladekeel_wire::JobId;
 use serde_json::Value;
 
-/// A valid job id.
+/// Parses a valid job id.
 pub fn job(id: &str) -> JobId {
     id.parse().unwrap()
 }
 
-/// An assignment row.
+/// Builds an assignment row of a segment.
 pub fn assigned(
     job: &JobId,
     index: u32,
@@ -24,12 +24,12 @@
     Assignment { job: job.clone(), index, machine: machine.into(), incarnation, attempt }
 }
 
-/// A release row.
+/// Builds a release row of a segment.
 pub fn released(job: &JobId, index: u32, attempt: u64, outcome: AttemptOutcome) -> Release {
     Release { job: job.clone(), index, attempt, outcome }
 }
 
-/// A segment writer that holds all rows of a segment.
+/// Creates a segment writer that holds all rows of a segment.
 pub fn writer_with_rows(segment: &Segment) -> SegmentWriter {
     let mut writer = SegmentWriter::default();
     for row in &segment.assignments {
@@ -44,7 +44,7 @@
     writer
 }
 
-/// The text of a segment as this version writes it.
+/// Encodes a segment to the text that this version writes.
 pub fn encode(segment: &Segment) -> String {
     writer_with_rows(segment).encode(segment.sequence)
 }
@@ -53,7 +53,7 @@
 pub struct StoredValues(&'static str);
 
 impl StoredValues {
-    /// The values in a fixture's text.
+    /// Wraps the text of a fixture.
     pub const fn new(fixture: &'static str) -> StoredValues {
         StoredValues(fixture)
     }
--- a/crates/gladekeel-controller/tests/metrics.rs
+++ b/crates/gladekeel-controller/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics that only the process can measure, in the text that operators read.
+//! Metrics that only the process can measure, in the text format that Prometheus reads.
 
 use gladekeel_controller::{
     node::{Action, Event, Node},
--- a/crates/gladekeel-controller/tests/stored_types.rs
+++ b/crates/gladekeel-controller/tests/stored_types.rs
@@ -64,8 +64,8 @@
     assert_eq!(stored.all(), Some(&types(2)));
 }
 
-/// Guards against parts that are read under another number than they were written, and against
-/// other keys that are taken for a part.
+/// Guards against parts that are read under a different number than the one under which they were
+/// written, and against other keys that are mistaken for the key of a part.
 #[test]
 fn keys_of_parts_parse_to_the_part_numbers() {
     for part in [0, 1, 12] {
