--- a/crates/gladekeel-wire/src/admin.rs
+++ b/crates/gladekeel-wire/src/admin.rs
@@ -67,7 +67,8 @@
     pub limit_cpus: f64,
     /// Number of the team's jobs that are neither done nor cancelled.
     pub jobs: u32,
-    /// Number of tasks of these jobs that are not assigned to a machine.
+    /// Number of tasks of the team's unfinished jobs that are neither done nor assigned to a
+    /// machine.
     pub waiting: u64,
 }
 
--- a/crates/gladekeel-wire/src/settings/mod.rs
+++ b/crates/gladekeel-wire/src/settings/mod.rs
@@ -94,16 +94,16 @@
 pub struct Team {
     /// Name of the team.
     pub name: String,
-    /// Guaranteed CPUs.
+    /// Number of CPUs that the team is guaranteed.
     #[serde(default)]
     pub cpus: f64,
-    /// Maximum number of CPUs.
+    /// Maximum number of CPUs that the team may use.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed GPUs.
+    /// Number of GPUs that the team is guaranteed.
     #[serde(default)]
     pub gpus: f64,
-    /// Maximum number of GPUs.
+    /// Maximum number of GPUs that the team may use.
     #[serde(default)]
     pub gpus_max: f64,
 }
--- a/crates/gladekeel-wire/src/store.rs
+++ b/crates/gladekeel-wire/src/store.rs
@@ -54,7 +54,7 @@
 /// otherwise.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Versions that keys must have.
+    /// Preconditions, all of which must hold.
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
     /// Writes, applied atomically.
@@ -64,7 +64,7 @@
 /// The response to a transaction. Page and watch responses have the same revision field.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TransactionResponse {
-    /// Revision of the commit, or of the store when it responded if nothing was committed.
+    /// Revision of the commit; if nothing was committed, the store's revision when it responded.
     #[serde(rename = "logline", default)]
     pub revision: u64,
     /// Keys whose preconditions failed; empty if the transaction was committed.
--- a/crates/gladekeel-wire/src/worker.rs
+++ b/crates/gladekeel-wire/src/worker.rs
@@ -48,12 +48,12 @@
     /// The other tasks of the gang did not start in time.
     #[serde(rename = "incomplete")]
     GangIncomplete,
-    /// Start refused: the machine lacks the resources.
+    /// The start was refused: the machine lacks the resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Start refused: another attempt of the task is on this machine.
+    /// The start was refused: another attempt of the task is on this machine.
     Busy,
-    /// Start refused: the task does not exist.
+    /// The start was refused: the task does not exist.
     Unknown,
     /// A cause that this version does not know.
     #[serde(other)]
@@ -176,7 +176,8 @@
     pub controller: Option<String>,
 }
 
-/// Commands that the leader sends to a worker without waiting for its next heartbeat.
+/// Direct commands, which the leader sends to a worker without waiting for the worker's next
+/// heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
     /// Fencing token of the leader.
--- a/crates/gladekeel-wire/tests/frames_37c5e95.rs
+++ b/crates/gladekeel-wire/tests/frames_37c5e95.rs
@@ -53,7 +53,7 @@
         assert_eq!(FrameKind::from_number(number), Some(kind));
         assert_eq!(kind as u16, number);
     }
-    // Production rejects every other number, so new kinds must have higher numbers.
+    // Production rejects all numbers except 1 to 5, so new kinds must have higher numbers.
     assert_eq!(FrameKind::Cancellations as u16, 6);
     assert_eq!(FrameKind::from_number(0), None);
     assert_eq!(FrameKind::from_number(7), None);
--- a/crates/gladekeel-wire/tests/frames_fe9a16c.rs
+++ b/crates/gladekeel-wire/tests/frames_fe9a16c.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// Guards against frames on which fe9a16c closes the connection: it accepts frames of these kinds
-/// and up to this size, and no others.
+/// Guards against frames on which fe9a16c closes the connection: it accepts only the frame kinds
+/// listed here, and only payloads of at most `MAX_PAYLOAD` bytes.
 #[test]
 fn frame_kinds_and_size_limits_match_fe9a16c() {
     let known = [
