--- a/crates/gladekeel-store/src/request.rs
+++ b/crates/gladekeel-store/src/request.rs
@@ -63,11 +63,12 @@
     /// The lease to renew or revoke, or a lease named in a transaction, does not exist; or the
     /// store refused the transaction as invalid, for example as too large, with the same status.
     LeaseNotFound,
-    /// The store's rate limit was exceeded; nothing was done.
+    /// The store's rate limit was exceeded; the request was not executed.
     RateLimited,
-    /// The store refused the request, or the request was never sent; nothing was done.
+    /// The store was unavailable, or the request was never sent; the request was not executed.
     Unavailable,
-    /// There was no readable response: the request may have been executed, or may still be.
+    /// No readable response was received: the request may have been executed, or may be executed
+    /// later.
     Unknown,
 }
 
