--- a/crates/gladekeel-http/src/admission/mod.rs
+++ b/crates/gladekeel-http/src/admission/mod.rs
@@ -29,7 +29,8 @@
     Admit,
     /// The connection gets a 503 response and is closed.
     Refuse,
-    /// The connection is closed without a response, because too many are being refused already.
+    /// The connection is closed without a response, because too many connections are being refused
+    /// already.
     Drop,
 }
 
@@ -65,13 +66,14 @@
         counts[class] < reserved[class] || in_use < self.limits.max_connections
     }
 
-    /// Evicts the longest idle connection. Returns `false` if no connection may be evicted.
+    /// Evicts the longest idle connection of `from`. Returns `false` if no connection may be
+    /// evicted.
     fn evict(&self, from: EvictFrom) -> bool {
         self.idle.borrow_mut().evict_longest_idle(from, self.limits.evictable_after)
     }
 }
 
-/// One connection that counts against the limits until the slot is dropped.
+/// A slot for one connection, which counts against the limits until the slot is dropped.
 pub(crate) struct Slot {
     admission: Rc<Admission>,
     /// Class of the connection; `None` until its first request.
--- a/crates/gladekeel-http/src/client/pool.rs
+++ b/crates/gladekeel-http/src/client/pool.rs
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Changes the maximum number of open connections. Idle connections beyond it are closed, the
-    /// longest idle first; connections in use stay open.
+    /// Changes the maximum number of open connections. Idle connections beyond this number are
+    /// closed, the longest idle first; connections in use stay open.
     pub fn resize(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
         while self.open() > max_connections && self.idle.borrow_mut().close_longest_idle() {}
--- a/crates/gladekeel-http/src/codec.rs
+++ b/crates/gladekeel-http/src/codec.rs
@@ -51,7 +51,7 @@
     /// [`Limits::request_timeout`](crate::Limits::request_timeout).
     #[error("request not complete within {limit:?}")]
     Timeout {
-        /// The limit.
+        /// The time limit that was exceeded.
         limit: std::time::Duration,
     },
 }
@@ -263,7 +263,8 @@
         .is_ok_and(|list| list.split(',').any(|item| item.trim().eq_ignore_ascii_case(token)))
 }
 
-/// Encodes a response. `close` announces that the server closes the connection afterwards.
+/// Encodes a response. If `close` is set, a header announces that the server closes the connection
+/// after the response.
 pub fn encode_response(response: &Response, close: bool) -> BytesMut {
     let mut head = String::with_capacity(RESPONSE_HEAD_CAPACITY);
     // Writing to a `String` cannot fail.
--- a/crates/gladekeel-http/tests/loopback.rs
+++ b/crates/gladekeel-http/tests/loopback.rs
@@ -34,7 +34,7 @@
     addr
 }
 
-/// Sends bytes and returns all that is received until the server closes the connection.
+/// Sends bytes and returns everything that is received before the server closes the connection.
 async fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).await.unwrap();
     // The server may close the connection before it has read all bytes.
