--- a/crates/gladekeel-controller/src/node/leadership/commits.rs
+++ b/crates/gladekeel-controller/src/node/leadership/commits.rs
@@ -8,8 +8,8 @@
 use gladekeel_store::{StoreOutcome, StoreRequest};
 use gladekeel_wire::store::KeyValue;
 
-/// A leader's commit without a response for this long is looked up in the store, repeatedly at
-/// this interval.
+/// Time without a response after which a leader's commit is looked up in the store, and the
+/// interval at which the lookup is repeated.
 const CONFIRM_COMMIT_AFTER_S: f64 = 0.5;
 
 impl Node {
@@ -60,8 +60,8 @@
 
     /// Resolves a commit in doubt as committed if the lookup shows that it was applied.
     ///
-    /// The whole commit was applied if and only if its marker is stored under the marker's key:
-    /// nothing else writes to this key under the token.
+    /// The whole commit was applied if and only if its marker (the key and text of its first log
+    /// segment) is in the store: nothing else writes to this key under the leader's token.
     pub(in crate::node) fn on_commit_confirmation(
         &mut self,
         now: f64,
--- a/crates/gladekeel-controller/src/node/leadership/takeover.rs
+++ b/crates/gladekeel-controller/src/node/leadership/takeover.rs
@@ -30,7 +30,8 @@
     UnreadableSegment,
     #[error("the store holds assignments in a layout that this version cannot read")]
     LegacyAssignments,
-    /// Attempts of an unreadable job could not be attributed to any job.
+    /// The assignment log's attempts of a job that cannot be read could not be attributed to any
+    /// job.
     #[error("values of jobs in the store cannot be read")]
     UnreadableJobs,
 }
@@ -41,7 +42,7 @@
     }
 }
 
-/// The state that this node keeps from leading under a lower token.
+/// The state from leading under a lower token, which the takeover carries over.
 #[derive(Debug)]
 pub(super) struct PreviousTerm {
     cluster: ClusterState,
@@ -68,7 +69,7 @@
 #[derive(Debug)]
 pub(super) struct Takeover {
     token: u64,
-    /// Rows of the log that have been read so far.
+    /// The keys and values of the log that have been read so far.
     rows: Vec<KeyValue>,
     /// Whether a read of a page is in flight.
     in_flight: bool,
@@ -124,7 +125,7 @@
     }
 }
 
-/// Parses a row of the assignment log; `None` if its key or value is malformed.
+/// Parses a key and value of the assignment log; `None` if the key or the value is malformed.
 fn parse_row(row: KeyValue) -> Option<LogRow> {
     let slot = keys::parse_log_slot(&row.key)?;
     Some(LogRow { slot, version: row.version, text: row.value.as_str()?.to_owned() })
--- a/crates/gladekeel-controller/src/node/user_requests/mod.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/mod.rs
@@ -4,8 +4,8 @@
 //!
 //! 1. [`Node::on_submit`] parses it. If the view of the store has a final state of the job, the
 //!    node replies immediately, since final states never change.
-//! 2. If the view has the job, the node replies after a read. Any other job passes admission
-//!    control and is queued as a write.
+//! 2. If the view has the job, the node replies after a read. Any other job goes through admission
+//!    control and, if accepted, is queued as a write.
 //! 3. [`Node::send_user_writes`] puts queued writes into one transaction, which creates each job
 //!    only if the job neither exists nor has a final state.
 //! 4. [`Node::on_user_writes_outcome`] replies with 201. After a conflict, or if the
@@ -38,18 +38,18 @@
 
 /// How long a user's request may wait for the store; users' polls time out after 2 s.
 const REQUEST_TIMEOUT_S: f64 = 1.5;
-/// Allowance in bytes for what a job's stored value holds besides the specification.
+/// Allowance in bytes for the part of a job's stored value that is not the specification.
 const STORED_JOB_OVERHEAD_BYTES: usize = 100;
 
 impl Node {
-    /// Replies that the client should retry after one second.
+    /// Replies with status 503: the client should retry after one second.
     pub(super) fn reply_retry_later(&mut self, now: f64, request: RequestId, reason: &str) {
         tracing::debug!(request, reason, "request rejected: client should retry");
         self.reply(now, request, Reply::retry_later(1, reason));
     }
 
-    /// Rejects a request that cannot be queued: the reply tells the client to retry later. Returns
-    /// whether the request was rejected.
+    /// Rejects a request if the queues are full or the store is unavailable; the reply tells the
+    /// client to retry later. Returns whether the request was rejected.
     pub(super) fn reject_if_overloaded(&mut self, now: f64, request: RequestId) -> bool {
         if self.user_requests.is_full() {
             let reason = "too many requests are waiting";
@@ -122,7 +122,7 @@
     /// A rejection waits for a read: a job that another node has accepted in the meantime must not
     /// be rejected.
     fn admit(&mut self, now: f64, request: RequestId, spec: JobSpec) {
-        // The store would refuse such a write together with its whole batch.
+        // The store would refuse a value above its size limit, and with it the whole batch.
         if self.exceeds_value_limit(&spec) {
             let message = "the description is too long".into();
             let next = JobContinuation::Reject { status: 400, message };
--- a/crates/gladekeel-wire/tests/frames_fe9a16c.rs
+++ b/crates/gladekeel-wire/tests/frames_fe9a16c.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// Guards against frames on which fe9a16c closes the connection: it accepts frames of these kinds
-/// and up to this size, and no others.
+/// Guards against frames on which fe9a16c closes the connection: it accepts only the frame kinds
+/// listed here, and only payloads of at most `MAX_PAYLOAD` bytes.
 #[test]
 fn frame_kinds_and_size_limits_match_fe9a16c() {
     let known = [
@@ -118,8 +118,8 @@
     assert_eq!(encode_job_ids(two.iter()), b"job-g_2\njob-s.4");
 }
 
-/// Guards against job progress entries that shift against each other: an id of variable length
-/// follows the fixed-size part of each entry.
+/// Guards against job progress entries that are decoded at the wrong offset: an id of variable
+/// length follows the fixed-size part of each entry.
 #[test]
 fn job_progress_round_trips() {
     let bytes = FRAMES.frame("counts");
