--- a/crates/gladekeel-testkit/src/invariants/acceptance.rs
+++ b/crates/gladekeel-testkit/src/invariants/acceptance.rs
@@ -10,15 +10,15 @@
 };
 
 impl InvariantChecker {
-    /// Checks that a job was submitted if a controller knows it. The state of any other job
-    /// would be that of another client's job, or garbage.
+    /// Checks that a job that a controller reports as known was submitted by a client. The state of
+    /// any other job would belong to another client's job, or be garbage.
     pub(super) fn check_no_invented_job(&self, job: &JobId) -> Option<Invariant> {
         let submitted = self.observed_jobs.get(job).is_some_and(|observed| observed.submitted);
         (!submitted).then_some(Invariant::NoInventedJob)
     }
 
-    /// Checks that an accepted job is not refused or unknown later: its client relies on the
-    /// acceptance.
+    /// Checks that a later response does not refuse an accepted job or report it as unknown: the
+    /// client relies on the acceptance.
     pub(super) fn check_accepted_job_kept(
         &self,
         job: &JobId,
--- a/crates/gladekeel-testkit/src/invariants/cancellation.rs
+++ b/crates/gladekeel-testkit/src/invariants/cancellation.rs
@@ -5,12 +5,13 @@
 use crate::stand_ins::worker::MachineIdentity;
 use gladekeel_wire::{TaskId, job::JobSpec};
 
-/// How long after a confirmed cancellation a task may still start, in seconds, in addition to
-/// the time to fetch its image. Such a start was in flight: its command was in a heartbeat
-/// response, which the worker drops after 4 s. A direct command is older only if a partition or
-/// a hung machine delayed it. It is permitted if it was sent before the cancellation was
-/// confirmed, and its task must end by the deadline like any other. Any other task that starts
-/// later was started by a controller that should have known of the cancellation.
+/// How long after the confirmed cancellation of its job a task may still start, in seconds, in
+/// addition to the time to fetch its image. Its start command was then in flight in a heartbeat
+/// response, which the worker drops after 4 s. A direct command, which is sent outside heartbeat
+/// responses, can arrive later if a partition or a hung machine delays it. Such a late start is
+/// permitted if the command was sent before the cancellation was confirmed, and its task must end
+/// by the deadline like any other. Any other later start was sent by a controller that should have
+/// known of the cancellation.
 const IN_FLIGHT_S: f64 = 4.0;
 
 impl InvariantChecker {
@@ -20,13 +21,14 @@
         self.direct_starts.insert(task.clone(), now);
     }
 
-    /// Records that a worker receives a start in a heartbeat response. A delay of the direct
-    /// command no longer permits the task to start late.
+    /// Records that a worker received the start command of a task in a heartbeat response. A
+    /// delayed direct command then no longer permits the task to start late.
     pub fn on_start_in_heartbeat_response(&mut self, task: &TaskId) {
         self.direct_starts.remove(task);
     }
 
-    /// Reports each task of a cancelled job, once, that is on a machine after the deadline.
+    /// Reports the tasks of cancelled jobs that are on machines after the cancellation deadline,
+    /// each task once.
     pub fn check_cancellation_deadlines(&mut self, now: f64) {
         let deadline_s = self.deployment.workers.cancellation_deadline_s;
         let overdue = self.cancelled.iter().filter(|job| {
--- a/crates/gladekeel-testkit/src/invariants/mod.rs
+++ b/crates/gladekeel-testkit/src/invariants/mod.rs
@@ -68,8 +68,8 @@
     cancelled: BTreeSet<JobId>,
     /// Tasks that were reported for running after the cancellation deadline.
     reported_after_cancellation: BTreeSet<TaskId>,
-    /// When each start was sent as a direct command, unless a heartbeat response has repeated
-    /// the start since.
+    /// When the start command of each task was sent as a direct command; absent for a task whose
+    /// start command a heartbeat response has repeated since.
     direct_starts: BTreeMap<TaskId, f64>,
     /// Since when each job has been pending although free machines could run it.
     pending_since: BTreeMap<JobId, f64>,
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Records that a task is on a machine from now on, and checks the invariants of a start.
+    /// Records that a task is on a machine from now on, and checks the invariants that concern task
+    /// starts.
     pub fn on_task_started(&mut self, now: f64, task: &TaskId, machine: &MachineIdentity) {
         self.starts += 1;
         let Some(spec) = self.specs.get(&task.job).cloned() else { return };
@@ -178,7 +179,7 @@
         Some(spec)
     }
 
-    /// The latest state of a job that a client observed; `None` if none did.
+    /// The latest state of a job that a client observed; `None` if no client observed a state.
     pub fn last_state(&self, job: &JobId) -> Option<JobState> {
         self.observed_jobs.get(job).and_then(|observed| observed.last_state)
     }
@@ -203,7 +204,7 @@
         self.cancelled.len()
     }
 
-    /// Number of tasks of these cancelled jobs that are still on machines.
+    /// Number of tasks on machines whose jobs clients have observed as cancelled.
     pub fn cancelled_tasks_on_machines(&self) -> usize {
         self.cancelled.iter().flat_map(|job| self.running.of_job(job)).count()
     }
--- a/crates/gladekeel-testkit/src/invariants/observed_job.rs
+++ b/crates/gladekeel-testkit/src/invariants/observed_job.rs
@@ -53,7 +53,8 @@
     pub cancelled_at: Option<f64>,
     /// When a client first observed a final state of the job.
     pub final_at: Option<f64>,
-    /// Latest observed state. A response that a final state has overtaken does not change it.
+    /// Latest observed state. A final state is not replaced by a non-final one if the request for
+    /// the latter was sent before a client had observed the final state.
     pub last_state: Option<JobState>,
 }
 
@@ -73,7 +74,7 @@
         self.final_at.is_some_and(|final_at| response.sent_at >= final_at)
     }
 
-    /// The final state that was observed; `None` if there is none.
+    /// The final state that a client observed; `None` if no client has observed one.
     pub fn final_state(&self) -> Option<JobState> {
         self.last_state.filter(|state| state.is_final())
     }
--- a/crates/gladekeel-testkit/src/invariants/response_status.rs
+++ b/crates/gladekeel-testkit/src/invariants/response_status.rs
@@ -1,7 +1,7 @@
 //! Repeated and malformed requests have exactly one correct status.
 //!
 //! Clients repeat requests that got no response, and rely on status 200 for a job that is
-//! already known. A request that cannot be executed is refused for its own reason, at once or
+//! already known. A request that cannot be executed gets the status of its own error, at once or
 //! after retries.
 
 use super::{Invariant, InvariantChecker};
--- a/crates/gladekeel-testkit/src/invariants/running_tasks.rs
+++ b/crates/gladekeel-testkit/src/invariants/running_tasks.rs
@@ -19,19 +19,19 @@
     pub gpus: f64,
 }
 
-/// Number of other tasks of a task's job in a zone and in all other zones.
+/// Number of tasks of a job in one zone and in all other zones, excluding the task that is placed.
 pub(super) struct TasksByZone {
     pub same_zone: u32,
     pub other_zones: u32,
 }
 
-/// All tasks on machines. A task that waits for its gang is on its machine too.
+/// All tasks on machines, including those that wait for their gang.
 #[derive(Debug, Default)]
 pub(super) struct RunningTasks {
     placements: BTreeMap<TaskId, Vec<TaskPlacement>>,
     /// Number of tasks of each job in each zone.
     tasks_by_zone: BTreeMap<JobId, BTreeMap<String, u32>>,
-    /// Usage of each team.
+    /// CPUs and GPUs that each team's tasks use, by team name.
     usage: BTreeMap<String, TeamUsage>,
 }
 
@@ -88,7 +88,7 @@
         self.usage.get(team).copied().unwrap_or_default()
     }
 
-    /// Number of other tasks of a task's job in this zone and in all other zones.
+    /// Counts the other tasks of a task's job in a zone and in all other zones.
     pub fn other_tasks_by_zone(&self, task: &TaskId, zone: &str) -> TasksByZone {
         let Some(zones) = self.tasks_by_zone.get(&task.job) else {
             return TasksByZone { same_zone: 0, other_zones: 0 };
--- a/crates/gladekeel-testkit/src/invariants/starvation.rs
+++ b/crates/gladekeel-testkit/src/invariants/starvation.rs
@@ -71,7 +71,8 @@
     fn startable_jobs(&self, free: &[FreeCapacity], active: &BTreeSet<JobId>) -> BTreeSet<JobId> {
         let startable = |job: &JobId| {
             let Some(spec) = self.specs.get(job) else { return false };
-            // Tasks of this class fail on every machine; the leader backs off such jobs on purpose.
+            // Tasks of the class `faulty` fail on every machine, and the leader backs off before it
+            // starts them again.
             let backed_off = spec.class == "faulty";
             !backed_off && self.has_capacity(spec, free) && !self.all_tasks_completed(job)
         };
--- a/crates/gladekeel-testkit/src/invariants/state_order.rs
+++ b/crates/gladekeel-testkit/src/invariants/state_order.rs
@@ -15,7 +15,7 @@
         let state = response.state?;
         let observed = self.observed_jobs.entry(job.clone()).or_default();
         let final_state = observed.final_state();
-        // Two final states contradict each other in any order.
+        // Two different final states contradict each other, whichever was observed first.
         let comparable = observed.final_before(response) || state.is_final();
         let contradicts = final_state.is_some_and(|before| before != state && comparable);
         let unrequested = state == JobState::Cancelled && !observed.cancel_requested;
