--- a/crates/gladekeel-testkit/src/scenario/error.rs
+++ b/crates/gladekeel-testkit/src/scenario/error.rs
@@ -28,7 +28,7 @@
         /// The token that is missing.
         expected: &'static str,
     },
-    /// A token is not one of those that are allowed at its position.
+    /// A token is not allowed at its position.
     #[error("expected {expected}, found {found:?}")]
     Unexpected {
         /// The tokens that are allowed at the position.
@@ -57,7 +57,7 @@
     pub check: Check,
 }
 
-/// A kind of check, with what it found.
+/// A failed check, with what it found.
 #[derive(Debug)]
 pub enum Check {
     /// An `expect` line that does not hold.
--- a/crates/gladekeel-testkit/src/scenario/examples.rs
+++ b/crates/gladekeel-testkit/src/scenario/examples.rs
@@ -21,13 +21,13 @@
     }
 }
 
-/// Returns the example settings of one node, in a cluster with this number of nodes.
+/// Returns the example settings of one node in a cluster of `nodes` nodes.
 pub fn example_settings(node: usize, nodes: usize) -> Settings {
     settings_with(node, nodes, GangTimes::default(), "").expect("the example settings are valid")
 }
 
-/// Returns the example settings of one node, with these timeouts of gangs. `announced_limits` holds
-/// the lines of the table `state.next`, in TOML; the table is absent if the text is empty.
+/// Returns the example settings of one node, with the timeouts in `gang_times`. `announced_limits`
+/// holds the lines of the table `state.next`, in TOML; the table is absent if the text is empty.
 ///
 /// # Errors
 ///
--- a/crates/gladekeel-testkit/src/scenario/expectations.rs
+++ b/crates/gladekeel-testkit/src/scenario/expectations.rs
@@ -119,8 +119,8 @@
     })
 }
 
-/// Returns the value of a quantity of one job. The start of a job that has not started is later
-/// than any bound.
+/// Returns the value of a quantity of one job. `started_at` exceeds every bound if the job has not
+/// started.
 fn measure_job(sim: &Simulation, job: &JobId, quantity: &str) -> Result<f64, LineError> {
     Ok(match quantity {
         "started_at" => sim.invariants.started_at(job).unwrap_or(f64::MAX),
@@ -133,7 +133,8 @@
     })
 }
 
-/// For `transactions_too_large`, adds the first such transaction to the value that was found.
+/// Adds the first transaction that was refused as too large to the mismatch, if the quantity is
+/// `transactions_too_large`.
 fn with_first_too_large(sim: &Simulation, quantity: &str, mismatch: Mismatch) -> Mismatch {
     match sim.store.too_large.first() {
         Some(first) if quantity == "transactions_too_large" => {
--- a/crates/gladekeel-testkit/src/scenario/job.rs
+++ b/crates/gladekeel-testkit/src/scenario/job.rs
@@ -7,7 +7,7 @@
 };
 use gladekeel_wire::job::{JobKind, JobSpec, Priority};
 
-/// How long a task takes to write a checkpoint, in jobs with checkpoints.
+/// How long a task of a job with checkpoints takes to write one, in seconds.
 const CHECKPOINT_WRITE_S: f64 = 2.0;
 
 /// Returns the example job with this name, changed by the keys of a `submit` step.
@@ -20,7 +20,7 @@
     Ok(spec)
 }
 
-/// Sets the field that a key of a `submit` step stands for.
+/// Sets the field of a job that a key of a `submit` step stands for.
 fn set_field(spec: &mut JobSpec, key: &str, value: &str) -> Result<(), LineError> {
     match key {
         "tasks" => spec.tasks = number(value)? as u32,
@@ -42,7 +42,8 @@
         "spot" => spec.spot = value == "yes",
         "kind" => spec.kind = job_kind(value)?,
         "priority" => spec.priority = priority(value)?,
-        // These keys are about the run times and the submission; see `steps::users::submit`.
+        // These keys set no field of the job, but its run times, submission and cancellation; see
+        // `steps::users::submit`.
         "run_step_s" | "interval_s" | "cancelled_share" => {}
         other => return Err(LineError::unexpected("a key of submit", other)),
     }
--- a/crates/gladekeel-testkit/src/scenario/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/mod.rs
@@ -46,7 +46,7 @@
 //! | `seed`, `seeds` | Seed of the random numbers, or a range of seeds; 1. |
 //! | `duplicated_request_share` | Share of the requests to store and cloud that arrive a second time, later; 0. |
 //! | `duplicated_heartbeat_share` | Share of the heartbeats that arrive a second time, later, at any node; 0. |
-//! | `start_tasks_twice`, `run_partial_gangs` | Seeded faults that an invariant must detect; off. |
+//! | `start_tasks_twice`, `run_partial_gangs` | Seeded faults that the invariant checker must detect; off. |
 //!
 //! # Steps
 //!
@@ -67,21 +67,21 @@
 //! | `submit JOBS KEY=VALUE ...` | Users submit jobs; see below for the keys. |
 //! | `resubmit JOBS` | Users submit jobs a second time. |
 //! | `poll JOBS times=N` | Users query jobs. |
-//! | `cancel JOBS via=WHO` | Users cancel jobs, through any node without `via`. |
+//! | `cancel JOBS via=WHO` | Users cancel jobs through these nodes; without `via`, through any node. |
 //! | `cancel_longest_remaining COUNT hang_s=S via=WHO` | Users cancel the running jobs that would end last, all at once; with `hang_s`, some of their machines hang. |
 //! | `cancel_at_completion SHARE for S` | Users cancel, query and resubmit this share of the jobs within 0.4 s of their completion. |
 //! | `probe_read_your_writes for S` | Users query all nodes as soon as a response reports a new state. |
 //! | `send_malformed_requests for S` | Users send malformed and repeated requests. |
 //! | `send_invalid_bytes` | Users send bytes that are not a valid request to every node. |
 //! | `http METHOD PATH BODY = STATUS` | The leader must respond to a request with this status. |
-//! | `http_to WHO METHOD PATH = STATUS` | The same for these nodes. |
+//! | `http_to WHO METHOD PATH = STATUS` | These nodes must respond to a request without a body with this status. |
 //! | `crash WHO for S` | Nodes crash and start again. |
 //! | `crash leader after_commits=N for S` | The leader crashes when its Nth transaction from now on is committed, before it receives the response. |
 //! | `pause WHO for S` | The processes of nodes are paused while their clocks run on. |
 //! | `partition WHO from all\|workers\|store\|cloud\|peers\|users for S buffered` | Nodes are partitioned; with `buffered`, the messages arrive when the partition ends, otherwise they are lost. |
-//! | `partition zone:A from zone:B for S buffered` | Two zones are partitioned. |
-//! | `slow network FACTOR for S` | All messages take longer. |
-//! | `slow store FACTOR for S` | Requests to the store take longer. |
+//! | `partition zone:A from zone:B for S buffered` | Two zones are partitioned from each other. |
+//! | `slow network FACTOR for S` | All messages take longer by this factor. |
+//! | `slow store FACTOR for S` | Requests to the store take longer by this factor. |
 //! | `outage store for S` | The store refuses all requests. |
 //! | `outage cloud for S` | The cloud refuses all requests. |
 //! | `drop_responses store for S` | The store executes requests, and its responses are lost. |
@@ -89,13 +89,13 @@
 //! | `corrupt assignment_log for S` | The assignment log in the store cannot be read. |
 //! | `compact store` | The store compacts its history. |
 //! | `lower_limits store KEY=N ...` | The store lowers its limits: `value_kb`, `txn_ops`, `write_rps`, `rps`. |
-//! | `fail_next_boots COUNT` | The next machines that are rented never boot. |
+//! | `fail_next_boots COUNT` | The next COUNT machines that are rented never boot. |
 //! | `exhaust cloud` | The cloud has no free machine until machines are deleted or reclaimed. |
 //! | `reclaim COUNT notice_s=S`, `reclaim host_of:JOB notice_s=S` | The cloud reclaims machines. |
 //! | `reclaim zone_of:JOB` | The cloud reclaims all machines of a zone, which has no free machine afterwards. |
 //! | `reclaim_at_completion JOB` | The cloud reclaims all machines of a gang but one as the gang completes. |
 //! | `drain host_of:JOB` | A machine is drained. |
-//! | `reboot COUNT`, `reboot host_of:JOB` | Machines reboot within an instant. |
+//! | `reboot COUNT`, `reboot host_of:JOB` | Machines reboot instantly. |
 //! | `hang MACHINES for S`, `hang zone_of:JOB for S`, `hang host_of:JOB for S` | Machines hang. With `zone_of`, the zone has no free machine afterwards. With `zone_of` and `host_of`, the heartbeats that were due when the machines hung are not sent later. |
 //! | `fail_tasks MACHINES for S` | Every task that runs on these machines fails. |
 //! | `slow MACHINES for S` | Tasks take longer on these machines. |
@@ -103,8 +103,8 @@
 //! | `partition_outbound MACHINES for S` | Nothing that machines send arrives. |
 //! | `delay_commits SHARE for S` | Transactions get no response and are executed later. |
 //! | `drop_commit_responses SHARE for S` | Transactions are committed, and their responses are lost. |
-//! | `delay_commands SHARE for S` | Direct commands get no response and are executed later. |
-//! | `replay_heartbeats SHARE for S` | Copies of heartbeats reach every node when the next leader begins. |
+//! | `delay_commands SHARE for S` | Direct commands, which are sent outside heartbeat responses, get no response and are executed later. |
+//! | `replay_heartbeats SHARE for S` | Copies of heartbeats reach every node when the next leader takes over. |
 //!
 //! # Keys of `submit`
 //!
@@ -139,8 +139,8 @@
 //! | `violated INVARIANT` | The invariant was violated, and the violation is not a failure. |
 //! | `team_cpus TEAM OP N` | CPUs that a team uses. |
 //! | `task_starts OP N`, `starts_refused OP N` | Tasks started; starts that a machine refused for lack of resources. |
-//! | `cancellations_confirmed OP N` | Jobs of which users observed that they are cancelled. |
-//! | `cancelled_tasks_on_machines OP N` | Tasks of these jobs that are still on machines. |
+//! | `cancellations_confirmed OP N` | Jobs that users observed as cancelled. |
+//! | `cancelled_tasks_on_machines OP N` | Tasks on machines whose jobs users observed as cancelled. |
 //! | `leaders OP N` | Leaders so far, each with its own token. |
 //! | `workers_at_leader OP N` | Workers that send their heartbeats to the leader. |
 //! | `machines OP N`, `machines_rented OP N` | Machines that exist; machines ever rented. |
@@ -153,8 +153,8 @@
 //! | `submissions_abandoned OP N` | Submissions that users abandoned before they were accepted. |
 //! | `read_your_writes_queries OP N` | Queries of the read-your-writes probe. |
 //! | `commit_responses_dropped OP N` | Responses to transactions that were lost. |
-//! | `commands_delayed OP N`, `commands_refused OP N` | Delayed direct commands that workers executed; those that they refused. |
-//! | `heartbeats_replayed OP N` | Copies of heartbeats that were sent when a leader began. |
+//! | `commands_delayed OP N`, `commands_refused OP N` | Delayed direct commands that workers executed; delayed direct commands that workers refused. |
+//! | `heartbeats_replayed OP N` | Copies of heartbeats that were sent when a leader took over. |
 //!
 //! [`Invariant::name`]: crate::invariants::Invariant::name
 
--- a/crates/gladekeel-testkit/src/scenario/steps/line.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/line.rs
@@ -34,7 +34,7 @@
         self.tokens.get(index).copied().ok_or(LineError::Missing { expected })
     }
 
-    /// Returns whether this token is at an index.
+    /// Returns whether the token at an index equals `token`.
     pub fn has(&self, index: usize, token: &str) -> bool {
         self.tokens.get(index) == Some(&token)
     }
@@ -44,7 +44,7 @@
         self.tokens.get(index).is_some_and(|token| token.starts_with(prefix))
     }
 
-    /// Returns the token at an index without a prefix that it must have.
+    /// Returns the token at an index without a prefix, or an error if it does not have the prefix.
     pub fn after_prefix(
         &self,
         index: usize,
@@ -55,7 +55,7 @@
         token.strip_prefix(prefix).ok_or_else(|| LineError::unexpected(expected, token))
     }
 
-    /// Returns the number at an index.
+    /// Returns the token at an index as a number.
     pub fn number(&self, index: usize, expected: &'static str) -> Result<f64, LineError> {
         number(self.token(index, expected)?)
     }
--- a/crates/gladekeel-testkit/src/scenario/steps/machines.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/machines.rs
@@ -11,12 +11,13 @@
     stand_ins::worker::FakeWorker,
 };
 
-/// The action of a step on the machine with this name.
+/// The action of a step on one machine; called with the name of the machine.
 type MachineStep = Box<dyn FnOnce(&mut Simulation, String)>;
 
-/// Prefix of a target that is the zone of a machine with a task of a job, like `zone_of:job-1`.
+/// Prefix of a target that is all machines in the zone of a machine that hosts a task of a job,
+/// like `zone_of:job-1`.
 pub(super) const ZONE_OF: &str = "zone_of:";
-/// Prefix of a target that is one machine with a task of a job, like `host_of:job-1`.
+/// Prefix of a target that is one machine that hosts a task of a job, like `host_of:job-1`.
 pub(super) const HOST_OF: &str = "host_of:";
 
 /// Factor by which tasks take longer on a slow machine.
@@ -29,7 +30,7 @@
     Ok(Box::new(move |sim| reclaim_hosts_at_completion(sim, job)))
 }
 
-/// `reclaim COUNT notice_s=S`: the cloud reclaims this many machines, those with tasks first.
+/// `reclaim COUNT notice_s=S`: the cloud reclaims COUNT machines, those with tasks first.
 pub(super) fn reclaim(line: &Line) -> Result<Step, LineError> {
     let count = line.number(1, "how many machines")? as usize;
     let notice_s = line.options.number_or("notice_s", 0.0)?;
@@ -40,7 +41,7 @@
     }))
 }
 
-/// `reboot COUNT`: this many machines reboot, those with tasks first.
+/// `reboot COUNT`: COUNT machines reboot, those with tasks first.
 pub(super) fn reboot(line: &Line) -> Result<Step, LineError> {
     let count = line.number(1, "how many machines")? as usize;
     Ok(Box::new(move |sim| {
@@ -51,7 +52,7 @@
 }
 
 /// `reclaim zone_of:JOB` or `hang zone_of:JOB for S`: all machines in the zone of a machine that
-/// hosts a task of the job. The zone has no free machine afterwards.
+/// hosts a task of the job are reclaimed or hang. The zone has no free machine afterwards.
 pub(super) fn zone_of_job(line: &Line) -> Result<Step, LineError> {
     let reclaims = line.has(0, "reclaim");
     let job = line.after_prefix(1, ZONE_OF, "zone_of:JOB")?.to_owned();
@@ -81,8 +82,8 @@
     }))
 }
 
-/// `reclaim|drain|hang|reboot host_of:JOB notice_s=S for S`: one machine that hosts a task of the
-/// job.
+/// `reclaim|drain|hang|reboot host_of:JOB notice_s=S for S`: acts on one machine that hosts a task
+/// of the job.
 pub(super) fn host_of_job(line: &Line) -> Result<Step, LineError> {
     let job = line.after_prefix(1, HOST_OF, "host_of:JOB")?.to_owned();
     let notice_s = line.options.number_or("notice_s", 0.0)?;
--- a/crates/gladekeel-testkit/src/scenario/steps/messages.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/messages.rs
@@ -30,8 +30,8 @@
     }))
 }
 
-/// `delay_commands SHARE for S`: this share of the direct commands get no response and are executed
-/// later.
+/// `delay_commands SHARE for S`: this share of the direct commands, which are sent outside
+/// heartbeat responses, get no response and are executed later.
 pub(super) fn delay_commands(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
@@ -42,7 +42,7 @@
 }
 
 /// `replay_heartbeats SHARE for S`: copies of this share of the heartbeats reach every node when
-/// the next leader begins.
+/// the next leader takes over.
 pub(super) fn replay_heartbeats(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
--- a/crates/gladekeel-testkit/src/scenario/steps/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/mod.rs
@@ -1,4 +1,5 @@
-//! The steps of `at` lines. Each step has a function in the module of the things that it acts on.
+//! The steps of `at` lines. The function for each step is in the module of the participants that
+//! the step acts on.
 
 mod line;
 mod machines;
--- a/crates/gladekeel-testkit/src/scenario/steps/services.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/services.rs
@@ -97,7 +97,7 @@
     Ok(Box::new(move |sim| sim.cloud.next_boots_to_fail = count))
 }
 
-/// Returns an error unless the target of the step is this one.
+/// Returns an error unless the target of the step is `target`.
 fn expect_target(line: &Line, target: &'static str) -> Result<(), LineError> {
     match line.token(1, target)? {
         token if token == target => Ok(()),
--- a/crates/gladekeel-testkit/src/scenario/steps/users.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/users.rs
@@ -12,8 +12,8 @@
 };
 use gladekeel_wire::job::JobSpec;
 
-/// `submit JOBS tasks=N ...`: users submit jobs, all at once or, with `interval_s=S`, one after the
-/// other. With `interval_s` and `cancelled_share`, users cancel this share of the jobs.
+/// `submit JOBS tasks=N ...`: users submit jobs, all at once or, with `interval_s=S`, one every S
+/// seconds. With `interval_s` and `cancelled_share`, users cancel this share of the jobs.
 pub(super) fn submit(line: &Line) -> Result<Step, LineError> {
     let specs: Vec<JobSpec> = expand_names(line.token(1, "the names of jobs")?)
         .iter()
@@ -51,8 +51,8 @@
     }))
 }
 
-/// Returns a function that resolves `via=WHO` to nodes when the step is executed. Without `via`
-/// there are none, and the request may go to any node.
+/// Returns a function that resolves `via=WHO` to nodes when the step is executed. Without `via` the
+/// function returns no nodes, and the request may go to any node.
 fn resolve_via(line: &Line) -> impl FnOnce(&Simulation) -> Vec<usize> + 'static {
     let who = line.options.text("via").map(str::to_owned);
     move |sim| who.map_or_else(Vec::new, |who| node_indices(sim, &who))
--- a/crates/gladekeel-testkit/src/scenario/targets.rs
+++ b/crates/gladekeel-testkit/src/scenario/targets.rs
@@ -13,7 +13,8 @@
 /// Prefix of a target that names a zone, like `zone:a`.
 pub(super) const ZONE: &str = "zone:";
 
-/// Returns the names of this many workers: those with tasks first, each group sorted by name.
+/// Returns the names of at most `count` workers: those with tasks first, then the others, each
+/// group sorted by name.
 pub(super) fn busiest_workers(sim: &Simulation, count: usize) -> Vec<String> {
     let mut names: Vec<(bool, String)> =
         sim.workers.iter().map(|(name, w)| (w.tasks.is_empty(), name.clone())).collect();
@@ -58,7 +59,7 @@
 /// The target `MACHINES` of steps like `slow MACHINES for S`.
 #[derive(Debug)]
 pub(super) enum MachineSelector {
-    /// This many machines, those with tasks first.
+    /// A number of machines, those with tasks first.
     Count(usize),
     /// All machines of a zone.
     Zone(String),
