--- a/crates/gladekeel-testkit/src/simulation/heartbeats.rs
+++ b/crates/gladekeel-testkit/src/simulation/heartbeats.rs
@@ -11,7 +11,8 @@
 
 /// Minimum time between two heartbeats of a worker whose state has changed.
 const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.5;
-/// Time between heartbeats as a share of the interval, so that workers do not send in lockstep.
+/// Time between two heartbeats of a worker as a multiple of the heartbeat interval, drawn at random
+/// so that workers do not send in lockstep.
 const HEARTBEAT_JITTER: Range<f64> = 0.75..1.25;
 /// How long a worker waits before it contacts the node to which it was redirected.
 const REDIRECT_PAUSE_S: f64 = 0.2;
--- a/crates/gladekeel-testkit/src/simulation/machines.rs
+++ b/crates/gladekeel-testkit/src/simulation/machines.rs
@@ -53,7 +53,7 @@
         self.record_events(&worker.machine, events);
     }
 
-    /// Reboots a machine within an instant.
+    /// Reboots a machine instantly.
     pub fn reboot(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return };
--- a/crates/gladekeel-testkit/src/simulation/message_faults.rs
+++ b/crates/gladekeel-testkit/src/simulation/message_faults.rs
@@ -1,6 +1,6 @@
-//! Faults that affect single messages: a response that is lost although its request was executed,
-//! a direct command that is delayed, and a heartbeat that is replayed when the next leader takes
-//! over.
+//! Faults that affect single messages: a response is lost although its request was executed, a
+//! direct command, which is sent outside heartbeat responses, is delayed, and a heartbeat is
+//! replayed when the next leader takes over.
 
 use super::{Endpoint, RESPONSE_TIMEOUT_S, Simulation, requests::HttpRequest};
 use gladekeel_controller::leader::{WorkerOutcome, WorkerRequest};
--- a/crates/gladekeel-testkit/src/simulation/mod.rs
+++ b/crates/gladekeel-testkit/src/simulation/mod.rs
@@ -36,7 +36,7 @@
 
 /// An event that is scheduled for a point in virtual time.
 type ScheduledEvent = Box<dyn FnOnce(&mut Simulation)>;
-/// Handles the reply to a request, or `None` if the sender received no reply.
+/// Handles the outcome of a request: the reply, or `None` if the sender received no reply.
 type ResponseHandler = Box<dyn FnOnce(&mut Simulation, Option<Reply>)>;
 
 /// Microseconds per second.
--- a/crates/gladekeel-testkit/src/simulation/network.rs
+++ b/crates/gladekeel-testkit/src/simulation/network.rs
@@ -44,8 +44,8 @@
     Users,
 }
 
-/// A partition that lasts until a time. With `buffered`, messages arrive when the partition ends;
-/// otherwise they are lost.
+/// A partition that is active until the time `until`. With `buffered`, messages arrive when the
+/// partition ends; otherwise they are lost.
 #[derive(Debug, Clone)]
 pub(super) struct ActivePartition {
     partition: Partition,
--- a/crates/gladekeel-testkit/src/simulation/nodes.rs
+++ b/crates/gladekeel-testkit/src/simulation/nodes.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Returns the number of nodes, those that are down included.
+    /// Returns the number of nodes, including those that are down.
     pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
--- a/crates/gladekeel-testkit/src/simulation/services.rs
+++ b/crates/gladekeel-testkit/src/simulation/services.rs
@@ -77,8 +77,8 @@
             && !self.store.refused_nodes.contains(&node)
     }
 
-    /// Draws whether a request to a service is duplicated. Returns a flag for each copy, which is
-    /// true for the duplicate.
+    /// Draws whether a request to the store or the cloud is duplicated. Returns a flag for each
+    /// copy to send; the flag is true for the duplicate.
     fn draw_copies(&mut self) -> &'static [bool] {
         let duplicated = self.rng.random::<f64>() < self.duplicated_request_share;
         if duplicated { &[false, true] } else { &[false] }
--- a/crates/gladekeel-testkit/src/simulation/worker_commands.rs
+++ b/crates/gladekeel-testkit/src/simulation/worker_commands.rs
@@ -1,4 +1,5 @@
-//! Direct commands from controllers to workers.
+//! Direct requests from controllers to workers, which are sent outside heartbeat responses: direct
+//! commands, and queries of a worker's state.
 
 use super::{Endpoint, Simulation};
 use gladekeel_controller::{
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Starts the tasks of a response on another worker as well; the seeded fault
-    /// `start_tasks_twice`.
+    /// Implements the seeded fault `start_tasks_twice`: starts the tasks of a response on another
+    /// worker too.
     pub(super) fn start_on_second_worker(&mut self, name: &str, response: &HeartbeatResponse) {
         if response.commands.is_empty() {
             return;
