--- a/crates/gladekeel-testkit/src/stand_ins/cloud.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/cloud.rs
@@ -45,10 +45,10 @@
     }
 }
 
-/// A request to rent machines, kept by its request id, and the machines that it got.
+/// A request to rent machines, and the names of the machines that it rented.
 #[derive(Debug)]
 struct Rental {
-    /// Debug text of the request, to detect another request with the same id.
+    /// Debug text of the request, to detect a different request with the same request id.
     request: String,
     machines: Vec<String>,
 }
@@ -83,7 +83,7 @@
     pub down: bool,
     /// How far the list of machines lags behind, in seconds.
     pub list_lag_s: f64,
-    /// Number of the next rented machines that never boot.
+    /// How many of the machines that are rented next never boot.
     pub next_boots_to_fail: u32,
     /// Descriptions of requests that violate the protocol.
     pub protocol_errors: Vec<String>,
@@ -92,7 +92,7 @@
 }
 
 impl FakeCloud {
-    /// Creates a cloud of which no machine is rented.
+    /// Creates a cloud without rented machines.
     pub fn new(
         types: Vec<MachineType>,
         capacity: BTreeMap<(String, bool), u32>,
@@ -177,7 +177,7 @@
         CloudResponse { outcome: CloudOutcome::Deleted, rented: Vec::new(), deleted }
     }
 
-    /// Lists the machines as they were `list_lag_s` ago, those whose names follow `after`.
+    /// Lists the machines whose names follow `after`, as they were `list_lag_s` ago.
     fn list(&self, now: f64, after: Option<&str>) -> MachinePage {
         let as_of = now - self.list_lag_s;
         let listed = self.machines.iter().filter(|(name, machine)| {
--- a/crates/gladekeel-testkit/src/stand_ins/gang.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/gang.rs
@@ -42,9 +42,9 @@
     progress_s: f64,
     /// When the first task received a stop command; `None` if none has.
     stop_requested_at: Option<f64>,
-    /// Whether the attempt has written a checkpoint on a stop and a task has exited after it.
+    /// Whether the attempt wrote a checkpoint on a stop command and a task has exited since.
     saved: bool,
-    /// When the attempt lost a task or failed to write its checkpoint on a stop; `None` if
+    /// When the attempt lost a task or failed to write its checkpoint on a stop command; `None` if
     /// neither has happened.
     failed_at: Option<f64>,
 }
@@ -77,7 +77,7 @@
     index: u32,
     /// Name of the machine.
     machine: Rc<str>,
-    /// Position of the task in the list of the machine's worker.
+    /// Position of the task in the worker's list of tasks.
     position: usize,
 }
 
@@ -174,8 +174,8 @@
         members
     }
 
-    /// Starts an attempt once all its tasks wait. If the gang is already done, its waiting tasks
-    /// exit as done.
+    /// Starts an attempt once all its tasks are in the state `waiting`. If the gang is already
+    /// done, its waiting tasks exit as done.
     fn start_if_complete(
         &mut self,
         now: f64,
@@ -299,8 +299,8 @@
         job.lost_progress_s += self.progress_s - job.checkpointed_s;
     }
 
-    /// Lets an attempt of which a task has received a stop command write a checkpoint and exit.
-    /// The checkpoint fails if a task has not received a stop command by `save_deadline`.
+    /// Lets an attempt write a checkpoint and exit after one of its tasks has received a stop
+    /// command. The checkpoint fails if a task has not received a stop command by `save_deadline`.
     fn stop_orderly(
         &mut self,
         now: f64,
--- a/crates/gladekeel-testkit/src/stand_ins/store.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/store.rs
@@ -45,7 +45,7 @@
     expires_at: f64,
 }
 
-/// A change that watches return.
+/// A change of a key, as watches return it.
 #[derive(Debug)]
 struct Change {
     revision: u64,
@@ -259,7 +259,7 @@
         StoreOutcome::Committed(self.apply(transaction))
     }
 
-    /// Describes what in a transaction exceeds the limits; `None` if nothing does.
+    /// Describes the part of a transaction that exceeds the limits; `None` if no part does.
     fn excess(&self, transaction: &Transaction) -> Option<String> {
         let large_value = transaction.writes.iter().find_map(|write| match write {
             Write::Put { key, value, .. } if value.to_string().len() > self.limits.value => {
--- a/crates/gladekeel-testkit/src/stand_ins/worker/commands.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/commands.rs
@@ -86,7 +86,7 @@
         events
     }
 
-    /// Starts a task, or refuses to. Returns an event only if the machine lacks the resources.
+    /// Starts a task or refuses the start. Returns an event only if the machine lacks resources.
     fn start(
         &mut self,
         now: f64,
--- a/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
@@ -28,7 +28,7 @@
     GangTaskRunning {
         /// The task.
         task: TaskId,
-        /// The attempt under which it runs.
+        /// Number of the attempt that the task belongs to.
         attempt: u64,
     },
     /// A task no longer occupies the machine.
@@ -236,7 +236,7 @@
         events
     }
 
-    /// Moves a task whose current state has lasted its time to the next state.
+    /// Moves a task to its next state; called when the time of its current state has passed.
     fn advance_task(&mut self, now: f64, task: &mut FakeTask) -> Option<WorkerEvent> {
         let event = match task.state {
             TaskState::Fetching => {
@@ -269,8 +269,8 @@
         task.cause = fails.then_some(ExitCause::Error);
     }
 
-    /// Reboots the machine within an instant. The address stays the same, a new incarnation
-    /// begins, and tasks, cached images and the fencing token are lost.
+    /// Reboots the machine instantly. The address stays the same, a new incarnation begins, and
+    /// tasks, cached images and the fencing token are lost.
     pub fn reboot(&mut self, now: f64) -> Vec<WorkerEvent> {
         self.token = 0;
         self.cached_images.clear();
@@ -287,7 +287,7 @@
         ended
     }
 
-    /// Kills and removes every task; returns the events of those that had started.
+    /// Kills and removes every task; returns the events of the tasks that had started.
     pub fn kill_all(&mut self) -> Vec<WorkerEvent> {
         let tasks = std::mem::take(&mut self.tasks);
         let present = tasks.into_iter().filter(FakeTask::has_started);
