--- a/crates/gladekeel-testkit/examples/playground.rs
+++ b/crates/gladekeel-testkit/examples/playground.rs
@@ -516,7 +516,8 @@
         }
     }
 
-    /// Executes a direct request on a worker and returns the response.
+    /// Executes a direct request of a controller, sent outside heartbeat responses, on a worker and
+    /// returns the response.
     fn handle_direct_request(&self, name: &str, addr: SocketAddr, request: &Request) -> Response {
         let mut workers = self.workers.borrow_mut();
         let Some(worker) = workers.get_mut(name) else { return Response::text(503, "gone\n") };
