--- a/crates/gladekeel-testkit/tests/decision_trace.rs
+++ b/crates/gladekeel-testkit/tests/decision_trace.rs
@@ -11,8 +11,8 @@
 
 const FIXTURE: &str = include_str!("fixtures/decision_traces.txt");
 
-/// Returns the scenarios of the fixture: the name of each, and the expected digest of its run with
-/// each seed.
+/// Returns the name of each scenario in the fixture, with the expected digest of its run with each
+/// seed.
 fn expected_digests() -> Vec<(&'static str, Vec<&'static str>)> {
     let lines = FIXTURE.lines().filter(|line| !line.starts_with('#'));
     lines
--- a/crates/gladekeel-testkit/tests/documentation.rs
+++ b/crates/gladekeel-testkit/tests/documentation.rs
@@ -1,5 +1,5 @@
-//! Checks that what the pages under `docs/` name exists: scenarios, source files, functions and
-//! types, and the log lines that an on-call engineer searches for.
+//! Checks that the scenarios, source files, functions, types and log lines that the pages under
+//! `docs/` name exist. An on-call engineer searches for these log lines.
 
 use gladekeel_testkit::scenario::scenario_directory;
 use std::{
@@ -8,7 +8,7 @@
     path::{Path, PathBuf},
 };
 
-/// Prefixes of the store's keys. Such a key has the form of a scenario name, but is not one.
+/// Prefixes of the store's keys, which have the form of a scenario name, but are not scenarios.
 const STORE_KEY_PREFIXES: [&str; 2] = ["gk/", "gl/"];
 
 fn repository() -> PathBuf {
@@ -49,7 +49,7 @@
     code
 }
 
-/// Returns the spans of a page that stand between backticks.
+/// Returns the text spans between backticks on a page.
 fn code_spans(text: &str) -> impl Iterator<Item = &str> {
     text.lines().flat_map(|line| line.split('`').skip(1).step_by(2))
 }
@@ -75,7 +75,7 @@
     }
     assert!(
         names_found > 100,
-        "only {names_found} scenario names found: do they still stand between backticks?"
+        "only {names_found} scenario names found: are they still enclosed in backticks?"
     );
 }
 
@@ -112,7 +112,7 @@
     }
     assert!(
         names_found > 30,
-        "only {names_found} paths of items found: do they still stand between backticks?"
+        "only {names_found} paths of items found: are they still enclosed in backticks?"
     );
 }
 
--- a/crates/gladekeel-testkit/tests/fake_store.rs
+++ b/crates/gladekeel-testkit/tests/fake_store.rs
@@ -40,7 +40,7 @@
     assert_eq!(
         store.call(10.0, 0, &four),
         StoreOutcome::RateLimited,
-        "9 writes at one instant, 6 per second allowed"
+        "9 writes at one instant exceed the limit of 6 per second"
     );
     assert!(store.protocol_errors.is_empty());
 }
--- a/crates/gladekeel-testkit/tests/fake_worker.rs
+++ b/crates/gladekeel-testkit/tests/fake_worker.rs
@@ -1,4 +1,4 @@
-//! Fake workers behave under faults as the protocol defines.
+//! Under faults, fake workers behave as the protocol defines.
 
 use gladekeel_testkit::{
     scenario::example_job,
@@ -37,7 +37,7 @@
     worker.hang(2.0, true);
     assert!(
         worker.step(100.0).is_empty(),
-        "the lease expired long ago, and the task is still there"
+        "a hung machine keeps its task after the lease has expired"
     );
     assert_eq!(worker.tasks.len(), 1);
     worker.hang(100.0, false);
--- a/crates/gladekeel-testkit/tests/gangs/invariants.rs
+++ b/crates/gladekeel-testkit/tests/gangs/invariants.rs
@@ -1,4 +1,4 @@
-//! The events of a gang on fake workers are sufficient for the invariant checker.
+//! The events that fake workers emit for a gang are sufficient for the invariant checker.
 
 use super::GangFixture;
 use gladekeel_testkit::{
--- a/crates/gladekeel-testkit/tests/gangs/main.rs
+++ b/crates/gladekeel-testkit/tests/gangs/main.rs
@@ -1,5 +1,4 @@
-//! Gangs on a few fake workers: they wait, run, fail and stop orderly as the protocol defines,
-//! case by case.
+//! Gangs on a few fake workers wait, run, fail and stop in an orderly way as the protocol defines.
 
 mod invariants;
 mod orderly_stop;
@@ -23,7 +22,8 @@
 
 const STEP_S: f64 = 0.1;
 
-/// The gang `job-1` and the machines `n-0`, `n-1` and so on, one more than the gang has tasks.
+/// The gang `job-1` and the machines `n-0`, `n-1` and so on: one machine more than the gang has
+/// tasks.
 struct GangFixture {
     now: f64,
     spec: JobSpec,
@@ -65,7 +65,7 @@
         self.command(machine, Command::Stop { task: task(index), attempt: 1, grace_s });
     }
 
-    /// Starts the tasks of a gang, each on its own machine, and waits until all run.
+    /// Starts the tasks of a new gang, each on its own machine, and waits until all of them run.
     fn running(tasks: u32) -> GangFixture {
         let mut gang = GangFixture::new(tasks);
         (0..tasks).for_each(|n| gang.start(n, n, 1));
@@ -95,7 +95,7 @@
     }
 
     /// Why a machine's last task exited and whether it wrote a checkpoint when it was stopped;
-    /// `None` if it has not exited.
+    /// `None` if the task has not exited.
     fn exit_of(&self, machine: u32) -> Option<(ExitCause, Option<bool>)> {
         let task = self.workers[&format!("n-{machine}")].tasks.last().unwrap();
         (task.state == TaskState::Exited).then(|| (task.cause.unwrap(), task.saved))
--- a/crates/gladekeel-testkit/tests/gangs/orderly_stop.rs
+++ b/crates/gladekeel-testkit/tests/gangs/orderly_stop.rs
@@ -9,7 +9,7 @@
     assert_eq!(
         gang.worker(0).heartbeat(17.0).tasks[0].state,
         TaskState::Running,
-        "not `Checkpointing`"
+        "a task of a gang is never reported as `Checkpointing`"
     );
     gang.run_until(20.5);
     assert_eq!(gang.exit_of(0), None, "the task has saved and waits for the other one");
@@ -21,7 +21,7 @@
     assert_eq!(gang.exit_of(1), Some((ExitCause::Stopped, Some(true))));
     assert!(
         is_near(gang.checkpointed_s(), 16.0),
-        "progress ends with the first stop: {}",
+        "progress ends with the first stop command: {}",
         gang.checkpointed_s()
     );
     assert_eq!(gang.gangs.record(&gang.spec.id.clone()).stop_checkpoints, 1);
@@ -78,7 +78,7 @@
     (0..2).for_each(|n| gang.stop(n, n, 10.0));
     gang.run_until(18.0);
     gang.stop(0, 0, 1.0);
-    assert_eq!(gang.exit_of(0), None, "a repeated stop changes nothing");
+    assert_eq!(gang.exit_of(0), None, "a repeated stop command with a grace period has no effect");
     gang.stop(0, 0, 0.0);
     assert_eq!(gang.exit_of(0), Some((ExitCause::Stopped, Some(false))));
     gang.run_until(22.5);
--- a/crates/gladekeel-testkit/tests/gangs/waiting.rs
+++ b/crates/gladekeel-testkit/tests/gangs/waiting.rs
@@ -24,7 +24,7 @@
     gang.run_until(6.3);
     assert_eq!((gang.state(0), gang.state(1)), (TaskState::Running, TaskState::Running));
     gang.run_until(35.5);
-    assert_eq!(gang.exit_of(0), None, "waiting makes no progress");
+    assert_eq!(gang.exit_of(0), None, "the gang makes no progress while it waits");
     gang.run_until(36.5);
     assert_eq!(
         (gang.exit_of(0), gang.exit_of(1)),
@@ -66,7 +66,7 @@
     assert_eq!(
         ended,
         [WorkerEvent::TaskEnded { task: task(1), completed: false }],
-        "a waiting task was on its machine"
+        "a waiting task counts as on its machine"
     );
     gang.run_until(10.0);
     assert_eq!(gang.state(0), TaskState::Waiting);
--- a/crates/gladekeel-testkit/tests/heartbeat_balancing.rs
+++ b/crates/gladekeel-testkit/tests/heartbeat_balancing.rs
@@ -3,7 +3,7 @@
 use gladekeel_controller::node::heartbeats::balancing::{HeartbeatBalancer, HeartbeatReceiver};
 use gladekeel_testkit::scenario::example_settings;
 
-/// The leader has two peers, and both can relay heartbeats.
+/// Whether each peer can relay heartbeats to the leader: there are two peers, and both can.
 const USABLE: [bool; 2] = [true, true];
 
 fn new_balancer(cpu_share: f64) -> HeartbeatBalancer {
@@ -41,8 +41,8 @@
     assert_eq!(send_all_heartbeats(&mut new_balancer(0.2), 0.0, &mut receivers, &USABLE), 0);
 }
 
-/// Guards against a leader that receives all heartbeats: with 2,400 machines, heartbeats used up
-/// the whole small processor of the leader.
+/// Guards against a leader that receives all heartbeats: with 2,400 machines, they used all CPU
+/// time of a leader on a small processor.
 #[test]
 fn heartbeats_of_many_workers_are_balanced_over_the_peers() {
     let mut balancer = new_balancer(0.05);
@@ -55,8 +55,8 @@
     assert!(workers[0].abs_diff(workers[1]) <= 100, "unbalanced peers: {workers:?}");
 }
 
-/// Guards against a leader that leaves all heartbeats to the only peer that can relay them: that
-/// peer was overloaded while the leader was not.
+/// Guards against a leader that leaves all heartbeats to the only peer that can relay them: the
+/// peer was overloaded while the leader had spare capacity.
 #[test]
 fn a_leader_receives_a_share_if_a_single_peer_can_relay() {
     let mut balancer = new_balancer(0.05);
@@ -67,8 +67,8 @@
     assert_eq!(workers[1], 0, "share of the unusable peer: {workers:?}");
 }
 
-/// Guards against a peer that stays idle after an outage, during which all of its workers were
-/// redirected to another node.
+/// Guards against a peer that receives no heartbeats after it has recovered from an outage, during
+/// which all its workers were redirected to another node.
 #[test]
 fn a_peer_that_is_usable_again_receives_its_share() {
     let mut balancer = new_balancer(0.05);
@@ -82,7 +82,7 @@
     assert_eq!(
         send_all_heartbeats(&mut balancer, 63.0, &mut receivers, &USABLE),
         0,
-        "not converged"
+        "redirects have not converged"
     );
 }
 
@@ -99,7 +99,8 @@
     assert_eq!(second_redirect, None);
 }
 
-/// Guards against counting workers that no longer exist as load of their receiver.
+/// Guards against counting workers that no longer exist towards the load of the node that received
+/// their heartbeats.
 #[test]
 fn workers_without_recent_heartbeats_are_not_counted() {
     let mut balancer = new_balancer(0.05);
--- a/crates/gladekeel-testkit/tests/invariants/acceptance.rs
+++ b/crates/gladekeel-testkit/tests/invariants/acceptance.rs
@@ -33,7 +33,7 @@
         |s| s.machine_types = Some(vec!["g8".into()]),
         |s| s.zone = Some("c".into()),
         |s| s.team = "nobody".into(),
-        // The team's limit is 200 CPUs. A gang needs all its tasks at once, an array only one.
+        // The team's limit is 200 CPUs. A gang must run all its tasks at once, an array only one.
         |s| (s.kind, s.tasks, s.cpus) = (JobKind::Gang, 20, 16.0),
         |s| (s.kind, s.tasks, s.cpus) = (JobKind::Array, 20, 16.0),
     ];
--- a/crates/gladekeel-testkit/tests/invariants/cancellation.rs
+++ b/crates/gladekeel-testkit/tests/invariants/cancellation.rs
@@ -37,9 +37,9 @@
     }
 }
 
-/// The protocol permits a longer delay of a start that was sent as a direct command before the
-/// cancellation was confirmed. It does not permit one for a start that was sent later or that a
-/// heartbeat response repeated.
+/// The protocol permits a longer delay of a start command that was sent directly, outside heartbeat
+/// responses, before the cancellation was confirmed. It permits none if the command was sent later
+/// or if a heartbeat response repeated it.
 #[test]
 fn only_a_direct_start_sent_before_the_cancellation_may_be_delayed() {
     let violated_by = |sent_at: f64, repeated_in_response: bool| {
--- a/crates/gladekeel-testkit/tests/invariants/gang_start.rs
+++ b/crates/gladekeel-testkit/tests/invariants/gang_start.rs
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_waiting_task_counts_as_on_its_machine() {
-    // `on_task_started` is all that the checker observes of a waiting task.
+    // `on_task_started` is the only event that the checker observes for a waiting task.
     let mut checker = checker_with(&gang(2));
     checker.on_task_started(1.0, &task(0), &machine("n-1", "a", false));
     checker.on_task_started(2.0, &task(0), &machine("n-2", "a", false));
--- a/crates/gladekeel-testkit/tests/invariants/main.rs
+++ b/crates/gladekeel-testkit/tests/invariants/main.rs
@@ -1,5 +1,5 @@
-//! The checker reports each invariant for observations that violate it, and not for observations
-//! that only come close to a violation.
+//! The invariant checker reports a violation of each invariant for observations that violate the
+//! invariant, and reports none for observations that only come close to a violation.
 
 mod acceptance;
 mod availability;
--- a/crates/gladekeel-testkit/tests/invariants/response_status.rs
+++ b/crates/gladekeel-testkit/tests/invariants/response_status.rs
@@ -1,8 +1,8 @@
 use super::{checker, violated};
 
 /// A repeated submission of a known job must be neither accepted as a new job nor refused. A
-/// submission that lacks a field or fits no machine must not be accepted. A temporary error is
-/// no violation.
+/// submission that lacks a field, or whose job fits no machine, must not be accepted. A temporary
+/// error is no violation.
 #[test]
 fn a_malformed_or_repeated_request_has_one_correct_status() {
     let mut tolerant = checker();
--- a/crates/gladekeel-testkit/tests/invariants/seeded_faults.rs
+++ b/crates/gladekeel-testkit/tests/invariants/seeded_faults.rs
@@ -2,7 +2,8 @@
 
 use gladekeel_testkit::scenario::run;
 
-/// The node responds to an `http` step with another status than the line states.
+/// The leader responds to the request of an `http` step with a status that differs from the one
+/// that the step states.
 #[test]
 fn a_response_that_differs_from_the_scenario_is_a_violation() {
     let text = "world on_demand=1\nat 5 http GET /admin/settings = 201\nuntil 10\n";
@@ -25,8 +26,8 @@
     );
 }
 
-/// Tasks do not wait for their gang because of the seeded fault. They start at different times:
-/// one machine has the image when the gang is submitted, the other has yet to boot.
+/// Because of the seeded fault, tasks do not wait for their gang. They begin to run at different
+/// times: one machine has the image when the gang is submitted, and the other has yet to boot.
 #[test]
 fn a_simulation_with_partial_gangs_violates_gang_start() {
     let text = "world on_demand=4 run_partial_gangs=yes\n\
--- a/crates/gladekeel-testkit/tests/invariants/state_order.rs
+++ b/crates/gladekeel-testkit/tests/invariants/state_order.rs
@@ -31,7 +31,7 @@
 
 /// Responses to requests that were in flight at once may overtake one another. A response
 /// contradicts an observed final state only if its request was sent after a user had observed
-/// that state. Two different final states contradict each other in any order.
+/// that state. Two different final states contradict each other, whichever was observed first.
 #[test]
 fn responses_that_overtake_one_another_are_no_violation() {
     let spec = JobSpec { tasks: 1, ..example_job("job-1") };
--- a/crates/gladekeel-testkit/tests/known_failures.rs
+++ b/crates/gladekeel-testkit/tests/known_failures.rs
@@ -1,7 +1,7 @@
-//! Tests of `.ci/cargo-test` and of `KNOWN-RED.txt`, its list of tests that are known to fail. The
-//! script runs on a small package that is written for this purpose. The package has two tests that
-//! pass (one of them aborts if `ABORT` is set), two that fail, one that is ignored, and a scenario
-//! runner with two scenarios, of which one fails.
+//! Tests of the script `.ci/cargo-test` and of its list of tests that are known to fail,
+//! `KNOWN-RED.txt`. Each test writes a small package and runs the script on it. The package has two
+//! tests that pass (one of them aborts if `ABORT` is set), two that fail, one that is ignored, and
+//! a scenario runner with two scenarios, of which one fails.
 
 use std::{
     fs,
@@ -51,7 +51,7 @@
 }
 "#;
 
-/// A list of all failing tests of the package, with which the script succeeds.
+/// A `KNOWN-RED.txt` that lists all failing tests of the package, so that the script succeeds.
 const COMPLETE_LIST: &str = "tests::bad | a fault | #1\n\
     tests::bad_too | another fault | #2\n\
     scenario:weather/stormy | bad weather | #3\n";
@@ -61,8 +61,9 @@
     output: String,
 }
 
-/// Writes the package and runs the script on it, with this text as `KNOWN-RED.txt`, or without that
-/// file if `list` is `None`. Tests that run in parallel must use different directories.
+/// Writes the package and runs the script on it, with `list` as the text of `KNOWN-RED.txt`, or
+/// without that file if `list` is `None`. Tests that run in parallel must use different
+/// directories.
 fn run_script(directory: &str, list: Option<&str>, environment: &[(&str, &str)]) -> Outcome {
     let package = write_package(directory);
     if let Some(list) = list {
@@ -99,7 +100,8 @@
     package
 }
 
-/// Asserts that the script fails with this list and that its output contains `message`.
+/// Asserts that the script fails with `list` as `KNOWN-RED.txt` and that its output contains
+/// `message`.
 fn assert_fails(directory: &str, list: &str, message: &str) {
     let outcome = run_script(directory, Some(list), &[]);
     assert!(!outcome.passed, "{list}: {}", outcome.output);
@@ -107,8 +109,8 @@
 }
 
 /// Guards against a run that fails because of a listed test, and against listed failures that go
-/// unnoticed because the script does not print them. `SCENARIO` in the environment must not narrow
-/// the run.
+/// unnoticed because the script does not print them. The environment variable `SCENARIO` must not
+/// restrict which scenarios are run.
 #[test]
 fn listed_failures_are_printed_and_do_not_fail_the_run() {
     let outcome = run_script("complete", Some(COMPLETE_LIST), &[("SCENARIO", "calm")]);
@@ -140,8 +142,8 @@
     assert_fails("empty", &tests, "test all_scenarios ... FAILED");
 }
 
-/// Guards against a list that is out of date: a listed test that passes, is ignored, aborts the
-/// test process or does not exist.
+/// Guards against a script that accepts an outdated list: a listed test passes, is ignored, aborts
+/// the test process or does not exist.
 #[test]
 fn listed_tests_that_do_not_fail_or_do_not_exist_fail_the_run() {
     for (test, message) in [
@@ -161,8 +163,8 @@
     assert!(outcome.output.contains("did not run to its end: tests::aborts"), "{}", outcome.output);
 }
 
-/// Guards against a list that is accepted although it has malformed lines, names a test twice or
-/// has more than three tests.
+/// Guards against a script that accepts a list with malformed lines, with a test that is named
+/// twice, or with more than three tests.
 #[test]
 fn a_malformed_or_too_long_list_fails_the_run() {
     for line in ["tests::bad", "tests::bad | a fault", "tests::bad | | #1", " | a | #1", "a|b|c|d"]
--- a/crates/gladekeel-testkit/tests/node_startup.rs
+++ b/crates/gladekeel-testkit/tests/node_startup.rs
@@ -1,4 +1,4 @@
-//! When a node that has just started is ready to serve requests.
+//! Tests of when a node that has just started is ready to serve requests.
 
 use gladekeel_controller::node::{Action, Event, Node};
 use gladekeel_testkit::{
@@ -72,7 +72,7 @@
     }
     assert!(
         !follower.is_ready_to_serve(3.0),
-        "the follower knows the leader, but has no heartbeat from it"
+        "the follower knows the leader, but has not received a heartbeat from it"
     );
     deliver_frames(&mut follower, 3.0, heartbeats);
     assert!(follower.is_ready_to_serve(3.0));
--- a/crates/gladekeel-testkit/tests/protocol_words.rs
+++ b/crates/gladekeel-testkit/tests/protocol_words.rs
@@ -207,7 +207,7 @@
     text[..start].ends_with('"') && (after.starts_with('"') || after.starts_with("\\\""))
 }
 
-/// Whether the word at `start` of a fragment is allowed in this file and kind of fragment.
+/// Whether `word`, which starts at the offset `start` of the fragment at `index`, is allowed there.
 fn is_allowed(file: &str, fragments: &[Fragment], index: usize, start: usize, word: &str) -> bool {
     let fragment = &fragments[index];
     let in_test_code = TEST_CODE.iter().any(|directory| file.contains(directory));
@@ -294,7 +294,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().unwrap()
 }
 
-/// Returns the files with this extension at or below a path, in order of their names.
+/// Returns the files at or below a path that have the extension `extension`, sorted by name.
 fn files_below(path: &Path, extension: &str) -> Vec<PathBuf> {
     if path.is_file() {
         let matches = path.extension().is_some_and(|found| found == extension);
@@ -306,8 +306,8 @@
     entries.iter().flat_map(|entry| files_below(entry, extension)).collect()
 }
 
-/// Returns the path within the repository and the text of each file with this extension at or below
-/// the paths.
+/// Reads the files at or below `paths` that have the extension `extension`. Returns the path within
+/// the repository and the text of each file.
 fn read_files(paths: &[&str], extension: &str) -> Vec<(String, String)> {
     let root = repository();
     let files = paths.iter().flat_map(|path| files_below(&root.join(path), extension));
--- a/crates/gladekeel-testkit/tests/scenario_runner.rs
+++ b/crates/gladekeel-testkit/tests/scenario_runner.rs
@@ -1,4 +1,4 @@
-//! The scenario runner: runs with several seeds, and error messages.
+//! Tests of the scenario runner: runs with several seeds, and error messages.
 
 use gladekeel_testkit::scenario;
 
--- a/crates/gladekeel-testkit/tests/scenarios.rs
+++ b/crates/gladekeel-testkit/tests/scenarios.rs
@@ -11,8 +11,8 @@
     path::PathBuf,
 };
 
-/// Returns the files to run, sorted: those whose path contains `only`, without those that `skipped`
-/// names, separated by commas.
+/// Returns the scenario files to run, sorted by path: the files whose path contains `only`, without
+/// those whose scenario names are in `skipped`, a list that is separated by commas.
 ///
 /// # Errors
 ///
--- a/crates/gladekeel-testkit/tests/token_renewal.rs
+++ b/crates/gladekeel-testkit/tests/token_renewal.rs
@@ -17,9 +17,10 @@
 use std::collections::VecDeque;
 
 /// Guards against losing a response of the cloud during a token renewal. A commit with an unknown
-/// outcome makes the leader renew its token, and the response arrives when the old token is no
-/// longer in use and the new one is not in use yet. Such a response was once dropped: the request
-/// to list or delete machines counted as in flight forever, and the leader never sent another one.
+/// outcome makes the leader renew its fencing token, and the response arrives when the old token is
+/// no longer in use and the new one is not in use yet. Such a response was once dropped: the
+/// request to list or delete machines counted as in flight forever, and the leader never sent
+/// another one.
 #[test]
 #[allow(clippy::too_many_lines, reason = "a single sequence of events")]
 fn cloud_responses_during_a_token_renewal_are_not_lost() {
@@ -75,7 +76,10 @@
         }
         if let (Some((call, outcome)), Some(list_call)) = (delayed_log_page.take(), unanswered_list)
         {
-            assert!(node.leader().is_none(), "leads before it has read the assignment log again");
+            assert!(
+                node.leader().is_none(),
+                "the node leads before it has read the assignment log again"
+            );
             let page = MachinePage { machines: Vec::new(), truncated: false };
             node.handle(now, Event::Cloud { call: list_call, outcome: CloudOutcome::List(page) });
             node.handle(now, Event::Store { call, outcome });
--- a/crates/gladekeel-testkit/tests/two_versions/main.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/main.rs
@@ -28,11 +28,11 @@
 use serde_json::Value;
 use std::collections::VecDeque;
 
-/// Highest number of a frame kind that production knows.
+/// Highest number of a frame kind that version 37c5e95, called production here, knows.
 const MAX_KIND_OF_PRODUCTION: u16 = 5;
 
-/// Returns the payload of a peer heartbeat in production's layout: milliseconds since the last
-/// contact with the store and the token, both little-endian.
+/// Returns the payload of a peer heartbeat in the layout of production: milliseconds since the last
+/// contact with the store, then the leader's fencing token, both little-endian.
 fn heartbeat_payload(store_contact_age_ms: u32, leader_token: u64) -> Vec<u8> {
     let age = store_contact_age_ms.to_le_bytes();
     [age.as_slice(), leader_token.to_le_bytes().as_slice()].concat()
@@ -63,7 +63,7 @@
     peer_levels: Vec<Option<u16>>,
     /// The incarnation that the peers send in their heartbeats; earlier versions send 0.
     peer_incarnation: u64,
-    /// The number of steps of 50 ms since the start.
+    /// Number of steps of 50 ms since the start of the test.
     step: u32,
     last_request_id: u64,
     sent_frames: Vec<SentFrame>,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Stores a value as another node would, and returns the version of the commit.
+    /// Stores a value as another node would, and returns the value's version.
     fn put(&mut self, key: &str, value: Value) -> u64 {
         let put = Write::Put { key: key.into(), value, lease: None };
         let txn = Transaction { preconditions: Vec::new(), writes: vec![put] };
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Advances the time. Peers with a level send a heartbeat once a second.
+    /// Advances the time by `seconds`. Each peer with a protocol level sends a heartbeat once a
+    /// second.
     fn advance(&mut self, seconds: u32) {
         for _ in 0..seconds * 20 {
             let now = f64::from(self.step) * 0.05;
@@ -187,8 +188,8 @@
         self.node.leader()
     }
 
-    /// Submits and cancels a job. Returns the frames of the cancellation whose kind production does
-    /// not know: the peer, the kind and the job ids of each.
+    /// Submits and cancels a job. Returns the peer, the kind and the job ids of each frame that the
+    /// node sent for the cancellation and whose kind production does not know.
     fn submit_and_cancel(&mut self, name: &str) -> Vec<(usize, u16, Vec<JobId>)> {
         let spec = serde_json::to_vec(&example_job(name)).unwrap();
         assert_eq!(self.post_job_request("/api/jobs", spec).0, 201, "submission of {name}");
--- a/crates/gladekeel-testkit/tests/two_versions/peers.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/peers.rs
@@ -9,7 +9,8 @@
 };
 use std::collections::BTreeSet;
 
-/// The frame of a cancellation, as [`TestNode::submit_and_cancel`] returns it.
+/// The frame that notifies a peer of the cancellation of a job, as [`TestNode::submit_and_cancel`]
+/// returns it.
 fn cancellation_frame(peer: usize, name: &str) -> (usize, u16, Vec<JobId>) {
     (peer, 6, vec![name.parse().unwrap()])
 }
@@ -43,8 +44,8 @@
     );
 }
 
-/// Guards against a peer's level that is recorded once and never changed: a peer that is upgraded,
-/// or rolled back to production, has the level of its last heartbeat.
+/// Guards against recording a peer's protocol level once and never changing it: a peer that is
+/// upgraded, or rolled back to production, has the level that its last heartbeat states.
 #[test]
 fn the_level_of_a_peer_is_that_of_its_last_heartbeat() {
     let mut node = TestNode::with_peers(&[Some(0), Some(1)]);
@@ -55,8 +56,9 @@
     assert_eq!(node.submit_and_cancel("job-2"), [cancellation_frame(0, "job-2")]);
 }
 
-/// Guards against other frames that a production node does not know: every frame is of a kind that
-/// it knows, and heartbeats have its layout, with the protocol level in the field for the status.
+/// Guards against sending any frame that a production node does not know. Every frame must be of a
+/// kind that production knows, and heartbeats must have production's layout, with the protocol
+/// level in the field for the status.
 #[test]
 fn production_peers_receive_only_frames_that_they_know() {
     let mut node = TestNode::with_peers(&[Some(0), Some(0)]);
@@ -82,8 +84,8 @@
     assert!(token_sent, "no heartbeat contains the token");
 }
 
-/// Guards against a restarted controller that shows a running job as queued until the progress of
-/// the job changes again.
+/// Guards against a restarted peer that reports a running job as queued until the progress of the
+/// job changes again.
 #[test]
 fn job_progress_is_sent_again_to_a_peer_that_has_restarted() {
     let mut node = TestNode::with_peers(&[Some(PROTOCOL_LEVEL), Some(1)]);
@@ -114,7 +116,7 @@
 }
 
 /// Guards against an incarnation in heartbeats that never changes, or that is the same for every
-/// process. Peers of level 0 receive 0.
+/// process of a node. Peers with protocol level 0 receive the incarnation 0.
 #[test]
 fn heartbeats_identify_the_process_of_their_sender() {
     let incarnations = |seed: u64| {
--- a/crates/gladekeel-testkit/tests/two_versions/stored_values.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/stored_values.rs
@@ -1,4 +1,5 @@
-//! Stored settings, jobs and final states that contain something that this version does not know.
+//! Tests of stored settings, jobs and final states with fields or values that this version does not
+//! know.
 
 use super::TestNode;
 use gladekeel_controller::keys;
@@ -25,7 +26,7 @@
 }
 
 /// Guards against falling back to the default settings because another version has stored a setting
-/// that this version does not know: the other stored settings stay in force.
+/// that this version does not know: the other stored settings must stay in effect.
 #[test]
 fn an_unknown_setting_leaves_the_others_in_force() {
     let mut node = TestNode::with_peers(&[Some(0), Some(0)]);
@@ -40,8 +41,9 @@
     assert!(!read.settings.contains_key("of_another_version"));
 }
 
-/// Guards against responding 404 to requests about an accepted job, and against a leader that does
-/// not know the job of stored attempts: no node leads until the stored job can be read.
+/// Guards against responding with 404 to requests about an accepted job that cannot be read, and
+/// against a leader that does not know the job of stored attempts: no node may lead until the job
+/// can be read.
 #[test]
 fn an_unreadable_job_prevents_leadership() {
     let mut node = TestNode::with_peers(&[Some(1), Some(1)]);
@@ -61,8 +63,8 @@
     assert_eq!(poll(&mut node, "job-7"), 200);
 }
 
-/// Guards against guessing a final state that cannot be read: the job may be done, so none of its
-/// tasks may be started, and responses to users must not state that the job is queued.
+/// Guards against guessing a job's final state that cannot be read: the job may be done, so none of
+/// its tasks may be started, and responses to users must not state that the job is queued.
 #[test]
 fn an_unreadable_final_state_suspends_scheduling() {
     let mut node = TestNode::with_peers(&[Some(1), Some(1)]);
@@ -86,8 +88,9 @@
     assert!(cycles(&node) > cycles_before, "scheduling has resumed");
 }
 
-/// Guards against a change of settings on a node that has not yet read the version to which the
-/// change applies: it once reset all other settings to the values that the node knew.
+/// Guards against a change of settings through a node that has not yet read the version of the
+/// settings to which the change applies. Such a change once reset all other settings to the values
+/// that the node knew.
 #[test]
 fn a_settings_change_on_a_stale_node_preserves_the_other_settings() {
     let mut node = TestNode::with_peers(&[Some(PROTOCOL_LEVEL)]);
--- a/crates/gladekeel-testkit/tests/two_versions/takeover.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/takeover.rs
@@ -9,8 +9,8 @@
 use serde_json::{Value, json};
 
 /// Guards against a new leader that starts a running gang again or does not learn that the gang is
-/// done, after a takeover from version fe9a16c. The store holds what the leader of that version had
-/// committed while the gangs ran.
+/// done, after a takeover from version fe9a16c. The store holds the values that a leader of that
+/// version had committed while the gangs ran.
 #[test]
 fn gangs_that_fe9a16c_started_continue_after_a_takeover() {
     let mut node = TestNode::with_peers(&[Some(1), Some(1)]);
