--- a/crates/gladekeel-testkit/examples/playground.rs
+++ b/crates/gladekeel-testkit/examples/playground.rs
@@ -4,8 +4,8 @@
 //! Machines boot in five seconds, and fetching an image takes a second per GB. All data is lost
 //! when the playground stops.
 //!
-//! `playground MACHINES TASKS_PER_SECOND` offers this number of machines and keeps submitting jobs
-//! at this rate, to profile a controller of a large deployment.
+//! `playground MACHINES TASKS_PER_SECOND` offers the given number of machines and keeps submitting
+//! jobs with the given number of tasks per second, to profile a controller of a large deployment.
 
 use gladekeel_controller::{
     cloud_api::{CloudOutcome, CloudRequest},
@@ -145,7 +145,7 @@
  "reckon_s":10.0,"mark_s":5.0,"stow_s":1.0}
 "#;
 
-/// Returns the settings file of a controller node.
+/// Returns the text of a controller node's settings file.
 fn settings(node: usize, options: Options) -> String {
     let heartbeat_interval_s = options.heartbeat_interval_s();
     let max_connections = options.max_connections();
@@ -366,8 +366,8 @@
         }
     }
 
-    /// Executes a request in the cloud, starts and removes the machines concerned, and returns the
-    /// response.
+    /// Executes a request in the cloud, boots rented machines, removes deleted ones, and returns
+    /// the response.
     fn handle_cloud_request(self: &Rc<Self>, request: &Request) -> Response {
         let call = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/flavors") => Some(CloudRequest::ListMachineTypes),
--- a/crates/gladekeel-testkit/src/invariants/cancellation.rs
+++ b/crates/gladekeel-testkit/src/invariants/cancellation.rs
@@ -1,5 +1,6 @@
 //! Once a client has observed that a job is cancelled, the job's tasks end within the
-//! cancellation deadline, and no task starts whose start was not in flight by then.
+//! cancellation deadline, and a task of the job only starts if its start command was already in
+//! flight.
 
 use super::{Invariant, InvariantChecker};
 use crate::stand_ins::worker::MachineIdentity;
--- a/crates/gladekeel-testkit/src/invariants/invariant.rs
+++ b/crates/gladekeel-testkit/src/invariants/invariant.rs
@@ -16,9 +16,9 @@
     /// No task of a cancelled job starts, unless its start was in flight when the cancellation
     /// was confirmed.
     NoStartAfterCancellation,
-    /// An accepted job is not refused or unknown later.
+    /// An accepted job is not refused or reported as unknown later.
     AcceptedJobKept,
-    /// A job that nobody submitted is unknown.
+    /// A job that nobody submitted is not reported as known.
     NoInventedJob,
     /// A job that can never run is not accepted.
     AcceptedJobCanRun,
@@ -41,7 +41,7 @@
     ScenarioResponse,
     /// No two leaderships have the same fencing token.
     UniqueToken,
-    /// What a scenario step refers to, such as the host of a task, exists when the step is
+    /// The target of a scenario step, such as the host of a task, exists when the step is
     /// executed.
     ScenarioTarget,
 }
--- a/crates/gladekeel-testkit/src/invariants/mod.rs
+++ b/crates/gladekeel-testkit/src/invariants/mod.rs
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct InvariantChecker {
     deployment: Deployment,
-    /// Machine types of the cloud. While there are none, a job counts as able to run if it is
+    /// Machine types of the cloud. While the list is empty, a job counts as able to run if it is
     /// within its team's limit.
     pub machine_types: Vec<MachineType>,
     /// How much longer each task of a job runs than the task before it, in seconds.
@@ -78,7 +78,7 @@
 }
 
 impl InvariantChecker {
-    /// Creates a checker for a deployment that has observed nothing yet.
+    /// Creates a checker without any observations.
     pub fn new(deployment: Deployment) -> InvariantChecker {
         InvariantChecker {
             deployment,
--- a/crates/gladekeel-testkit/src/scenario/steps/users.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/users.rs
@@ -58,7 +58,7 @@
     move |sim| who.map_or_else(Vec::new, |who| node_indices(sim, &who))
 }
 
-/// `cancel JOBS via=WHO`: users cancel jobs.
+/// `cancel JOBS via=WHO`: users cancel jobs through these nodes, or through any node without `via`.
 pub(super) fn cancel(line: &Line) -> Result<Step, LineError> {
     let ids = line.jobs(1)?;
     let via = resolve_via(line);
--- a/crates/gladekeel-testkit/src/simulation/decision_trace.rs
+++ b/crates/gladekeel-testkit/src/simulation/decision_trace.rs
@@ -91,7 +91,8 @@
     }
 }
 
-/// Returns the HTTP request that sends a direct request to a worker.
+/// Returns the HTTP request by which a controller sends direct commands to a worker or queries the
+/// worker's state, outside heartbeat responses.
 fn encode_direct(request: &WorkerRequest) -> HttpRequest {
     match &request.body {
         Some(commands) => HttpRequest::post(format!("{}/do", request.addr), commands),
--- a/crates/gladekeel-testkit/src/simulation/network.rs
+++ b/crates/gladekeel-testkit/src/simulation/network.rs
@@ -23,7 +23,7 @@
 pub enum Partition {
     /// The node with this index from the endpoints in a scope.
     Node(usize, PartitionScope),
-    /// The nodes and workers in one zone from those in another.
+    /// The nodes and workers in one zone from those in another zone.
     Zones(String, String),
 }
 
--- a/crates/gladekeel-testkit/src/simulation/users.rs
+++ b/crates/gladekeel-testkit/src/simulation/users.rs
@@ -163,8 +163,8 @@
         self.cancel_via(id, Vec::new());
     }
 
-    /// Cancels a job through one of these nodes, or through any node if `via` is empty. Retries
-    /// until the response has status 200 or `RETRY_DURATION_S` has passed.
+    /// Cancels a job through one of the nodes in `via`, or through any node if `via` is empty.
+    /// Retries until the response has status 200 or `RETRY_DURATION_S` has passed.
     pub fn cancel_via(&mut self, id: JobId, via: Vec<usize>) {
         self.invariants.on_cancel_request(&id);
         self.try_cancel(id, via, self.now);
@@ -186,8 +186,8 @@
         self.send_job_request_to(node, id, request, CHANGE_TIMEOUT_S, retry);
     }
 
-    /// Cancels the running jobs that would end last, all at once, each through one of these nodes
-    /// or, if `via` is empty, through any node. Some machines of these jobs hang for `hang_s`
+    /// Cancels the running jobs that would end last, all at once, each through one of the nodes in
+    /// `via` or, if `via` is empty, through any node. Some machines of these jobs hang for `hang_s`
     /// seconds.
     pub fn cancel_longest_remaining(&mut self, count: usize, via: Vec<usize>, hang_s: f64) {
         let jobs = self.longest_remaining_jobs(count);
--- a/crates/gladekeel-testkit/src/stand_ins/cloud.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/cloud.rs
@@ -28,7 +28,7 @@
 }
 
 impl RentedMachine {
-    /// The machine's entry in the list of machines, as of a time.
+    /// The machine's entry in the list of machines, as of the time `as_of`.
     fn listed(&self, name: &str, as_of: f64) -> ListedMachine {
         let up = self.booted_at.is_some_and(|booted_at| booted_at <= as_of);
         ListedMachine {
--- a/crates/gladekeel-testkit/src/stand_ins/store.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/store.rs
@@ -14,7 +14,8 @@
 const PAGE_ENTRIES: usize = 1000;
 /// Maximum size of the body of a transaction, in bytes.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// Maximum number of preconditions of a transaction, per write that the limits allow.
+/// Maximum number of preconditions of a transaction, as a multiple of the number of writes that the
+/// limits allow.
 const PRECONDITIONS_PER_WRITE: usize = 4;
 
 /// Limits of the store, as in the settings.
--- a/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
@@ -24,7 +24,7 @@
 pub enum WorkerEvent {
     /// A task has its image and occupies its machine from now on.
     TaskStarted(TaskId),
-    /// A task of a gang begins to run, together with the other tasks.
+    /// A task of a gang begins to run, together with the other tasks of its gang.
     GangTaskRunning {
         /// The task.
         task: TaskId,
@@ -38,7 +38,7 @@
         /// Whether the task completed, rather than failed or was stopped.
         completed: bool,
     },
-    /// A start was refused for lack of free resources.
+    /// The worker refused to start a task for lack of free resources.
     StartRefused(TaskId),
 }
 
@@ -77,11 +77,11 @@
     pub sequence: u64,
     /// Highest fencing token that the worker has seen.
     pub token: u64,
-    /// When the last heartbeat that got a response was sent.
+    /// When the latest heartbeat that got a response was sent; the lease is counted from this time.
     pub lease_renewed_at: f64,
     /// Duration of the worker's lease, in seconds.
     pub lease_s: f64,
-    /// All tasks on the worker, exited ones included until they are forgotten.
+    /// All tasks on the worker, including exited tasks until the worker forgets them.
     pub tasks: Vec<FakeTask>,
     /// Index of the node that the worker sends its heartbeats to.
     pub node: usize,
@@ -98,7 +98,7 @@
     pub delayed_heartbeat: Option<DelayedHeartbeat>,
     /// When the cloud reclaims the machine; `None` without a termination notice.
     pub terminates_at: Option<f64>,
-    /// Whether something has changed since the last heartbeat.
+    /// Whether the next heartbeat is due early, for example because a task has changed its state.
     pub changed: bool,
     /// Sequence number of the heartbeat that is waiting for its response; `None` if none is.
     pub in_flight: Option<u64>,
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Resources that no task uses.
+    /// Resources of the machine that no task uses.
     pub fn free(&self) -> Resources {
         let present = self.tasks.iter().filter(|task| task.state != TaskState::Exited);
         present.fold(self.capacity, |free, task| free.without(&task.spec))
--- a/crates/gladekeel-testkit/src/stand_ins/worker/task.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/task.rs
@@ -18,7 +18,7 @@
     pub spec: JobSpec,
     /// Current state.
     pub state: TaskState,
-    /// When the current state ends by itself.
+    /// When the current state ends by itself; `f64::MAX` if it does not.
     pub state_ends_at: f64,
     /// Why the task has exited, or will exit; `None` if that is not yet known.
     pub cause: Option<ExitCause>,
