--- a/crates/gladekeel-testkit/src/simulation/network.rs
+++ b/crates/gladekeel-testkit/src/simulation/network.rs
@@ -23,7 +23,7 @@
 pub enum Partition {
     /// The node with this index from the endpoints in a scope.
     Node(usize, PartitionScope),
-    /// The nodes and workers in one zone from those in another.
+    /// The nodes and workers in one zone from those in another zone.
     Zones(String, String),
 }
 
@@ -44,8 +44,8 @@
     Users,
 }
 
-/// A partition that lasts until a time. With `buffered`, messages arrive when the partition ends;
-/// otherwise they are lost.
+/// A partition that is active until the time `until`. With `buffered`, messages arrive when the
+/// partition ends; otherwise they are lost.
 #[derive(Debug, Clone)]
 pub(super) struct ActivePartition {
     partition: Partition,
--- a/crates/gladekeel-testkit/src/stand_ins/store.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/store.rs
@@ -14,7 +14,8 @@
 const PAGE_ENTRIES: usize = 1000;
 /// Maximum size of the body of a transaction, in bytes.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// Maximum number of preconditions of a transaction, per write that the limits allow.
+/// Maximum number of preconditions of a transaction, as a multiple of the number of writes that the
+/// limits allow.
 const PRECONDITIONS_PER_WRITE: usize = 4;
 
 /// Limits of the store, as in the settings.
@@ -45,7 +46,7 @@
     expires_at: f64,
 }
 
-/// A change that watches return.
+/// A change of a key, as watches return it.
 #[derive(Debug)]
 struct Change {
     revision: u64,
@@ -259,7 +260,7 @@
         StoreOutcome::Committed(self.apply(transaction))
     }
 
-    /// Describes what in a transaction exceeds the limits; `None` if nothing does.
+    /// Describes the part of a transaction that exceeds the limits; `None` if no part does.
     fn excess(&self, transaction: &Transaction) -> Option<String> {
         let large_value = transaction.writes.iter().find_map(|write| match write {
             Write::Put { key, value, .. } if value.to_string().len() > self.limits.value => {
