--- a/crates/gladekeel-controller/src/assignment_log/mod.rs
+++ b/crates/gladekeel-controller/src/assignment_log/mod.rs
@@ -20,10 +20,10 @@
 //! # Contract
 //!
 //! - A segment contains every name that it refers to, so it can be read without any other segment.
-//!   Slots can therefore be overwritten one by one ("Using slots again" in `docs/safety.md`).
+//!   Slots can therefore be overwritten one by one ("Reusing slots" in `docs/safety.md`).
 //! - [`decode`] accepts only text in the layout that [`SegmentWriter::encode`] writes. Any other
 //!   text results in an [`UnreadableSegment`] error: a leader that guessed the content of the text
-//!   could start a task twice ("What cannot be read" in `docs/safety.md`).
+//!   could start a task twice ("Unreadable data" in `docs/safety.md`).
 //! - Earlier versions of the controller that run side by side with this version use the same
 //!   layout. The tests `formats_37c5e95` and `formats_fe9a16c` compare the layout with the bytes
 //!   that those versions write.
--- a/crates/gladekeel-controller/src/leader/assignment_log/mod.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/mod.rs
@@ -17,9 +17,9 @@
 //!
 //! - *Who may decide*: each transaction has the leader's token and the version of every key that
 //!   it writes as preconditions, so that a deposed leader's transaction fails.
-//! - *The log, using slots again*: a segment is overwritten only once it no longer holds the newest
-//!   record of any attempt or of any job's progress. Segments are overwritten in the order in which
-//!   they were written.
+//! - *The assignment log, reusing slots*: a segment is overwritten only once it no longer holds
+//!   the newest record of any attempt or of any job's progress. Segments are overwritten in the
+//!   order in which they were written.
 //! - *A task is on one machine at most*, points 1 and 2: a start is sent only after its
 //!   assignment is committed, and a new leader trusts the log.
 //! - *Gangs, all or none*: the tasks of a gang are started only once the whole gang is committed.
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/limits.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/limits.rs
@@ -48,7 +48,7 @@
             max_ops = self.max_ops,
             segment_bytes = self.segment_capacity,
             reason = "transaction refused as too large",
-            "store limits reduced"
+            "transaction limits reduced below those of the settings"
         );
     }
 }
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
@@ -8,7 +8,7 @@
 //! Slots are overwritten in the order of their segments, oldest first. A slot may be overwritten
 //! once its segment no longer holds the newest record of any attempt or progress page. Compaction
 //! copies old records that are still the newest into new segments, so that the log stays short
-//! ("The log" in `docs/safety.md`).
+//! ("The assignment log" in `docs/safety.md`).
 
 mod batch;
 mod batch_builder;
@@ -37,8 +37,9 @@
 
 /// Of every `FINAL_STATE_DIVISOR` operations of a transaction, one is reserved for final states.
 const FINAL_STATE_DIVISOR: usize = 4;
-/// Approximate size of an assignment in a segment that already contains the names of its job and
-/// machine, in bytes.
+/// Estimated size of a pending assignment in a segment, in bytes, with which the writer plans a
+/// transaction. The estimate is above the 16 bytes of an encoded assignment row, which does not
+/// include the names of the job and the machine.
 const ASSIGNMENT_ROW_BYTES: usize = 36;
 /// Approximate size of an assignment in a segment, including its share of the names, in bytes.
 const NAMED_ASSIGNMENT_BYTES: usize = 48;
--- a/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -25,7 +25,8 @@
 /// Maximum number of machines beyond the target that stay in a pool, so that a fluctuating target
 /// does not remove and add machines all the time.
 const MAX_EXCESS: usize = 2;
-/// Minimum number of on-demand machines that a zone must have for each machine in its warm pool.
+/// Minimum number of on-demand machines of a type that a zone must have for each machine in its
+/// warm pool of that type.
 const MIN_MACHINES_PER_POOL_MACHINE: usize = 3;
 
 /// The gangs of a class that arrived recently.
--- a/crates/gladekeel-controller/src/leader/machine/outstanding_commands.rs
+++ b/crates/gladekeel-controller/src/leader/machine/outstanding_commands.rs
@@ -2,7 +2,7 @@
 //!
 //! A start that was sent directly and received no response may be executed at any later time.
 //! Until the start is settled, its attempt is not released when the task is absent from a
-//! heartbeat, and no forget command is sent for the attempt ("Proof of absence" in
+//! heartbeat, and no forget command is sent for the attempt ("Direct commands" in
 //! `docs/safety.md`).
 
 use crate::leader::AttemptId;
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -172,10 +172,11 @@
 
 /// How many seconds a job has waited beyond [`OVERDUE_AFTER_S`]; 0 if the job is not overdue.
 ///
-/// A waiting gang has no task on any machine, so it always counts. An array counts only while it
-/// has no task on any machine, which happens as long as its fair share rounds down to zero or
-/// resources become free in amounts that are too small for a task. Services never count as
-/// overdue.
+/// A waiting gang always counts: it has no task on any machine, except while it replaces a lost
+/// member, for up to 5 s (`REPLACEMENT_TIMEOUT_S`), or while its other tasks are being stopped. An
+/// array counts only while it has no task on any machine, which happens as long as its fair share
+/// rounds down to zero or resources become free in amounts that are too small for a task. Services
+/// never count as overdue.
 fn overdue_s(job: &Job, has_attempts: bool, now: f64) -> u32 {
     let may_be_overdue = match job.spec.kind {
         JobKind::Gang => true,
--- a/crates/gladekeel-controller/src/node/heartbeats/mod.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/mod.rs
@@ -2,8 +2,9 @@
 //! worker.
 //!
 //! A response to a heartbeat renews the worker's lease. `docs/safety.md`, "Keeping leases alive",
-//! therefore states which node may respond: the leader, or another node while its last contact
-//! with the store is so recent that a cancellation it has not seen still takes effect in time.
+//! therefore states which node may respond: the leader or another node, each only while its last
+//! contact with the store is so recent that a cancellation it has not seen still takes effect in
+//! time.
 
 pub mod balancing;
 mod relays;
--- a/crates/gladekeel-controller/src/shell/mod.rs
+++ b/crates/gladekeel-controller/src/shell/mod.rs
@@ -18,7 +18,7 @@
 //! future of [`run`] is dropped. The accept loop owns the tasks of accepted connections in the same
 //! way. The task of an outgoing call is detached and ends at the latest when the call times out.
 //! There is no graceful shutdown, and none is needed: the process may be killed at any time,
-//! because all durable state is in the store (`docs/safety.md`).
+//! because all durable state is in the store ("State" in `docs/architecture.md`).
 
 mod listeners;
 mod outgoing_calls;
--- a/crates/gladekeel-controller/src/store_view.rs
+++ b/crates/gladekeel-controller/src/store_view.rs
@@ -3,7 +3,7 @@
 //! [`gladekeel_store::Replica`] reports which keys have changed, and [`StoreView::apply`] applies
 //! each change to the field for that kind of key. The view is as old as the last read of the
 //! store; code that needs a current view reads the store first. A value that this version cannot
-//! read is never treated as absent ("What cannot be read" in `docs/safety.md`).
+//! read is never treated as absent ("Unreadable data" in `docs/safety.md`).
 
 use crate::{
     keys::{self, LeaderRecord},
--- a/crates/gladekeel-wire/src/settings/objective.rs
+++ b/crates/gladekeel-wire/src/settings/objective.rs
@@ -7,7 +7,8 @@
 pub struct Objective {
     /// Quantity that the objective measures.
     pub kind: ObjectiveKind,
-    /// Class of jobs that the objective applies to; all jobs if `None`.
+    /// Class of jobs that the objective applies to; the platform means all jobs if it is `None`.
+    /// The scheduler applies only objectives that name a class.
     pub class: Option<String>,
     /// Target in seconds; `None` if the objective has no such target.
     pub within_s: Option<f64>,
