--- a/crates/gladekeel-sched/src/autoscaling.rs
+++ b/crates/gladekeel-sched/src/autoscaling.rs
@@ -1,18 +1,19 @@
 //! Plans how many machines of one type there should be.
 //!
 //! The leader keeps one [`Autoscaler`] per machine type and purchase model, and requests a
-//! [`ScalingPlan`] from each at regular intervals. All amounts of work are in machines of that
-//! type: a task counts as the fraction of a machine that it requests.
+//! [`ScalingPlan`] from each at regular intervals. Demand is measured in machines of that type: a
+//! task contributes the fraction of a machine that it requests.
 //!
-//! For every due time, the work that is due by then must fit into what the machines can do until
-//! then. Machines are added for the work that does not fit; a new machine does work only after it
-//! has booted. Work that is due before a new machine could complete it is late in any case, and
-//! counts as due at the time when a new machine could have completed it. In addition:
+//! For every due time, the machines must be able to do all work that is due by that time. Machines
+//! are added for the excess work; a new machine does work only after it has booted. Work that is
+//! due before a new machine could complete it is late in any case, and is planned as if it were due
+//! when a new machine could have completed it. In addition:
 //!
-//! - work that has yet to arrive counts to the extent that it will be due by the same time;
-//! - as many machines are requested as were busy recently, as far as there is work for them, so
-//!   that lost machines are replaced before work is late;
-//! - a pending gang needs its machines at once, in addition to those that run other tasks.
+//! - work that is expected to arrive is included if it will be due by the same time;
+//! - if fewer machines are up or booting than were busy recently, and there is work for more, the
+//!   difference is requested, so that lost machines are replaced before work is late;
+//! - for a pending gang, whose tasks must all run at once, machines are requested in addition to
+//!   those that run other tasks.
 
 /// The demand of a job for machines of one type.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -25,7 +26,7 @@
     pub run_s: f64,
     /// Time until the job should be complete, in seconds; negative if the job is late.
     pub time_left_s: f64,
-    /// Whether the pending tasks can only run all at once.
+    /// Whether the job is a gang, whose pending tasks must all run at the same time.
     pub gang: bool,
 }
 
@@ -79,22 +80,23 @@
 pub struct ScalingPlan {
     /// Number of machines to add.
     pub scale_out: f64,
-    /// Number of machines that the known work requires; idle machines beyond it may be removed.
+    /// Number of machines that could do all work in time if all of them were up already; idle
+    /// machines beyond this number may be removed.
     pub required: f64,
-    /// Total number of machines up to which idle spot machines are kept, in anticipation of the
-    /// usual load.
+    /// Idle spot machines are kept while the total number of machines is at most this value,
+    /// because the usual load is expected to return.
     pub retain: f64,
 }
 
 /// The parameters of the autoscaler; operators can set them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AutoscalerConfig {
-    /// Time constant of the smoothed demand, in seconds.
+    /// Time constant, in seconds, of the exponential smoothing of the demand.
     pub smoothing_s: f64,
     /// Fraction of the smoothed demand for which idle spot machines are kept.
     pub spot_retention: f64,
-    /// Fraction of a machine's time that plans count on, since tasks do not fill machines without
-    /// gaps.
+    /// Fraction of a machine's time that the plan assumes to be used, since tasks do not fill
+    /// machines without gaps.
     pub target_utilization: f64,
 }
 
@@ -122,7 +124,7 @@
 struct DueWork {
     /// Due time, in seconds from now.
     due_s: f64,
-    /// Machine-seconds of work, including all work that is due earlier.
+    /// Machine-seconds of work that is due at `due_s` or earlier.
     work: f64,
 }
 
@@ -140,8 +142,9 @@
         gangs.map(|demand| demand.pending).sum()
     }
 
-    /// Returns the work that is due by the due time of each job, in machine-seconds at the target
-    /// utilization. No job counts as due before its earliest possible completion.
+    /// Returns, for the due time of each job, the total work that is due by that time, in
+    /// machine-seconds at the target utilization. A due time before the job's earliest possible
+    /// completion is replaced by the time of that completion.
     fn work_by_due_time(
         &self,
         earliest_completion_s: impl Fn(&JobDemand) -> f64,
@@ -228,7 +231,7 @@
     }
 
     /// Returns how many of the recently busy machines must be replaced, because they are neither up
-    /// nor booting although there is work for them; zero or negative if there are none.
+    /// nor booting although there is work for them; zero or negative if no replacement is needed.
     fn lost_machines(&self, input: &ScalingInput<'_>) -> f64 {
         let with_work = self.smoothed_busy.min(input.running() + input.pending());
         with_work - input.supply.up - input.supply.booting.len() as f64
--- a/crates/gladekeel-sched/src/candidate_index.rs
+++ b/crates/gladekeel-sched/src/candidate_index.rs
@@ -18,7 +18,8 @@
     spot: bool,
 }
 
-/// The sort key of a machine in a [`MachinesByFreeCpus`]: fullest first, ties by position.
+/// The sort key of a machine in [`MachinesByFreeCpus`]: the machine with the fewest free CPUs comes
+/// first, and machines with equally many are sorted by position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateKey {
     /// Free CPUs, in thousandths.
@@ -33,10 +34,11 @@
     }
 }
 
-/// Machines of one pool, sorted by free CPUs, fullest first.
+/// Machines of one pool, sorted by ascending free CPUs.
 type MachinesByFreeCpus = BTreeSet<CandidateKey>;
 
-/// The sorted machines of each pool, by the pool's position in [`CandidateIndex::pools`].
+/// For each pool, its machines sorted by free CPUs; indexed by the pool's position in
+/// [`CandidateIndex::pools`].
 type MachinesByPool = Vec<MachinesByFreeCpus>;
 
 /// Which machines a lookup accepts, by the state of the job's image.
@@ -63,8 +65,8 @@
 pub(crate) struct CandidateIndex {
     /// The pools that have at least one candidate.
     pools: Vec<MachinePool>,
-    /// Position of each machine's pool in `pools`, by the machine's position; `None` if the
-    /// machine is not a candidate.
+    /// For each machine, by the machine's position, the position of its pool in `pools`; `None` if
+    /// the machine is not a candidate.
     pool_of: Vec<Option<usize>>,
     /// Positions of the reserved machines, which take no further tasks in this cycle.
     reserved: BTreeSet<usize>,
@@ -74,14 +76,14 @@
     network_busy: MachinesByPool,
     /// For each image, the machines that have it in their cache.
     cached: HashMap<ImageIdx, MachinesByPool>,
-    /// For each image, the machines that have or are fetching it.
+    /// For each image, the machines that have it in their cache or are fetching it.
     cached_or_fetching: HashMap<ImageIdx, MachinesByPool>,
     /// How many times a machine or pool was examined.
     examined: u64,
 }
 
 impl CandidateIndex {
-    /// Builds an index of the machines for placing tasks of these jobs.
+    /// Builds an index of `machines` for the placement of the tasks of `jobs`.
     pub fn new<'a>(
         machines: &[SchedulableMachine],
         jobs: impl Iterator<Item = &'a SchedulableJob>,
@@ -103,7 +105,8 @@
     }
 
     /// Assigns a pool to each machine that could take the smallest task. Machines of the warm pool
-    /// get none: only gangs may use the warm pool, and gangs are placed without this index.
+    /// are assigned to no pool of the index: only gangs may use the warm pool, and gangs are placed
+    /// without this index.
     fn assign_pools(&mut self, machines: &[SchedulableMachine], min_request: Resources) {
         self.pool_of = vec![None; machines.len()];
         let mut pool_positions: BTreeMap<MachinePool, usize> = BTreeMap::new();
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Creates an empty set per pool for each image and each network state.
+    /// Creates empty sets of machines: for each pool, two sets per image and one per network state.
     fn create_sets(&mut self, images: &BTreeSet<ImageIdx>) {
         let empty = vec![MachinesByFreeCpus::new(); self.pools.len()];
         for image in images {
@@ -135,7 +138,8 @@
         self.network_busy = empty;
     }
 
-    /// Adds a machine to all sets that match its state.
+    /// Adds a machine to the sets for its network state and for the images that it has or is
+    /// fetching.
     fn insert(&mut self, position: usize, machine: &SchedulableMachine) {
         let Some(pool) = self.pool_of[position] else { return };
         let key = CandidateKey::new(machine.free, position);
@@ -180,9 +184,9 @@
         }
     }
 
-    /// Returns the position of the best machine for a job's next task: a machine where the image
-    /// is ready soonest; among those a spot machine, which is cheaper; among those the fullest, so
-    /// that whole machines stay free for large tasks or can be scaled in.
+    /// Returns the position of the best machine for a job's next task. Machines where the image is
+    /// ready soonest come first, then spot machines, which are cheaper, and then the fullest
+    /// machines, so that whole machines stay free for large tasks or can be scaled in.
     ///
     /// Examined machines on which the task does not fit are removed from the index and added to
     /// `skipped`, so that they are not examined again for further tasks of the same job. The caller
@@ -205,8 +209,8 @@
         None
     }
 
-    /// Returns the fullest machine on which the job's task fits, over all spot or all on-demand
-    /// pools that the job may use.
+    /// Returns the fullest machine on which the job's task fits, among all spot pools or all
+    /// on-demand pools that the job may use.
     fn fullest_fitting(
         &mut self,
         job: &SchedulableJob,
--- a/crates/gladekeel-sched/src/cycle.rs
+++ b/crates/gladekeel-sched/src/cycle.rs
@@ -1,14 +1,14 @@
 //! The scheduling cycle: decides which pending tasks go to which machines.
 //!
-//! The leader fills a [`SchedulingCycle`] with a snapshot and calls [`SchedulingCycle::run`],
-//! which returns [`Binding`]s; the leader then commits each binding to the store before it
-//! starts the task. Afterwards, [`preemption`](crate::preemption) uses the cycle in the state in
-//! which `run` left it to decide which tasks to stop for those that are still pending.
+//! The leader fills a [`SchedulingCycle`] with a snapshot and calls [`SchedulingCycle::run`], which
+//! returns [`Binding`]s; the leader then commits each binding to the store before it starts the
+//! task. Afterwards, [`preemption`](crate::preemption) uses the cycle as updated by `run` to decide
+//! which running tasks to stop for tasks that are still pending.
 //!
-//! Rules: no team exceeds its limit, the constraints of every job hold, and a gang is placed
-//! whole or not at all. Tasks are placed in this order: speculative restarts, overdue jobs, tasks
-//! within their team's guarantee, tasks within their job's fair share, and finally tasks that
-//! borrow leftover resources.
+//! Rules: no team exceeds its limit, the constraints of every job hold, and a gang is placed whole
+//! or not at all. Tasks are placed in this order: speculative restarts, overdue jobs, tasks within
+//! their team's guarantee, tasks within their job's fair share, and finally tasks that borrow
+//! leftover resources.
 
 mod binder;
 mod gang;
--- a/crates/gladekeel-sched/src/cycle/binder.rs
+++ b/crates/gladekeel-sched/src/cycle/binder.rs
@@ -12,7 +12,7 @@
 enum Entitlement {
     /// The task is a speculative restart, which goes ahead of other jobs' new tasks.
     SpeculativeRestart,
-    /// The task is within its team's guarantee, whatever its job's fair share.
+    /// The task is within its team's guarantee, even if it exceeds its job's fair share.
     Guarantee,
     /// The task is within its job's fair share.
     FairShare,
@@ -46,7 +46,8 @@
         self.bind_by_priority(eligible, allocations);
     }
 
-    /// Binds speculative restarts, which precede new tasks, up to their job's virtual size.
+    /// Binds speculative restarts, which precede new tasks, until as many tasks of the job are
+    /// assigned as its virtual size allows.
     fn bind_speculative_restarts(&mut self, fair_share: &FairShare, order: &[usize]) {
         for position in order.iter().copied() {
             let job = &self.cycle.jobs[position];
@@ -91,9 +92,10 @@
         }
     }
 
-    /// Reserves one machine for a job: of those that could hold its task but lack free resources
-    /// now, the one with the most free CPUs. Other jobs may not use it, so that resources that
-    /// become free there a few at a time add up until the task fits.
+    /// Reserves one machine for a job's task: the one with the most free CPUs among the machines
+    /// that are large enough for the task but have too few free resources now. No other task is
+    /// bound to the reserved machine, so that resources that become free there a few at a time add
+    /// up until the task fits.
     fn reserve_machine_for(&mut self, position: usize) {
         let job = &self.cycle.jobs[position];
         if job.pending == 0 || !self.cycle.team_of(job).within_limit(job.task_request) {
@@ -113,16 +115,16 @@
         }
     }
 
-    /// Binds tasks by guarantee, then by fair share, then by borrowing; within each of these, jobs
-    /// of higher priority go first.
+    /// Binds guaranteed tasks first, then tasks within fair shares, then tasks that borrow; within
+    /// each of these three groups, jobs of higher priority go first.
     fn bind_by_priority(&mut self, order: &[usize], allocations: &[u32]) {
         let jobs = &self.cycle.jobs;
         let groups: Vec<Vec<usize>> = order
             .chunk_by(|a, b| jobs[*a].priority == jobs[*b].priority)
             .map(<[usize]>::to_vec)
             .collect();
-        // Guarantees precede shares, so that a team's guaranteed tasks never wait for other teams'
-        // tasks.
+        // Guarantees come before fair shares, so that a team's guaranteed tasks never wait for
+        // other teams' tasks.
         let entitlements = [Entitlement::Guarantee, Entitlement::FairShare, Entitlement::Borrowed];
         for entitlement in entitlements {
             for group in &groups {
@@ -133,9 +135,9 @@
 
     /// Binds tasks of a group of jobs that have the same priority.
     fn bind_group(&mut self, group: &[usize], allocations: &[u32], entitlement: Entitlement) {
-        // Within its share, each job first takes the machines that have or fetch its image.
-        // Otherwise smaller jobs would make those machines fetch other images, while this job's
-        // image would be fetched elsewhere.
+        // Tasks within a job's fair share are first bound to machines that have or fetch the job's
+        // image. Otherwise smaller jobs would make those machines fetch other images, and the job's
+        // own image would be fetched elsewhere.
         for position in group.iter().copied() {
             let job = &self.cycle.jobs[position];
             if !job.gang {
@@ -187,7 +189,8 @@
     fn bind_gang(&mut self, position: usize, entitlement: Entitlement) -> bool {
         let job = &self.cycle.jobs[position];
         // A gang must fit into the number of bindings that the cycle may still make. Only a gang
-        // that is bound first may exceed it, since a gang can have more tasks than `max_bindings`.
+        // that is bound first may exceed this number, since a gang can have more tasks than
+        // `max_bindings`.
         let exceeds_cycle = !self.bindings.is_empty()
             && self.bindings.len() + job.pending as usize > self.cycle.max_bindings;
         if job.pending == 0
--- a/crates/gladekeel-sched/src/cycle/gang.rs
+++ b/crates/gladekeel-sched/src/cycle/gang.rs
@@ -45,7 +45,8 @@
 pub(super) struct GangPlacement {
     /// The position of each machine, and how many of the gang's tasks it takes.
     pub tasks_by_machine: Vec<(usize, u32)>,
-    /// State of the image on the machine where it is ready last: the gang cannot start sooner.
+    /// State of the gang's image on the machine where the image is ready last: the gang cannot
+    /// start sooner.
     slowest_image: ImageState,
 }
 
--- a/crates/gladekeel-sched/src/cycle/state.rs
+++ b/crates/gladekeel-sched/src/cycle/state.rs
@@ -1,16 +1,17 @@
-//! The state of a scheduling cycle, and the queries that binding and preemption make on it.
+//! The state of a scheduling cycle, with the functions by which binding and preemption query it.
 
 use crate::fair_share::{Demand, FairShare};
 use crate::snapshot::{SchedulableJob, SchedulableMachine, TeamQuota};
 use crate::{DenseIndex, Resources};
 
-/// Upper bound on the share of the cluster that one task requests. It keeps the share finite if a
-/// task requests a resource of which the cluster has none.
+/// Upper bound on the share of the cluster that one task requests. The bound keeps the share finite
+/// if a task requests a resource of which the cluster has none.
 const MAX_TASK_SHARE: f64 = 1e6;
-/// Lower bound for the task share by which an allocation is divided: the share of a task that
-/// requests nothing is 0.
+/// Lower bound on a task's share of the cluster when an allocation is divided by the share, since a
+/// task that requests nothing has a share of 0.
 const MIN_TASK_SHARE: f64 = 1e-12;
-/// Added before rounding down, so that a floating-point error does not cost a whole task.
+/// Added to a number of tasks before rounding down, so that a floating-point error does not cost a
+/// whole task.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 /// Upper bound on an allocation, in tasks, before its conversion to an integer; the number of the
 /// job's remaining tasks then limits the allocation further.
@@ -19,11 +20,11 @@
 /// The snapshot that a scheduling cycle works on. Binding and preemption update this snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct SchedulingCycle {
-    /// The machines; those without free resources may be left out.
+    /// The machines; machines without free resources may be left out.
     pub machines: Vec<SchedulableMachine>,
     /// Total capacity of all machines, including those left out of `machines`.
     pub total_capacity: Resources,
-    /// The teams, by [`TeamIdx`](crate::TeamIdx).
+    /// The teams, each at the position that its [`TeamIdx`](crate::TeamIdx) denotes.
     pub teams: Vec<TeamQuota>,
     /// The jobs, oldest first.
     pub jobs: Vec<SchedulableJob>,
@@ -93,7 +94,7 @@
     }
 
     /// Reserves free resources for as many of a gang's pending tasks as fit and counts those tasks
-    /// as placed, so that preemption has to free resources only for the remaining ones.
+    /// as placed, so that preemption has to free resources only for the gang's remaining tasks.
     pub(crate) fn reserve_free_resources(&mut self, position: usize) {
         let job = &mut self.jobs[position];
         let team = &mut self.teams[job.team.position()];
@@ -113,7 +114,8 @@
     }
 }
 
-/// Returns the number of whole tasks that a share covers, at most the job's remaining ones.
+/// Returns the number of whole tasks that `share` covers, at most the number of the job's remaining
+/// tasks.
 fn whole_tasks(share: f64, demand: Demand) -> u32 {
     let tasks = (share / demand.task_share.max(MIN_TASK_SHARE) + ROUNDING_TOLERANCE).floor();
     (tasks.min(MAX_TASKS) as u32).min(demand.remaining)
--- a/crates/gladekeel-sched/src/fair_share.rs
+++ b/crates/gladekeel-sched/src/fair_share.rs
@@ -50,7 +50,8 @@
     /// `capacity`.
     ///
     /// Jobs are ordered by their virtual size in tasks, and each gets the share of the cluster that
-    /// these tasks request. If all tasks request the same share, this is the rule of the paper.
+    /// these tasks request. If all tasks request the same share, the division follows the rule of
+    /// the paper.
     pub fn allocate(&self, demands: &[Demand], capacity: f64) -> Vec<f64> {
         let requested: Vec<f64> = demands
             .iter()
--- a/crates/gladekeel-sched/src/preemption.rs
+++ b/crates/gladekeel-sched/src/preemption.rs
@@ -6,8 +6,8 @@
 //!
 //! A task may be preempted if it has a lower priority than the preempting job, or if its team has
 //! borrowed beyond its guarantee while the preempting job's team stays within its own guarantee.
-//! Machines where the least work is lost come first. For a gang, capacity is freed for all of its
-//! pending tasks or not at all.
+//! Tasks are stopped first on the machines where the least work is lost. For a gang, capacity is
+//! freed for all of its pending tasks or not at all.
 
 use crate::{
     DenseIndex, Resources, TeamIdx, ZoneIdx,
@@ -41,7 +41,7 @@
 /// The kind of tasks that a job may preempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PreemptionScope {
-    /// Only tasks that save their progress.
+    /// Only tasks that save their progress in checkpoints.
     CheckpointingTasks,
     /// All tasks.
     AllTasks,
@@ -107,7 +107,7 @@
     }
 
     /// Chooses candidates to stop for the pending tasks of the job at `position`, and returns their
-    /// identifiers. The choice ends once at least `max_preemptions` candidates have been chosen.
+    /// identifiers. No more candidates are chosen once there are at least `max_preemptions`.
     ///
     /// Updates `cycle` as if the chosen candidates were stopped and the pending tasks that then fit
     /// were placed.
@@ -126,7 +126,7 @@
             && let Some((queued_loss, machine)) = queue.pop()
         {
             // Earlier evictions have changed what the teams use, and therefore which candidates may
-            // be preempted: the queued value may be outdated.
+            // be preempted: the lost work in the queue may be outdated.
             let Some(eviction) = self.eviction_on(cycle, &job, machine, scope) else { continue };
             if eviction.lost_work.to_bits() > queued_loss {
                 queue.push(&eviction, machine);
@@ -258,8 +258,8 @@
         && job.is_feasible_on(machine)
 }
 
-/// Returns the zone constraints to try for a gang, in order; `None` in the list allows all zones at
-/// once.
+/// Returns the zones to try one after another for a gang; `None` in the list stands for all zones
+/// together.
 fn allowed_zones(cycle: &SchedulingCycle, gang: &SchedulableJob) -> Vec<Option<ZoneIdx>> {
     if !gang.single_zone {
         return vec![gang.zone];
--- a/crates/gladekeel-sched/src/resources.rs
+++ b/crates/gladekeel-sched/src/resources.rs
@@ -50,8 +50,9 @@
             .min(i64::from(max)) as u32
     }
 
-    /// Returns the dominant share of these resources: the largest fraction of a capacity's CPUs,
-    /// GPUs or memory that they take. Infinite if they include a resource that the capacity lacks.
+    /// Returns the dominant share of these resources: the largest of the fractions that they take
+    /// of the CPUs, GPUs and memory of `capacity`. Infinite if `capacity` lacks a requested
+    /// resource.
     pub fn dominant_share_of(self, capacity: Resources) -> f64 {
         let share = |request: i64, capacity: i64| match (request, capacity) {
             (0, _) => 0.0,
--- a/crates/gladekeel-sched/src/snapshot.rs
+++ b/crates/gladekeel-sched/src/snapshot.rs
@@ -24,7 +24,8 @@
     pub cached_or_fetching: Vec<ImageIdx>,
     /// Images that the machine is known to have.
     pub cached_images: Vec<ImageIdx>,
-    /// Whether the machine is fetching an image now: another fetch would share the bandwidth.
+    /// Whether the machine is fetching an image now, so that another fetch would share the
+    /// bandwidth.
     pub fetching: bool,
     /// Whether the machine may take new tasks now.
     pub schedulable: bool,
@@ -106,9 +107,11 @@
     pub task_request: Resources,
     /// Number of tasks that have not completed.
     pub remaining: u32,
-    /// How many of the `remaining` tasks the cycle may place; the others count as assigned.
+    /// How many of the `remaining` tasks the cycle may place; the cycle takes the rest of the
+    /// remaining tasks as assigned.
     pub pending: u32,
-    /// How many of the `pending` tasks are speculative restarts, which were stopped as stragglers.
+    /// How many of the `pending` tasks are speculative restarts: tasks that were stopped as
+    /// stragglers.
     pub speculative_restarts: u32,
     /// Container image of the job.
     pub image: ImageIdx,
@@ -122,13 +125,14 @@
     pub max_tasks_per_zone: u32,
     /// Whether spot machines are allowed.
     pub allows_spot: bool,
-    /// Number of the job's tasks on machines in each zone, by zone index; zones beyond the end have
-    /// none.
+    /// Number of the job's tasks on machines in each zone, by zone index; zones beyond the end of
+    /// the list have no tasks.
     pub tasks_by_zone: Vec<u32>,
     /// Whether the job is a gang, whose tasks start all together or not at all.
     pub gang: bool,
-    /// Whether a gang's pending tasks may be placed without the others, because the gang has not
-    /// started and only replaces tasks that it lost. Ignored unless `gang` is true.
+    /// Whether a gang's pending tasks may be placed while its other tasks stay on their machines,
+    /// because the gang has not started and only replaces tasks that it lost. Ignored unless `gang`
+    /// is true.
     pub replaces_gang_members: bool,
     /// Seconds for which the job has waited beyond the allowed time without a task on any machine;
     /// 0 if it is not overdue. Jobs with the longest wait go first.
--- a/crates/gladekeel-sched/src/straggler.rs
+++ b/crates/gladekeel-sched/src/straggler.rs
@@ -28,8 +28,9 @@
 /// Returns the positions in `tasks` of the tasks to restart, in ascending order.
 ///
 /// A task is slow if it has run for more than `multiple` times the median run time of its job. A
-/// machine's tasks are restarted only if there are several and all of them are slow: a slow task
-/// among normal ones simply has more to do and would take as long on another machine.
+/// machine's tasks are restarted only if the machine has several tasks and all of them are slow: a
+/// slow task beside tasks of normal speed simply has more to do and would take as long on another
+/// machine.
 pub fn find_stragglers(tasks: &[RunningTask], multiple: f64) -> Vec<usize> {
     let mut order: Vec<usize> = (0..tasks.len()).collect();
     order.sort_by_key(|task| tasks[*task].machine);
--- a/crates/gladekeel-sched/tests/autoscaling.rs
+++ b/crates/gladekeel-sched/tests/autoscaling.rs
@@ -7,7 +7,7 @@
 const CONFIG: AutoscalerConfig =
     AutoscalerConfig { smoothing_s: 60.0, spot_retention: 1.0, target_utilization: 1.0 };
 
-/// The input for a type whose machines boot in 50 s, without arrivals.
+/// The input of the autoscaler for a machine type that boots in 50 s, without arriving work.
 fn input<'a>(demands: &'a [JobDemand], supply: &'a Supply) -> ScalingInput<'a> {
     ScalingInput { demands, supply, arrivals: &[], boot_s: 50.0 }
 }
--- a/crates/gladekeel-sched/tests/fair_share.rs
+++ b/crates/gladekeel-sched/tests/fair_share.rs
@@ -29,8 +29,9 @@
 }
 
 proptest! {
-    /// Guards against allocations that exceed the capacity in total, fall below a job's floor, give
-    /// a job less than its virtual size although capacity suffices, or more when it is scarce.
+    /// Guards against allocations that exceed the capacity in total or fall below a job's floor,
+    /// and against a job that gets less than its virtual size when capacity suffices, or more than
+    /// its virtual size when capacity is scarce.
     #[test]
     fn allocations_stay_within_the_capacity_and_above_the_floors(
         jobs in prop::collection::vec((0u32..200, 0.001f64..0.5), 1..30),
--- a/crates/gladekeel-sched/tests/gangs.rs
+++ b/crates/gladekeel-sched/tests/gangs.rs
@@ -49,7 +49,8 @@
 }
 
 /// Guards against two faults after a gang has lost a task: binding the task while an earlier
-/// attempt of the gang may still be running, and replacing the task outside the zone of the others.
+/// attempt of the gang may still be running, and replacing the task outside the zone of the gang's
+/// other tasks.
 #[test]
 fn a_lost_gang_member_is_replaced_in_the_zone_of_the_other_members() {
     let mut gang = job(0, 16.0, 3);
@@ -132,8 +133,9 @@
     assert!(preempt(5).is_empty(), "no zone holds the gang: nothing is preempted");
 }
 
-/// Guards against a gang that never starts: there would be enough time to run its tasks one after
-/// another on the existing machines, but the tasks must all run at once.
+/// Guards against a gang that never starts because the autoscaler considers only that there is
+/// enough time to run the gang's tasks one after another on the existing machines: the tasks must
+/// all run at once.
 #[test]
 fn a_pending_gang_requires_machines_in_addition_to_those_of_running_tasks() {
     let demand = |gang| JobDemand { pending: 6.2, run_s: 15.0, gang, ..JobDemand::default() };
--- a/crates/gladekeel-sched/tests/preemption.rs
+++ b/crates/gladekeel-sched/tests/preemption.rs
@@ -13,7 +13,7 @@
 
 /// Guards against preemption for a job that does not take precedence: tasks of the same priority
 /// may be stopped only if their team has borrowed beyond its guarantee and the job's team stays
-/// within its own.
+/// within its own guarantee.
 #[test]
 fn only_tasks_of_lower_priority_or_on_borrowed_resources_are_preempted() {
     let mut machines = vec![machine(0, false); 2];
@@ -38,8 +38,8 @@
         let mut cycle = cycle(machines.clone(), teams.clone(), vec![job]);
         PreemptionCandidates::new(2, candidates).preempt_for(&mut cycle, 0, 8, scope)
     };
-    // Same priority: only tasks of team 1, which has borrowed, and of these the one that loses the
-    // least work.
+    // At the same priority, only tasks of team 1 may be stopped, because team 1 has borrowed; of
+    // these tasks, the one that loses the least work is stopped.
     assert_eq!(preempt(job(0, 16.0, 1), AllTasks), [2]);
     assert_eq!(preempt(job(0, 16.0, 1), CheckpointingTasks), [1], "only tasks with checkpoints");
     assert_eq!(
--- a/crates/gladekeel-sched/tests/straggler.rs
+++ b/crates/gladekeel-sched/tests/straggler.rs
@@ -9,7 +9,7 @@
 /// the machine with tasks that run at a normal pace, may just have more to do than other tasks of
 /// its job.
 #[test]
-fn only_tasks_on_machines_whose_tasks_are_all_slow_are_stragglers() {
+fn a_slow_task_is_no_straggler_if_it_is_alone_on_its_machine_or_beside_a_fast_task() {
     let task = |machine, run_time_s, may_restart| RunningTask {
         machine: MachineIdx::new(machine),
         run_time_s,
