--- a/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/arrivals.rs
@@ -18,7 +18,7 @@
     pub class: String,
 }
 
-/// Work of a class that has arrived. Older work counts less, by exponential decay.
+/// Work of a class that has arrived. The weight of work decays exponentially after its arrival.
 #[derive(Debug, Clone, Copy, Default)]
 struct ArrivedWork {
     machine_seconds: f64,
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/inventory.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/inventory.rs
@@ -21,8 +21,8 @@
         self.count_missing_machines(now, &listed);
     }
 
-    /// Applies the row of one machine in the cloud's list. Adopts the machine if the leader does
-    /// not know it, which happens after a takeover.
+    /// Applies the row of one machine in the cloud's list. Adds the machine to the cluster state if
+    /// the leader does not know the machine yet, which happens after a takeover.
     fn apply_listed_machine(&mut self, now: f64, row: ListedMachine) -> MachineIdx {
         let machine_idx = self.cluster.machine_names.intern(&row.name);
         let machine = self.cluster.machines.entry(machine_idx).or_insert_with(|| {
@@ -46,7 +46,8 @@
         machine_idx
     }
 
-    /// Marks for deletion all machines that are silent and missing from several consecutive lists.
+    /// Marks for deletion the machines that are missing from several consecutive lists and whose
+    /// workers have not been seen for longer than the heartbeat timeout.
     fn count_missing_machines(&mut self, now: f64, listed: &BTreeSet<MachineIdx>) {
         let timeout_s = self.deployment.workers.heartbeat_timeout_s();
         let mut to_delete = Vec::new();
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/mod.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/mod.rs
@@ -58,7 +58,7 @@
 
     /// Returns the names of the machines for the next delete request, and marks their deletion as
     /// requested. Machines with tasks come first, since those machines are lost or about to lose
-    /// their lease. The machines have received no new tasks since their deletion was planned.
+    /// their lease. A machine receives no new tasks once its deletion is planned.
     fn take_machines_to_delete(&mut self) -> Vec<String> {
         let key = |machine_idx: &MachineIdx| {
             let machine = self.cluster.machines.get(machine_idx)?;
@@ -85,8 +85,8 @@
         }
         let NewRent { pool, count, number } = self.cluster.cloud.take_scale_out(now)?;
         let rent = CreateMachinesRequest {
-            // Unique by the fencing token, the request's number and the node's random number. Only
-            // a retry of the same request has the same id.
+            // The fencing token, the request's number and the node's random number make the id
+            // unique. Only a retry of the same request has the same id.
             request_id: format!("gk-{}-{}-{:08x}", self.token, number, self.request_id_salt as u32),
             machine_type: self.catalog.machine_type_names.name(pool.machine_type).clone(),
             zone: self.catalog.zones.name(pool.zone).clone(),
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/outcomes.rs
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Updates the catalog with the cloud's machine types, and queues changed types for the store.
+    /// Updates the catalog with the cloud's machine types, and queues changed types to be written
+    /// to the store.
     fn apply_machine_types(&mut self, now: f64, types: MachineTypes) {
         self.cluster.cloud.record_machine_types_read(now);
         let has_none = self.catalog.machine_type_names.is_empty();
--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/queue.rs
@@ -163,8 +163,9 @@
         Some(rent.request.clone())
     }
 
-    /// Takes the next scale-out from the queue and returns the content of its rent request, if one
-    /// more request may be pending. Machines beyond the maximum of one request stay in the queue.
+    /// Takes the next scale-out from the queue and returns the content of its rent request; `None`
+    /// if no queued scale-out can be requested now or [`MAX_PENDING_RENTS`] requests are pending.
+    /// Machines beyond the maximum of one request stay in the queue.
     pub(super) fn take_scale_out(&mut self, now: f64) -> Option<NewRent> {
         while self.pending_rents.len() < MAX_PENDING_RENTS {
             let ScaleOut { pool, count } = self.scale_outs.pop()?;
@@ -265,7 +266,7 @@
     }
 
     /// Whether a page of the list should be read now. The cloud's list may lag behind by
-    /// `list_lag_s` seconds, so the interval between two reads of the list is no shorter.
+    /// `list_lag_s` seconds, so the interval between two reads of the list is at least that long.
     pub(super) fn list_due(&self, now: f64, list_lag_s: f64) -> bool {
         let further_pages = f64::from(self.listing.pages.max(1) - 1);
         let interval_s =
--- a/crates/gladekeel-controller/src/leader/autoscaling/demand.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/demand.rs
@@ -37,7 +37,7 @@
 
 impl Leader {
     /// Returns the demands of unfinished jobs by machine type. Tasks that would exceed their team's
-    /// limit do not count; older jobs use the limit first.
+    /// limit are left out; older jobs use the limit first.
     pub(super) fn demands_by_machine_type(
         &self,
         now: f64,
--- a/crates/gladekeel-controller/src/leader/autoscaling/mod.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! The leader calls [`Leader::autoscale`] at each maintenance interval. For each machine type it
 //! compares the [demand] of jobs with the [supply] of machines, makes a [plan], and then scales
-//! [out](scale_out) or [in](scale_in). Both only record which machines to rent or delete;
-//! [`cloud_requests`] issues the requests as the cloud's limits allow.
+//! [out](scale_out) or [in](scale_in). Scaling out and in only records which machines to rent or
+//! delete; [`cloud_requests`] issues the requests as the cloud's limits allow.
 
 mod arrivals;
 pub(in crate::leader) mod cloud_requests;
--- a/crates/gladekeel-controller/src/leader/autoscaling/scale_out.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/scale_out.rs
@@ -10,8 +10,8 @@
 
 impl Leader {
     /// Requests the machines that a plan adds: spot machines for the jobs that may use them, and
-    /// on-demand machines for the others. If spot pools provide fewer machines than requested, the
-    /// next run requests the rest on demand.
+    /// on-demand machines for the other jobs. If spot pools provide fewer machines than requested,
+    /// the next run requests the rest on demand.
     pub(super) fn scale_out(
         &mut self,
         now: f64,
@@ -74,8 +74,8 @@
         counts
     }
 
-    /// Divides machines evenly between pools; the first pools get the remainder. The requests are
-    /// recorded in the order of zones.
+    /// Divides `count` machines evenly between pools; if a remainder is left, each of the first
+    /// pools gets one machine more. The requests are queued in the order of zones.
     fn scale_out_evenly(&mut self, pools: &[MachinePool], count: usize) {
         let mut shares: Vec<(MachinePool, usize)> = Vec::new();
         for (position, pool) in pools.iter().copied().enumerate() {
--- a/crates/gladekeel-controller/src/leader/autoscaling/supply.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/supply.rs
@@ -22,7 +22,7 @@
 }
 
 impl MachineTypeSupply {
-    /// Returns the supplies that a machine with this purchase model counts in.
+    /// Returns the supplies that include a machine with this purchase model.
     fn including(&mut self, purchase_model: PurchaseModel) -> impl Iterator<Item = &mut Supply> {
         let on_demand = (!purchase_model.is_spot()).then_some(&mut self.on_demand);
         [Some(&mut self.any), on_demand].into_iter().flatten()
@@ -30,8 +30,9 @@
 }
 
 impl Leader {
-    /// Returns the supply of a machine type whose machines boot in `boot_s` seconds and count as
-    /// lost after a silence of `unreachable_after_s` seconds.
+    /// Returns the supply of a machine type whose machines boot in `boot_s` seconds. A machine that
+    /// was up before this leader began to lead counts as lost once its worker has not been seen for
+    /// `unreachable_after_s` seconds.
     pub(super) fn supply(
         &self,
         now: f64,
@@ -66,8 +67,8 @@
     }
 
     /// Whether a machine is up as far as the leader knows. A machine that was up before this leader
-    /// began to lead also counts as long as its silence does not indicate its loss, because the
-    /// silence is short or the whole zone is unreachable.
+    /// began to lead also counts unless its worker has not been seen for `unreachable_after_s`
+    /// seconds although the machine's zone is reachable.
     fn counts_as_up(&self, machine: &Machine, now: f64, unreachable_after_s: f64) -> bool {
         let is_unreachable = |zone| self.failure_detector.is_zone_unreachable(zone, now);
         let zone_unreachable = || machine.zone.is_some_and(is_unreachable);
--- a/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/warm_pool.rs
@@ -31,7 +31,8 @@
 /// The gangs of a class that arrived recently.
 #[derive(Debug)]
 struct GangArrivals {
-    /// Work of the gangs in machine-seconds, decayed up to `last_at`.
+    /// Work of the gangs in machine-seconds; the weight of each gang's work has decayed until
+    /// `last_at`.
     machine_seconds: f64,
     /// Number of machines that the largest of the gangs needs.
     largest_gang_machines: f64,
@@ -66,20 +67,20 @@
     /// Returns how many machines the gangs of the class keep busy on average.
     fn busy_machines(&self, now: f64) -> f64 {
         // The decayed work covers only the time since the first gang, so it is divided by the
-        // weight of that time. The minimum `observed_s` keeps a single gang from causing a high
-        // average.
+        // decayed length of that time. The minimum of `observed_s` prevents a high average after a
+        // single gang.
         let observed_s = (now - self.first_at).max(GANG_DECAY_S / 6.0);
         let weighted_s = GANG_DECAY_S * (1.0 - decay_weight(observed_s));
         self.machine_seconds * decay_weight(now - self.last_at) / weighted_s
     }
 }
 
-/// Returns the weight of an arrival of this age.
+/// Returns the weight of a gang that arrived `age_s` seconds ago; the weight decays exponentially.
 fn decay_weight(age_s: f64) -> f64 {
     (-age_s.max(0.0) / GANG_DECAY_S).exp()
 }
 
-/// The demand that recent gangs make on the pool of a machine type.
+/// The demand of recent gangs for machines of one type in the warm pool.
 #[derive(Debug, Clone, Copy, Default)]
 struct PoolDemand {
     /// Number of machines that the gangs keep busy on average.
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Returns the on-demand machines of the types that are in demand, by type and zone.
+    /// Returns the usable on-demand machines of the types in `demands`, by type and zone.
     fn warm_pool_candidates(
         &self,
         demands: &BTreeMap<MachineTypeIdx, PoolDemand>,
