--- a/crates/gladekeel-controller/src/leader/scheduling/binding.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/binding.rs
@@ -1,4 +1,5 @@
-//! Binds a task to a machine: proposes the assignment, which counts as resource use immediately.
+//! Binds a task to a machine: proposes the assignment and immediately counts the task's resources
+//! as used.
 //!
 //! Upholds "Write ahead" of `docs/safety.md`: the start is sent only after the assignment log
 //! writer has committed the proposal.
@@ -19,8 +20,8 @@
 
 impl Leader {
     /// Proposes the assignment of a job's next pending task. From now on, the task's resources
-    /// count against the team's quota and the machine's capacity, and the task counts in the job's
-    /// [`zone_placement`](crate::leader::Job::zone_placement).
+    /// count against the team's quota and the machine's capacity, and the job's
+    /// [`zone_placement`](crate::leader::Job::zone_placement) includes the attempt.
     pub(super) fn bind(&mut self, binding: TaskBinding, now: f64) {
         let (Some(job), Some(machine)) =
             (self.jobs.get_mut(&binding.job), self.cluster.machines.get_mut(&binding.machine))
--- a/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/cycle_input.rs
@@ -41,8 +41,8 @@
 pub(in crate::leader) enum MachineScope {
     /// Machines that can take a task now.
     Free,
-    /// All machines, also those that are full or must not get tasks at present: their resources
-    /// may be kept for an overdue gang, or freed by preemption.
+    /// All machines, including those that are full or must not get tasks at present: preemption may
+    /// free their resources, or the resources may be kept for an overdue gang.
     All,
 }
 
@@ -64,14 +64,14 @@
         input
     }
 
-    /// Adds the machines in `scope` to the input. Every machine whose worker this process has
-    /// seen, that is not leaving and whose type and zone are known counts in the total capacity,
-    /// whatever the scope.
+    /// Adds the machines in `scope` to the input. Whatever the scope, the total capacity includes
+    /// every machine that is not leaving, whose type and zone are known and whose worker this
+    /// process has seen.
     fn add_machines(&self, input: &mut CycleInput, now: f64, scope: MachineScope) {
         let unreachable_zones: BTreeSet<ZoneIdx> =
             self.failure_detector.unreachable_zones(now).collect();
-        // The warm pool is open to all jobs once an array or service is starved, so that such a job
-        // does not wait for too long.
+        // The warm pool is open to all jobs once an array or service has waited for longer than
+        // [`STARVED_AFTER_S`], so that such a job does not wait for too long.
         let warm_pool_reserved = !self.is_any_array_or_service_starved(now);
         for (machine_idx, machine) in &self.cluster.machines {
             let (Some(machine_type), Some(zone)) = (machine.machine_type, machine.zone) else {
@@ -115,7 +115,8 @@
             && machine.is_reachable()
     }
 
-    /// Whether one of a machine's tasks is waiting for its image, as far as the leader knows.
+    /// Whether any task on a machine is waiting for its image to be fetched, as far as the leader
+    /// knows.
     fn is_fetching(&self, machine_idx: MachineIdx, machine: &Machine) -> bool {
         self.attempts
             .images_not_yet_running(machine_idx)
@@ -154,7 +155,8 @@
             tasks_by_zone: job.zone_placement.by_zone().to_vec(),
             gang: job.is_gang(),
             replaces_gang_members: has_attempts && self.is_gang_unstarted(job_idx),
-            // Not needed for a gang: the cycle prefers machines that have its image anyway.
+            // Not set for a gang, since the cycle prefers machines that have the gang's image
+            // anyway.
             requires_cached_image: !job.is_gang()
                 && job.requires_cached_image(&self.deployment, self.image_fetch_s(job), now),
             overdue_s: overdue_s(job, has_attempts, now),
--- a/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/gangs.rs
@@ -11,8 +11,8 @@
 const REPLACEMENT_TIMEOUT_S: f64 = 5.0;
 
 impl Leader {
-    /// Whether no task of a gang has started or is being stopped. If so, a lost task can be
-    /// replaced under the same attempt number while the other tasks wait. An attempt that an
+    /// Whether no task of a gang has started and none is being stopped. In this state, a lost task
+    /// can be replaced under the same attempt number while the other tasks wait. An attempt that an
     /// earlier leader assigned counts as started, since this leader does not know whether it has
     /// run.
     pub(in crate::leader) fn is_gang_unstarted(&self, job_idx: JobIdx) -> bool {
@@ -20,8 +20,8 @@
     }
 
     /// Restarts each gang that has tasks on machines while its missing tasks were not bound within
-    /// [`REPLACEMENT_TIMEOUT_S`]. Otherwise the tasks on machines would occupy them until the
-    /// workers time out.
+    /// [`REPLACEMENT_TIMEOUT_S`]. Without the restart, the gang's waiting tasks would occupy their
+    /// machines until the workers time out.
     pub(in crate::leader) fn restart_incomplete_gangs(&mut self, now: f64) {
         let is_incomplete = |job_idx: JobIdx, job: &Job| {
             job.is_gang()
@@ -46,8 +46,9 @@
         if !self.jobs.contains_key(&job_idx) {
             return;
         }
-        // This is called for each task that ends, so it must be cheap: only the first call finds
-        // tasks to stop, and the machines are looked up once, when the next request is built.
+        // `stop_gang` is called for each task that ends, so it must be cheap: only the first call
+        // finds tasks to stop, and the gang's machines are looked up once, when the next request is
+        // built.
         self.commands.request_gang_commands(job_idx);
         if self.attempts.of_job(job_idx).all_stopping() {
             return;
--- a/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/preemption.rs
@@ -95,7 +95,7 @@
                 continue;
             }
             // Tasks that checkpoint lose little work, so they are preempted after a short wait;
-            // other tasks are preempted only after a longer one.
+            // other tasks are preempted only after a longer wait.
             let waited_s = self.schedulable_wait_s(job_idx, now).unwrap_or(0.0);
             let scope = if waited_s < settings.preempt_after_s {
                 PreemptionScope::CheckpointingTasks
--- a/crates/gladekeel-controller/src/leader/scheduling/victims.rs
+++ b/crates/gladekeel-controller/src/leader/scheduling/victims.rs
@@ -20,8 +20,8 @@
 /// victims of a gang copies the whole input.
 const MAX_GANG_SEARCHES: usize = 4;
 
-/// Gangs that may be preempted: one candidate for each gang and each machine that has tasks of the
-/// gang, by the gang's job index and the machine's position in the [`CycleInput`].
+/// The gangs that may be preempted. Each candidate stands for all tasks of one gang on one machine;
+/// the key is the gang's job index and the machine's position in the [`CycleInput`].
 pub(super) type GangCandidates = BTreeMap<(JobIdx, usize), PreemptionCandidate>;
 
 /// The candidates for preemption.
@@ -34,8 +34,8 @@
 }
 
 impl Preemptible {
-    /// Adds a task of a gang. The work that is lost counts for the whole gang, since preempting one
-    /// of its tasks stops all of them.
+    /// Adds a task of a gang. The lost work is that of the whole gang, since preempting one task of
+    /// a gang stops all of its tasks.
     fn add_gang_task(&mut self, job_idx: JobIdx, job: &Job, task: PreemptionCandidate) {
         let lost_work = task.lost_work * f64::from(job.spec.tasks);
         self.gangs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Searches for tasks to preempt, for each waiting job in turn. In `input`, the victims found so
-/// far count as stopped, and their resources as used by the jobs for which the victims were found.
+/// Searches for tasks to preempt, for each waiting job in turn. `input` is updated as if the victims
+/// found so far were stopped and the tasks for which they were found were placed.
 pub(super) struct VictimSearch<'a> {
     pub input: &'a mut CycleInput,
     candidates: PreemptionCandidates,
