--- a/crates/gladekeel-controller/src/leader/attempt.rs
+++ b/crates/gladekeel-controller/src/leader/attempt.rs
@@ -8,7 +8,7 @@
 /// The progress of an attempt's assignment. The attempt holds its resources in every phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AssignmentPhase {
-    /// The assignment is decided but not committed: no start may be sent.
+    /// The assignment is decided but not committed: the start must not be sent to the worker yet.
     Proposed,
     /// The assignment is committed in the assignment log: the task may be on its machine.
     Committed,
@@ -54,12 +54,13 @@
     pub reported_state: Option<TaskState>,
     /// When this leader first saw the task running, in seconds on the node's clock.
     pub running_since: Option<f64>,
-    /// Why the attempt must stop; `None` if it need not.
+    /// Why the attempt must stop; `None` if the attempt need not stop.
     pub stop_reason: Option<StopReason>,
-    /// Number of stops sent for the stop reason; reset to 0 when a stop may have been lost.
+    /// Number of stops sent to the worker for `stop_reason`; reset to 0 when a stop may have been
+    /// lost.
     pub stops_sent: u32,
-    /// Whether no further direct start, which is sent outside heartbeat responses, may be sent,
-    /// because one was sent already or because an earlier leader made the attempt.
+    /// Whether the start may be sent only in heartbeat responses from now on, because it was
+    /// already sent outside of them once or because an earlier leader made the attempt.
     pub no_direct_start: bool,
     /// The resources that the task requests.
     pub resources: Resources,
@@ -72,8 +73,8 @@
 }
 
 impl Attempt {
-    /// Whether the attempt counts as being on its machine in this incarnation of the worker: it is
-    /// committed and was made for this incarnation.
+    /// Whether the task may be on its machine under this incarnation of the worker: the assignment
+    /// is committed and was made for this incarnation.
     pub fn is_committed_in(&self, incarnation: u64) -> bool {
         self.phase == AssignmentPhase::Committed && self.incarnation == incarnation
     }
--- a/crates/gladekeel-controller/src/leader/attempt_id.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_id.rs
@@ -16,9 +16,9 @@
     }
 
     /// Returns the id of the attempt of a gang's task, from the number by which workers know the
-    /// attempt. A worker may report any number and index: a pair that was never assigned results
-    /// in an id that no attempt has, or in the id of another task's attempt, so callers must
-    /// compare the job and the index.
+    /// attempt. A worker may report any number and index: a pair that was never assigned results in
+    /// an id that no attempt has, or in the id of another task's attempt, so callers must check the
+    /// job and the index of the attempt that has this id.
     pub fn of_gang_task(number: u64, task_index: u32) -> AttemptId {
         AttemptId(number.saturating_add(u64::from(task_index)))
     }
--- a/crates/gladekeel-controller/src/leader/attempt_numbers.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_numbers.rs
@@ -26,8 +26,8 @@
         first
     }
 
-    /// Whether the numbers may soon run out, so that a new fencing token is needed. Enough numbers
-    /// for two jobs of the maximum size are kept in reserve.
+    /// Whether the numbers may soon run out, so that the leader needs a new fencing token: fewer
+    /// numbers are left than two jobs of the maximum size need.
     pub fn are_nearly_exhausted(&self) -> bool {
         self.next + 2 * u64::from(MAX_TASKS) > self.end
     }
--- a/crates/gladekeel-controller/src/leader/attempt_table.rs
+++ b/crates/gladekeel-controller/src/leader/attempt_table.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// All attempts that count as being on a machine.
+/// All attempts, each from the proposal of its assignment until the commit of its release.
 #[derive(Debug, Default)]
 pub(super) struct AttemptTable {
     all: BTreeMap<AttemptId, Attempt>,
@@ -126,7 +126,8 @@
         self.of_job(job).ids.iter().copied().collect()
     }
 
-    /// The images, each once, of a machine's attempts that were not seen running or exited yet.
+    /// Returns the images of a machine's attempts that were not seen running or exited yet; each
+    /// image is returned once.
     pub fn images_not_yet_running(&self, machine: MachineIdx) -> impl Iterator<Item = ImageIdx> {
         self.not_yet_running.get(&machine).into_iter().flat_map(|images| images.keys().copied())
     }
@@ -174,7 +175,8 @@
         self.lookups.take()
     }
 
-    /// Adds an attempt to the index of its job and to all counts, or removes it from them.
+    /// Adds an attempt to the index of its job and to all counts, or removes the attempt from the
+    /// index and the counts.
     fn update_index(&mut self, id: AttemptId, attempt: &Attempt, change: Change) {
         let of_job = self.by_job.entry(attempt.job).or_default();
         let on_machine = of_job.machines.entry(attempt.machine).or_default();
@@ -196,7 +198,8 @@
         }
     }
 
-    /// Adds an attempt in these categories to the counts of its job, or removes it from them.
+    /// Adds an attempt in these categories to the counts of its job, or subtracts the attempt from
+    /// those counts.
     fn count_in_job(&mut self, job: JobIdx, categories: Categories, change: Change) {
         let of_job = self.by_job.entry(job).or_default();
         change.apply_if(categories.uncommitted, &mut of_job.uncommitted);
--- a/crates/gladekeel-controller/src/leader/counters.rs
+++ b/crates/gladekeel-controller/src/leader/counters.rs
@@ -20,9 +20,9 @@
     pub machines_deleted: u64,
     /// Scheduling cycles that were due, including cycles without pending tasks.
     pub scheduling_cycles: u64,
-    /// Machines and pools examined by scheduling cycles; each counts every time it is examined.
+    /// Number of times that a scheduling cycle has examined a machine or a pool.
     pub machines_examined: u64,
-    /// Attempts looked up; an attempt counts each time it is looked up.
+    /// Number of times that an attempt was looked up.
     pub attempt_lookups: u64,
     /// Transactions committed to the store.
     pub commits: u64,
--- a/crates/gladekeel-controller/src/leader/job/mod.rs
+++ b/crates/gladekeel-controller/src/leader/job/mod.rs
@@ -41,7 +41,8 @@
     pub id: JobId,
     /// Specification that the user submitted.
     pub spec: Rc<JobSpec>,
-    /// Version of the job's key in the store: the precondition of commits that change the key.
+    /// Version of the job's key in the store. A commit that changes the key requires that the store
+    /// still has this version.
     pub version: u64,
     /// Team whose quota the job's tasks use.
     pub team: TeamIdx,
@@ -53,16 +54,16 @@
     pub machine_types: Option<Vec<MachineTypeIdx>>,
     /// The only zone that the tasks may use; `None` allows any.
     pub zone: Option<ZoneIdx>,
-    /// Final state of the job; `None` until the store has one.
+    /// Final state of the job; `None` until the store holds a final state.
     pub final_state: Option<JobState>,
     /// Whether this node or another controller has committed the job's cancellation and this
     /// leader's view of the store does not show the cancellation yet.
     pub cancellation_pending: bool,
-    /// For a cancelled job, the time on the node's clock from which the cancellation deadline
-    /// counts; negative infinity if no such time is known. The tasks must be off their machines by
-    /// that deadline. The exact time of the cancellation is not known: the value is a time at which
-    /// the job was not cancelled yet or, if this node committed the cancellation for a user, the
-    /// time of the store's response.
+    /// For a cancelled job, the time on the node's clock at which the period begins within which
+    /// the tasks must be off their machines; negative infinity if no such time is known. The exact
+    /// time of the cancellation is not known: the value is a time at which the job was not
+    /// cancelled yet or, if this node committed the cancellation for a user, the time of the
+    /// store's response.
     pub cancelled_no_earlier_than: f64,
     /// Tasks that have completed.
     pub done: TaskBitmap,
@@ -185,7 +186,7 @@
     }
 
     /// Returns the time that a task gets to save its progress when it is stopped, in seconds; 0 if
-    /// it writes no checkpoints or a stop for this reason leaves no time.
+    /// the task writes no checkpoints or if a stop for this reason leaves no time.
     pub fn grace_period_s(&self, reason: StopReason) -> f64 {
         if self.spec.checkpoint_interval_s <= 0.0 || self.is_stopped_at_once(reason) {
             return 0.0;
@@ -196,9 +197,9 @@
     /// Whether a task that is stopped for this reason gets no time to save its progress.
     fn is_stopped_at_once(&self, reason: StopReason) -> bool {
         match reason {
-            // The resources are needed at once, and the victim was chosen because it loses little
-            // progress since its last checkpoint. Gangs get time to save, since they are preempted
-            // only when nothing else helps.
+            // The resources are needed at once, and the preempted task was chosen because it loses
+            // little progress since its last checkpoint. A gang gets time to save its progress,
+            // since a gang is preempted only when nothing else helps.
             StopReason::Preempted => !self.is_gang(),
             StopReason::Cancelled | StopReason::GangRestart | StopReason::GangIncomplete => true,
             StopReason::Straggler | StopReason::Drained => false,
--- a/crates/gladekeel-controller/src/leader/job/task_queue.rs
+++ b/crates/gladekeel-controller/src/leader/job/task_queue.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Removes the next task from the queue and returns its index. If it was the last task, the job
-    /// is no longer waiting.
+    /// Removes the next task from the queue and returns its index. If the queue is then empty, the
+    /// job is no longer waiting.
     pub(in crate::leader) fn pop_next(&mut self) -> Option<u32> {
         self.speculative_restarts = self.speculative_restarts.saturating_sub(1);
         let task = self.tasks.pop_front()?;
--- a/crates/gladekeel-controller/src/leader/job/zone_placement.rs
+++ b/crates/gladekeel-controller/src/leader/job/zone_placement.rs
@@ -2,7 +2,7 @@
 
 use gladekeel_sched::{DenseIndex, ZoneIdx};
 
-/// The number of a job's attempts in each zone. An attempt counts from its proposal until its
+/// The number of a job's attempts in each zone. An attempt is included from its proposal until its
 /// release is committed, so that zone constraints cover every attempt that may still be running.
 #[derive(Debug, Default)]
 pub struct ZonePlacement {
@@ -28,7 +28,8 @@
         self.by_zone.iter().position(|tasks| *tasks > 0).map(ZoneIdx::from_position)
     }
 
-    /// Counts an attempt in a zone; `None` if the zone of the attempt's machine is not known yet.
+    /// Counts an attempt in `zone`, which is `None` if the zone of the attempt's machine is not
+    /// known yet.
     pub(in crate::leader) fn add(&mut self, zone: Option<ZoneIdx>) {
         *self.count_mut(zone) += 1;
     }
@@ -40,7 +41,8 @@
         *count = count.saturating_sub(1);
     }
 
-    /// Returns the counter of a zone, or of attempts in unknown zones for `None`.
+    /// Returns the counter of the attempts in `zone`, or of those in unknown zones if `zone` is
+    /// `None`.
     fn count_mut(&mut self, zone: Option<ZoneIdx>) -> &mut u32 {
         let Some(zone) = zone else { return &mut self.in_unknown_zone };
         let position = zone.position();
