--- a/crates/gladekeel-testkit/src/invariants/acceptance.rs
+++ b/crates/gladekeel-testkit/src/invariants/acceptance.rs
@@ -1,5 +1,5 @@
-//! Checks of accepted jobs: a client has submitted the job, the job can run at all, and it
-//! stays known whatever fails after its acceptance.
+//! Checks of accepted jobs: a client has submitted the job, the job can run at all, and all later
+//! responses report the job as known, whatever fails after its acceptance.
 
 use super::{Invariant, InvariantChecker, JobRequest, JobResponse};
 use gladekeel_wire::{
@@ -10,15 +10,15 @@
 };
 
 impl InvariantChecker {
-    /// Checks that a job that a controller reports as known was submitted by a client. The state of
-    /// any other job would belong to another client's job, or be garbage.
+    /// Checks that a client has submitted the job that a controller reports as known. A state that
+    /// is reported for a job that nobody submitted belongs to another client's job, or is garbage.
     pub(super) fn check_no_invented_job(&self, job: &JobId) -> Option<Invariant> {
         let submitted = self.observed_jobs.get(job).is_some_and(|observed| observed.submitted);
         (!submitted).then_some(Invariant::NoInventedJob)
     }
 
-    /// Checks that a later response does not refuse an accepted job or report it as unknown: the
-    /// client relies on the acceptance.
+    /// Checks that no later response refuses an accepted job or reports the job as unknown, because
+    /// the client relies on the acceptance.
     pub(super) fn check_accepted_job_kept(
         &self,
         job: &JobId,
@@ -49,8 +49,8 @@
     }
 }
 
-/// Whether a job can run at all: its team exists, and the team's limit and at least one allowed
-/// machine type are large enough.
+/// Whether a job can run at all: its team exists, the tasks that must run at once are within the
+/// team's limit, and a task fits on at least one machine type that the job allows.
 fn can_run(deployment: &Deployment, machine_types: &[MachineType], spec: &JobSpec) -> bool {
     let tasks_at_once = if spec.kind == JobKind::Array { 1.0 } else { f64::from(spec.tasks) };
     let team = deployment.teams.iter().find(|team| team.name == spec.team);
--- a/crates/gladekeel-testkit/src/invariants/cancellation.rs
+++ b/crates/gladekeel-testkit/src/invariants/cancellation.rs
@@ -6,24 +6,24 @@
 use crate::stand_ins::worker::MachineIdentity;
 use gladekeel_wire::{TaskId, job::JobSpec};
 
-/// How long after the confirmed cancellation of its job a task may still start, in seconds, in
-/// addition to the time to fetch its image. Its start command was then in flight in a heartbeat
+/// After the cancellation of a job was confirmed, a task of the job may still start for this many
+/// seconds plus the time to fetch its image. The start command was then in flight in a heartbeat
 /// response, which the worker drops after 4 s. A direct command, which is sent outside heartbeat
-/// responses, can arrive later if a partition or a hung machine delays it. Such a late start is
-/// permitted if the command was sent before the cancellation was confirmed, and its task must end
-/// by the deadline like any other. Any other later start was sent by a controller that should have
-/// known of the cancellation.
+/// responses, can arrive later if a partition or a hung machine delays the command. A late start is
+/// permitted if its direct command was sent before the cancellation was confirmed; the task must
+/// then end by the cancellation deadline like any other task. Any other later start was commanded
+/// by a controller that should have known of the cancellation.
 const IN_FLIGHT_S: f64 = 4.0;
 
 impl InvariantChecker {
-    /// Records that a controller sends a start to a worker as a direct command, without waiting
-    /// for the worker's heartbeat.
+    /// Records that a controller sends the start command of a task directly to the worker, without
+    /// waiting for the worker's next heartbeat.
     pub fn on_direct_start_sent(&mut self, now: f64, task: &TaskId) {
         self.direct_starts.insert(task.clone(), now);
     }
 
-    /// Records that a worker received the start command of a task in a heartbeat response. A
-    /// delayed direct command then no longer permits the task to start late.
+    /// Records that a worker received the start command of a task in a heartbeat response. From
+    /// then on, a direct command that was delayed no longer permits the task to start late.
     pub fn on_start_in_heartbeat_response(&mut self, task: &TaskId) {
         self.direct_starts.remove(task);
     }
--- a/crates/gladekeel-testkit/src/invariants/gang_start.rs
+++ b/crates/gladekeel-testkit/src/invariants/gang_start.rs
@@ -12,7 +12,7 @@
 pub(super) struct GangStarts(BTreeMap<(JobId, u64), BTreeSet<TaskId>>);
 
 impl InvariantChecker {
-    /// Records that a task of a gang begins to run, and checks that it is on a machine.
+    /// Records that a task of a gang begins to run, and checks that the task is on a machine.
     pub fn on_gang_task_running(&mut self, now: f64, task: &TaskId, attempt: u64) {
         if self.running.of_task(task).is_empty() {
             self.report(
--- a/crates/gladekeel-testkit/src/invariants/invariant.rs
+++ b/crates/gladekeel-testkit/src/invariants/invariant.rs
@@ -13,8 +13,8 @@
     Placement,
     /// No task of a cancelled job is on a machine after the cancellation deadline.
     CancellationDeadline,
-    /// No task of a cancelled job starts, unless its start was in flight when the cancellation
-    /// was confirmed.
+    /// No task of a cancelled job starts, unless its start command was in flight when the
+    /// cancellation was confirmed.
     NoStartAfterCancellation,
     /// An accepted job is not refused or reported as unknown later.
     AcceptedJobKept,
--- a/crates/gladekeel-testkit/src/invariants/mod.rs
+++ b/crates/gladekeel-testkit/src/invariants/mod.rs
@@ -43,8 +43,8 @@
 #[derive(Debug)]
 pub struct InvariantChecker {
     deployment: Deployment,
-    /// Machine types of the cloud. While the list is empty, a job counts as able to run if it is
-    /// within its team's limit.
+    /// Machine types that the cloud offers. Without any machine type, the checker assumes that
+    /// every job within its team's limit can run.
     pub machine_types: Vec<MachineType>,
     /// How much longer each task of a job runs than the task before it, in seconds.
     pub run_step_s: BTreeMap<JobId, f64>,
@@ -61,19 +61,20 @@
     running: RunningTasks,
     completed: BTreeSet<TaskId>,
     completed_per_job: BTreeMap<JobId, usize>,
-    /// When the first task of each job started; of a gang, when all its tasks began to run.
+    /// When each job started: when its first task started or, for a gang, when all its tasks began
+    /// to run.
     started_at: BTreeMap<JobId, f64>,
     gang_starts: GangStarts,
     /// Jobs whose cancellation a client has observed.
     cancelled: BTreeSet<JobId>,
     /// Tasks that were reported for running after the cancellation deadline.
     reported_after_cancellation: BTreeSet<TaskId>,
-    /// When the start command of each task was sent as a direct command; absent for a task whose
-    /// start command a heartbeat response has repeated since.
+    /// When the start command of each task was sent as a direct command, outside heartbeat
+    /// responses. A task is removed when a heartbeat response repeats the start command.
     direct_starts: BTreeMap<TaskId, f64>,
     /// Since when each job has been pending although free machines could run it.
     pending_since: BTreeMap<JobId, f64>,
-    /// When the leadership under each fencing token began, by the clock of its node.
+    /// When the leadership under each fencing token began, by the clock of the node that leads.
     leadership_started_at: BTreeMap<u64, f64>,
 }
 
@@ -119,8 +120,8 @@
         self.observed_jobs.entry(job.clone()).or_default().cancel_requested = true;
     }
 
-    /// Records a response about a job, or the timeout of a request about it, and checks it
-    /// against what clients have observed before.
+    /// Records a response about a job, or the timeout of a request about the job, and checks the
+    /// status and the job state against what clients have observed before.
     pub fn on_response(&mut self, job: &JobId, response: &JobResponse) {
         let mut violated = Vec::new();
         violated.extend(self.check_availability(job, response));
@@ -147,7 +148,7 @@
         let Some(spec) = self.specs.get(&task.job).cloned() else { return };
         self.check_single_execution(now, task, machine);
         self.check_start_after_cancellation(now, task, &spec, machine);
-        // A gang has started when all its tasks run, not when one waits for the others.
+        // A gang has started when all its tasks run, not when a task waits for the other tasks.
         if spec.kind != JobKind::Gang {
             self.started_at.entry(task.job.clone()).or_insert(now);
         }
@@ -189,7 +190,8 @@
         self.running.of_job(job).map(|(_, placements)| placements.len()).sum()
     }
 
-    /// When the first task of a job started; of a gang, when all its tasks began to run.
+    /// When a job started: when its first task started or, for a gang, when all its tasks began to
+    /// run.
     pub fn started_at(&self, job: &JobId) -> Option<f64> {
         self.started_at.get(job).copied()
     }
--- a/crates/gladekeel-testkit/src/invariants/observed_job.rs
+++ b/crates/gladekeel-testkit/src/invariants/observed_job.rs
@@ -53,8 +53,8 @@
     pub cancelled_at: Option<f64>,
     /// When a client first observed a final state of the job.
     pub final_at: Option<f64>,
-    /// Latest observed state. A final state is not replaced by a non-final one if the request for
-    /// the latter was sent before a client had observed the final state.
+    /// Latest observed state. A non-final state does not replace a final state if the request for
+    /// the non-final state was sent before a client had observed the final state.
     pub last_state: Option<JobState>,
 }
 
@@ -64,12 +64,14 @@
         self.accepted_at.get_or_insert(now);
     }
 
-    /// Whether a client had observed the acceptance when it sent the request of a response.
+    /// Whether the request of `response` was sent after a client had observed that the job is
+    /// accepted.
     pub fn accepted_before(&self, response: &JobResponse) -> bool {
         self.accepted_at.is_some_and(|accepted_at| response.sent_at >= accepted_at)
     }
 
-    /// Whether a client had observed a final state when it sent the request of a response.
+    /// Whether the request of `response` was sent after a client had observed a final state of the
+    /// job.
     pub fn final_before(&self, response: &JobResponse) -> bool {
         self.final_at.is_some_and(|final_at| response.sent_at >= final_at)
     }
--- a/crates/gladekeel-testkit/src/invariants/response_status.rs
+++ b/crates/gladekeel-testkit/src/invariants/response_status.rs
@@ -1,8 +1,8 @@
-//! Repeated and malformed requests have exactly one correct status.
+//! Each repeated or malformed request has exactly one correct response status.
 //!
-//! Clients repeat requests that got no response, and rely on status 200 for a job that is
-//! already known. A request that cannot be executed gets the status of its own error, at once or
-//! after retries.
+//! Clients repeat requests that got no response, and rely on status 200 for a job that is already
+//! known. A request that cannot be executed must get the status that stands for its error, at once
+//! or when the client retries the request.
 
 use super::{Invariant, InvariantChecker};
 
--- a/crates/gladekeel-testkit/src/invariants/running_tasks.rs
+++ b/crates/gladekeel-testkit/src/invariants/running_tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks on machines and the CPUs and GPUs that they use.
+//! The tasks that are on machines, and the CPUs and GPUs that these tasks use.
 
 use crate::stand_ins::worker::MachineIdentity;
 use gladekeel_wire::{JobId, TaskId, job::JobSpec};
@@ -19,7 +19,8 @@
     pub gpus: f64,
 }
 
-/// Number of tasks of a job in one zone and in all other zones, excluding the task that is placed.
+/// Number of tasks of a job in one zone and in all other zones, without the task that is being
+/// placed.
 pub(super) struct TasksByZone {
     pub same_zone: u32,
     pub other_zones: u32,
@@ -88,7 +89,7 @@
         self.usage.get(team).copied().unwrap_or_default()
     }
 
-    /// Counts the other tasks of a task's job in a zone and in all other zones.
+    /// Counts the tasks of a job in `zone` and in all other zones, without the job's task `task`.
     pub fn other_tasks_by_zone(&self, task: &TaskId, zone: &str) -> TasksByZone {
         let Some(zones) = self.tasks_by_zone.get(&task.job) else {
             return TasksByZone { same_zone: 0, other_zones: 0 };
--- a/crates/gladekeel-testkit/src/invariants/starvation.rs
+++ b/crates/gladekeel-testkit/src/invariants/starvation.rs
@@ -20,9 +20,9 @@
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Whether it is a spot machine, which the cloud may reclaim.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// Resources that no task uses.
+    /// Resources of the machine that no task uses.
     pub free: Resources,
 }
 
@@ -57,7 +57,7 @@
         for job in pending {
             let since = *self.pending_since.entry(job.clone()).or_insert(now);
             if now - since > MAX_PENDING_S {
-                // Prevents a second report.
+                // Prevents a second report while the job stays pending.
                 self.pending_since.insert(job.clone(), f64::MAX);
                 self.report(
                     Invariant::NoStarvation,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Accepted jobs without tasks on machines that could start now.
+    /// Returns the accepted, unfinished jobs that have no tasks on machines but could start now.
     fn startable_jobs(&self, free: &[FreeCapacity], active: &BTreeSet<JobId>) -> BTreeSet<JobId> {
         let startable = |job: &JobId| {
             let Some(spec) = self.specs.get(job) else { return false };
@@ -87,7 +87,8 @@
             .collect()
     }
 
-    /// Whether a job without tasks on machines could start now.
+    /// Whether a job that has no tasks on machines could start now: enough machines are free, and
+    /// the team's limit allows the tasks.
     fn has_capacity(&self, spec: &JobSpec, free: &[FreeCapacity]) -> bool {
         // An array can start with one task; other jobs need all their tasks to start at once.
         let tasks_at_once = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
--- a/crates/gladekeel-testkit/src/invariants/state_order.rs
+++ b/crates/gladekeel-testkit/src/invariants/state_order.rs
@@ -6,7 +6,8 @@
 use gladekeel_wire::{JobId, TaskId, job::JobState};
 
 impl InvariantChecker {
-    /// Checks the state in a response against the states observed before, and records it.
+    /// Checks the state in a response against the states that clients have observed before, and
+    /// records the state.
     pub(super) fn check_state_order(
         &mut self,
         job: &JobId,
@@ -32,8 +33,8 @@
         (contradicts || unrequested).then_some(Invariant::StateOrder)
     }
 
-    /// Checks that a job that is done has completed all its tasks: its client then reads the
-    /// results.
+    /// Checks that a job that is reported as done has completed all its tasks, because its client
+    /// then reads the results.
     pub(super) fn check_done_is_completed(
         &self,
         job: &JobId,
--- a/crates/gladekeel-testkit/src/invariants/team_quota.rs
+++ b/crates/gladekeel-testkit/src/invariants/team_quota.rs
@@ -1,7 +1,8 @@
 //! A team's tasks on machines use no more CPUs and GPUs than the team's limit.
 //!
 //! The check counts the tasks that really are on machines, whatever the controllers assume.
-//! Controllers must therefore count tasks that may still run on an unreachable machine.
+//! Controllers must therefore also count the tasks that may still run on an unreachable machine
+//! towards the limit.
 
 use super::{Invariant, InvariantChecker, LIMIT_TOLERANCE, running_tasks::TeamUsage};
 
