--- a/crates/gladekeel-testkit/src/scenario/error.rs
+++ b/crates/gladekeel-testkit/src/scenario/error.rs
@@ -57,7 +57,7 @@
     pub check: Check,
 }
 
-/// A failed check, with what it found.
+/// A failed check and its findings.
 #[derive(Debug)]
 pub enum Check {
     /// An `expect` line that does not hold.
@@ -67,7 +67,7 @@
         /// The difference between the expectation and the simulation.
         mismatch: Mismatch,
     },
-    /// A violation of an invariant that no `expect violated` line names.
+    /// An invariant was violated, and no `expect violated` line names the invariant.
     Invariant(Violation),
     /// A request to the store or the cloud that violates the protocol.
     Protocol(String),
--- a/crates/gladekeel-testkit/src/scenario/expectations.rs
+++ b/crates/gladekeel-testkit/src/scenario/expectations.rs
@@ -133,8 +133,8 @@
     })
 }
 
-/// Adds the first transaction that was refused as too large to the mismatch, if the quantity is
-/// `transactions_too_large`.
+/// If the quantity is `transactions_too_large`, adds the first transaction that the store refused
+/// as too large to the text of the mismatch.
 fn with_first_too_large(sim: &Simulation, quantity: &str, mismatch: Mismatch) -> Mismatch {
     match sim.store.too_large.first() {
         Some(first) if quantity == "transactions_too_large" => {
--- a/crates/gladekeel-testkit/src/scenario/job.rs
+++ b/crates/gladekeel-testkit/src/scenario/job.rs
@@ -20,7 +20,7 @@
     Ok(spec)
 }
 
-/// Sets the field of a job that a key of a `submit` step stands for.
+/// Sets the field of a job to which a key of a `submit` step corresponds.
 fn set_field(spec: &mut JobSpec, key: &str, value: &str) -> Result<(), LineError> {
     match key {
         "tasks" => spec.tasks = number(value)? as u32,
@@ -42,8 +42,8 @@
         "spot" => spec.spot = value == "yes",
         "kind" => spec.kind = job_kind(value)?,
         "priority" => spec.priority = priority(value)?,
-        // These keys set no field of the job, but its run times, submission and cancellation; see
-        // `steps::users::submit`.
+        // These keys set no field of the job. They determine how long its tasks run, and when the
+        // job is submitted and cancelled; see `steps::users::submit`.
         "run_step_s" | "interval_s" | "cancelled_share" => {}
         other => return Err(LineError::unexpected("a key of submit", other)),
     }
--- a/crates/gladekeel-testkit/src/scenario/mod.rs
+++ b/crates/gladekeel-testkit/src/scenario/mod.rs
@@ -36,7 +36,7 @@
 //! | `on_demand`, `spot` | Machines of each kind that the cloud has in each zone; 4 and 0. |
 //! | `machine_types` | Number of machine types, which share the free machines of a zone: `m32`, `m32-2` and so on; 1. |
 //! | `boot_s` | How long a machine of type `m32` boots; 20. |
-//! | `list_lag_s` | How far the cloud's list of machines lags behind; 4. |
+//! | `list_lag_s` | Age of the state that the cloud's list of machines shows; 4. |
 //! | `team_quota_factor` | Factor by which the teams' guaranteed CPUs and limits are multiplied; 1. |
 //! | `heartbeat_interval_s` | Time between heartbeats of a worker; as in the example settings. |
 //! | `worker_step_s` | Time between steps of the simulated workers and gangs; 0.1. |
@@ -84,7 +84,7 @@
 //! | `slow store FACTOR for S` | Requests to the store take longer by this factor. |
 //! | `outage store for S` | The store refuses all requests. |
 //! | `outage cloud for S` | The cloud refuses all requests. |
-//! | `drop_responses store for S` | The store executes requests, and its responses are lost. |
+//! | `drop_responses store for S` | The store executes requests, but its responses are lost. |
 //! | `deny_store WHO for S` | The store refuses the requests of these nodes. |
 //! | `corrupt assignment_log for S` | The assignment log in the store cannot be read. |
 //! | `compact store` | The store compacts its history. |
@@ -99,10 +99,10 @@
 //! | `hang MACHINES for S`, `hang zone_of:JOB for S`, `hang host_of:JOB for S` | Machines hang. With `zone_of`, the zone has no free machine afterwards. With `zone_of` and `host_of`, the heartbeats that were due when the machines hung are not sent later. |
 //! | `fail_tasks MACHINES for S` | Every task that runs on these machines fails. |
 //! | `slow MACHINES for S` | Tasks take longer on these machines. |
-//! | `partition_inbound MACHINES for S` | Machines receive nothing; what they send arrives. |
-//! | `partition_outbound MACHINES for S` | Nothing that machines send arrives. |
+//! | `partition_inbound MACHINES for S` | These machines receive no messages, but their heartbeats arrive. |
+//! | `partition_outbound MACHINES for S` | The heartbeats of these machines are lost, but direct commands and the responses to them arrive. |
 //! | `delay_commits SHARE for S` | Transactions get no response and are executed later. |
-//! | `drop_commit_responses SHARE for S` | Transactions are committed, and their responses are lost. |
+//! | `drop_commit_responses SHARE for S` | Transactions are committed, but their responses are lost. |
 //! | `delay_commands SHARE for S` | Direct commands, which are sent outside heartbeat responses, get no response and are executed later. |
 //! | `replay_heartbeats SHARE for S` | Copies of heartbeats reach every node when the next leader takes over. |
 //!
@@ -130,9 +130,9 @@
 //! | expectation | meaning |
 //! | --- | --- |
 //! | `JOBS done\|cancelled\|unfinished\|not_accepted` | The state that users last observed; `not_accepted` if they observed none. |
-//! | `JOB started_at OP N` | Time at which the first task of the job started; of a gang, time at which all its tasks began to run. |
+//! | `JOB started_at OP N` | Time at which the first task of the job started or, for a gang, all its tasks began to run. |
 //! | `JOB tasks_on_machines OP N` | Tasks of the job that are on machines. |
-//! | `JOB runs OP N` | How often all tasks of a gang began to run. |
+//! | `JOB runs OP N` | How often all tasks of a gang began to run together. |
 //! | `JOB stop_checkpoints OP N` | How often a gang wrote a checkpoint when it was stopped. |
 //! | `JOB lost_progress_s OP N` | Progress that a gang lost, in seconds. |
 //! | `JOB attempts OP N` | Attempts of a gang that were on machines. |
--- a/crates/gladekeel-testkit/src/scenario/runner.rs
+++ b/crates/gladekeel-testkit/src/scenario/runner.rs
@@ -60,7 +60,8 @@
     /// The simulation; `None` before the `world` line.
     sim: Option<Simulation>,
     failed_checks: Vec<Check>,
-    /// Names of the invariants in `expect violated` lines, whose violation is not a failure.
+    /// Names of the invariants in `expect violated` lines. A violation of these invariants is not a
+    /// failure.
     expected_violations: Vec<String>,
 }
 
--- a/crates/gladekeel-testkit/src/scenario/steps/line.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/line.rs
@@ -44,7 +44,8 @@
         self.tokens.get(index).is_some_and(|token| token.starts_with(prefix))
     }
 
-    /// Returns the token at an index without a prefix, or an error if it does not have the prefix.
+    /// Returns the text that follows a prefix in the token at an index, or an error if the token
+    /// does not have the prefix.
     pub fn after_prefix(
         &self,
         index: usize,
--- a/crates/gladekeel-testkit/src/scenario/steps/machines.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/machines.rs
@@ -1,4 +1,4 @@
-//! Steps that reclaim, drain, reboot and hang machines, or degrade them in another way.
+//! Steps that reclaim, drain, reboot, hang or otherwise degrade machines.
 
 use super::{Step, line::Line};
 use crate::{
@@ -14,10 +14,10 @@
 /// The action of a step on one machine; called with the name of the machine.
 type MachineStep = Box<dyn FnOnce(&mut Simulation, String)>;
 
-/// Prefix of a target that is all machines in the zone of a machine that hosts a task of a job,
-/// like `zone_of:job-1`.
+/// Prefix of a target like `zone_of:job-1`: all machines in the zone of a machine that hosts a task
+/// of the job.
 pub(super) const ZONE_OF: &str = "zone_of:";
-/// Prefix of a target that is one machine that hosts a task of a job, like `host_of:job-1`.
+/// Prefix of a target like `host_of:job-1`: one machine that hosts a task of the job.
 pub(super) const HOST_OF: &str = "host_of:";
 
 /// Factor by which tasks take longer on a slow machine.
@@ -32,7 +32,7 @@
 
 /// `reclaim COUNT notice_s=S`: the cloud reclaims COUNT machines, those with tasks first.
 pub(super) fn reclaim(line: &Line) -> Result<Step, LineError> {
-    let count = line.number(1, "how many machines")? as usize;
+    let count = line.number(1, "a number of machines")? as usize;
     let notice_s = line.options.number_or("notice_s", 0.0)?;
     Ok(Box::new(move |sim| {
         for name in busiest_workers(sim, count) {
@@ -43,7 +43,7 @@
 
 /// `reboot COUNT`: COUNT machines reboot, those with tasks first.
 pub(super) fn reboot(line: &Line) -> Result<Step, LineError> {
-    let count = line.number(1, "how many machines")? as usize;
+    let count = line.number(1, "a number of machines")? as usize;
     Ok(Box::new(move |sim| {
         for name in busiest_workers(sim, count) {
             sim.reboot(&name);
@@ -138,7 +138,7 @@
 }
 
 impl MachineFault {
-    /// Returns the fault that a verb stands for.
+    /// Returns the fault that the first token of a step names, such as `hang`.
     fn parse(verb: &str) -> Result<MachineFault, LineError> {
         match verb {
             "hang" => Ok(MachineFault::Hung),
--- a/crates/gladekeel-testkit/src/scenario/steps/messages.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/messages.rs
@@ -8,8 +8,8 @@
 /// Longest time between sending a delayed command and its execution.
 const MAX_COMMAND_DELAY_S: f64 = 16.0;
 
-/// `delay_commits SHARE for S`: this share of the transactions get no response and are executed
-/// later.
+/// `delay_commits SHARE for S`: for S seconds, this share of the transactions get no response and
+/// are executed later.
 pub(super) fn delay_commits(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
@@ -19,8 +19,8 @@
     }))
 }
 
-/// `drop_commit_responses SHARE for S`: this share of the transactions are committed, and their
-/// responses are lost.
+/// `drop_commit_responses SHARE for S`: for S seconds, the responses to this share of the committed
+/// transactions are lost.
 pub(super) fn drop_commit_responses(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
@@ -30,8 +30,8 @@
     }))
 }
 
-/// `delay_commands SHARE for S`: this share of the direct commands, which are sent outside
-/// heartbeat responses, get no response and are executed later.
+/// `delay_commands SHARE for S`: for S seconds, this share of the direct commands, which are sent
+/// outside heartbeat responses, get no response and are executed later.
 pub(super) fn delay_commands(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
@@ -41,8 +41,8 @@
     }))
 }
 
-/// `replay_heartbeats SHARE for S`: copies of this share of the heartbeats reach every node when
-/// the next leader takes over.
+/// `replay_heartbeats SHARE for S`: for S seconds, copies of this share of the heartbeats are
+/// retained. The copies reach every node when the next leader takes over.
 pub(super) fn replay_heartbeats(line: &Line) -> Result<Step, LineError> {
     let (share, duration_s) = (line.number(1, "a share")?, line.duration_s);
     Ok(Box::new(move |sim| {
--- a/crates/gladekeel-testkit/src/scenario/steps/services.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/services.rs
@@ -33,7 +33,7 @@
     Ok(fault_for(duration_s, slow_down, |sim| sim.store_slowdown = 1.0))
 }
 
-/// `drop_responses store for S`: the store executes requests, and its responses are lost.
+/// `drop_responses store for S`: the store executes requests, but its responses are lost.
 pub(super) fn drop_responses(line: &Line) -> Result<Step, LineError> {
     expect_target(line, "store")?;
     Ok(fault_for(
@@ -93,7 +93,7 @@
 
 /// `fail_next_boots COUNT`: the next COUNT machines that are rented never boot.
 pub(super) fn fail_next_boots(line: &Line) -> Result<Step, LineError> {
-    let count = line.number(1, "how many machines")? as u32;
+    let count = line.number(1, "a number of machines")? as u32;
     Ok(Box::new(move |sim| sim.cloud.next_boots_to_fail = count))
 }
 
--- a/crates/gladekeel-testkit/src/scenario/steps/users.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/users.rs
@@ -40,7 +40,7 @@
     Ok(Box::new(move |sim| ids.into_iter().for_each(|id| sim.resubmit(id))))
 }
 
-/// `poll JOBS times=N`: users query jobs, once or this many times.
+/// `poll JOBS times=N`: users query each job N times, or once without `times`.
 pub(super) fn poll(line: &Line) -> Result<Step, LineError> {
     let ids = line.jobs(1)?;
     let times = line.options.number("times")?.unwrap_or(1.0) as u32;
--- a/crates/gladekeel-testkit/src/scenario/targets.rs
+++ b/crates/gladekeel-testkit/src/scenario/targets.rs
@@ -13,8 +13,8 @@
 /// Prefix of a target that names a zone, like `zone:a`.
 pub(super) const ZONE: &str = "zone:";
 
-/// Returns the names of at most `count` workers: those with tasks first, then the others, each
-/// group sorted by name.
+/// Returns the names of at most `count` workers: first the workers with tasks, then the workers
+/// without tasks, each group sorted by name.
 pub(super) fn busiest_workers(sim: &Simulation, count: usize) -> Vec<String> {
     let mut names: Vec<(bool, String)> =
         sim.workers.iter().map(|(name, w)| (w.tasks.is_empty(), name.clone())).collect();
@@ -36,8 +36,8 @@
     }
 }
 
-/// Returns the name of a machine that hosts a task of a job, or `None` if no machine does. Tasks
-/// that have exited do not count. A machine whose task waits for its gang comes first.
+/// Returns the name of a machine that hosts a task of a job, or `None` if no machine does. Ignores
+/// tasks that have exited. Prefers a machine whose task waits for its gang.
 pub(super) fn host(sim: &Simulation, job: &str) -> Option<String> {
     let is_host = |worker: &&FakeWorker| {
         let is_on_machine =
