--- a/crates/gladekeel-testkit/src/simulation/heartbeats.rs
+++ b/crates/gladekeel-testkit/src/simulation/heartbeats.rs
@@ -50,9 +50,9 @@
         next_heartbeat_at
     }
 
-    /// Sends the heartbeat that a machine was about to send when it hung, after the machine has
-    /// resumed; newer heartbeats may arrive first. The response comes after the response timeout
-    /// and is ignored. A heartbeat whose response could still be in time is dropped.
+    /// After a hung machine has resumed, sends the heartbeat that its worker was about to send when
+    /// the machine hung. Newer heartbeats may arrive first. The response arrives after the response
+    /// timeout and is ignored. A heartbeat whose response could still be in time is dropped.
     pub(super) fn send_delayed_heartbeat(&mut self, name: &str) {
         let worker = self.workers.get_mut(name);
         let Some(worker) = worker.filter(|w| !w.hung && !w.outbound_partitioned) else { return };
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Switches a worker that cannot connect to a node to the next node.
+    /// Switches a worker to the next node, because the worker cannot connect to `node`.
     fn fail_to_connect(&mut self, name: String, node: usize) {
         let nodes = self.nodes.len();
         self.after(RETRY_PAUSE_S, move |sim| {
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Switches a worker to the node to which the reply redirects it, otherwise to the next node.
+    /// Switches a worker to the node that the reply names in a redirect, or to the next node if the
+    /// reply is no redirect to another node.
     fn follow_redirect(&mut self, in_flight: &HeartbeatInFlight, reply: Option<&Reply>) {
         let target = reply
             .filter(|reply| reply.status == 421)
--- a/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
+++ b/crates/gladekeel-testkit/src/simulation/malformed_requests.rs
@@ -7,7 +7,7 @@
     job::{JobSpec, JobState},
 };
 
-/// How long the sender waits for a response.
+/// How long the sender of a malformed or repeated request waits for a response, in seconds.
 const TIMEOUT_S: f64 = 5.0;
 
 /// JSON fields without which a submission is refused.
--- a/crates/gladekeel-testkit/src/simulation/message_faults.rs
+++ b/crates/gladekeel-testkit/src/simulation/message_faults.rs
@@ -35,8 +35,8 @@
     pub commit_responses_dropped: u64,
     /// Number of delayed direct commands that were executed.
     pub commands_delayed: u64,
-    /// Number of delayed direct commands that were refused: their token was old, or they were for
-    /// an earlier incarnation.
+    /// Number of delayed direct commands that a worker refused because their fencing token was
+    /// stale or because they named an earlier incarnation of the worker.
     pub commands_refused: u64,
     /// Number of copies of heartbeats that were sent when a leader took over.
     pub heartbeats_replayed: u64,
--- a/crates/gladekeel-testkit/src/simulation/mod.rs
+++ b/crates/gladekeel-testkit/src/simulation/mod.rs
@@ -86,11 +86,11 @@
     nodes: Vec<SimulatedNode>,
     /// The fake store.
     pub store: FakeStore,
-    /// While set, the store executes requests, and its responses are lost.
+    /// While set, the store executes requests, but its responses are lost.
     pub store_responses_dropped: bool,
-    /// Crashes the leader when this many more of its transactions have been committed, before the
-    /// leader receives the last response. The second value is the downtime in seconds. `None` if
-    /// no crash is scheduled.
+    /// How many more transactions of the leader are committed before the leader crashes, and the
+    /// downtime in seconds. The leader does not receive the response to the last transaction.
+    /// `None` if no crash is scheduled.
     pub crash_after_commits: Option<(u32, f64)>,
     /// Share of the transactions that get no response and are executed 2 to 12 s later.
     pub delayed_commit_share: f64,
@@ -140,7 +140,7 @@
 }
 
 impl Simulation {
-    /// Creates a cluster with a node for each of these settings, and starts the nodes.
+    /// Creates a cluster with one node for each element of `settings`, and starts the nodes.
     pub fn new(
         settings: Vec<Settings>,
         store: FakeStore,
--- a/crates/gladekeel-testkit/src/simulation/nodes.rs
+++ b/crates/gladekeel-testkit/src/simulation/nodes.rs
@@ -79,7 +79,8 @@
         host.process.as_ref()?.leader()?.oldest_job_s(self.now - host.started_at)
     }
 
-    /// Passes a tick to a node, records a new leader, and schedules the next tick.
+    /// Passes a tick to a node, records the node's leadership if the node leads, and schedules the
+    /// next tick.
     fn tick(&mut self, node: usize, incarnation: u64) {
         if self.nodes[node].incarnation != incarnation || self.nodes[node].process.is_none() {
             return;
--- a/crates/gladekeel-testkit/src/simulation/services.rs
+++ b/crates/gladekeel-testkit/src/simulation/services.rs
@@ -69,16 +69,16 @@
         }
     }
 
-    /// Draws whether a transaction gets no response and is executed later. Returns false if the
-    /// store is down or refuses requests from the node.
+    /// Decides at random whether a transaction gets no response and is executed later. Returns
+    /// false if the store is down or refuses requests from the node.
     fn draw_commit_delayed(&mut self, node: usize) -> bool {
         self.occurs(self.delayed_commit_share)
             && !self.store.down
             && !self.store.refused_nodes.contains(&node)
     }
 
-    /// Draws whether a request to the store or the cloud is duplicated. Returns a flag for each
-    /// copy to send; the flag is true for the duplicate.
+    /// Decides at random whether a request to the store or the cloud is duplicated. Returns a flag
+    /// for each copy to send; the flag is true for the duplicate.
     fn draw_copies(&mut self) -> &'static [bool] {
         let duplicated = self.rng.random::<f64>() < self.duplicated_request_share;
         if duplicated { &[false, true] } else { &[false] }
@@ -132,7 +132,7 @@
         if self.store.down {
             return self.after(1.0, move |sim| sim.execute_delayed_commit(request));
         }
-        // No node waits for the response.
+        // No node has the index `usize::MAX`, and none waits for the response.
         self.store.call(self.now, usize::MAX, &request);
     }
 
--- a/crates/gladekeel-testkit/src/simulation/worker_commands.rs
+++ b/crates/gladekeel-testkit/src/simulation/worker_commands.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Implements the seeded fault `start_tasks_twice`: starts the tasks of a response on another
-    /// worker too.
+    /// Implements the seeded fault `start_tasks_twice`: executes the start commands that a worker
+    /// received on another worker too.
     pub(super) fn start_on_second_worker(&mut self, name: &str, response: &HeartbeatResponse) {
         if response.commands.is_empty() {
             return;
