--- a/crates/gladekeel-testkit/src/stand_ins/cloud.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/cloud.rs
@@ -17,24 +17,25 @@
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Whether it is a spot machine, which the cloud may reclaim.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
     /// When the machine was rented.
     pub rented_at: f64,
     /// When the machine has booted or will have booted; `None` if it never boots.
     pub booted_at: Option<f64>,
-    /// When a controller deleted the machine or the cloud reclaimed it; `None` while it exists.
+    /// When a controller deleted the machine or the cloud reclaimed the machine; `None` while the
+    /// machine exists.
     pub removed_at: Option<f64>,
 }
 
 impl RentedMachine {
-    /// The machine's entry in the list of machines, as of the time `as_of`.
+    /// The machine's entry in the list of machines, with the machine's state at the time `as_of`.
     fn listed(&self, name: &str, as_of: f64) -> ListedMachine {
         let up = self.booted_at.is_some_and(|booted_at| booted_at <= as_of);
         ListedMachine {
             name: name.to_owned(),
-            // In the simulation, the address of a worker is the name of its machine. It is known
-            // once the machine has booted.
+            // In the simulation, the address of a worker is the name of its machine. The list shows
+            // the address once the machine has booted.
             addr: up.then(|| name.to_owned()),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
@@ -45,7 +46,7 @@
     }
 }
 
-/// A request to rent machines, and the names of the machines that it rented.
+/// A request to rent machines, and the names of the machines that the request rented.
 #[derive(Debug)]
 struct Rental {
     /// Debug text of the request, to detect a different request with the same request id.
@@ -53,14 +54,14 @@
     machines: Vec<String>,
 }
 
-/// The outcome of a request, and the machines that it rented or deleted.
+/// The outcome of a request, and the machines that the request rented or deleted.
 #[derive(Debug)]
 pub struct CloudResponse {
     /// Outcome that the controller receives.
     pub outcome: CloudOutcome,
-    /// Names of the machines that begin to boot.
+    /// Names of the machines that the request rented; they begin to boot at once.
     pub rented: Vec<String>,
-    /// Names of the machines that no longer exist.
+    /// Names of the machines that the request deleted.
     pub deleted: Vec<String>,
 }
 
@@ -81,7 +82,7 @@
     pub machines: BTreeMap<String, RentedMachine>,
     /// Whether there is an outage, during which the cloud refuses every request.
     pub down: bool,
-    /// How far the list of machines lags behind, in seconds.
+    /// Age of the state that the list of machines shows, in seconds.
     pub list_lag_s: f64,
     /// How many of the machines that are rented next never boot.
     pub next_boots_to_fail: u32,
--- a/crates/gladekeel-testkit/src/stand_ins/gang.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/gang.rs
@@ -62,7 +62,8 @@
     jobs: BTreeMap<JobId, GangRecord>,
 }
 
-/// Share of `exit_detection_s` before which no task of a gang detects a failure.
+/// Share of `exit_detection_s` that passes after a failure before the first task of the gang
+/// detects the failure.
 const EARLIEST_DETECTION: f64 = 0.25;
 /// Share of `exit_detection_s` over which the tasks of a gang detect a failure, one after another.
 const DETECTION_SPREAD: f64 = 0.7;
@@ -70,7 +71,7 @@
 /// Tolerance for rounding errors of progress, which is a sum of small steps, in seconds.
 const ROUNDING_S: f64 = 1e-6;
 
-/// Where a task of a gang is located.
+/// A task of a gang, with its machine and its position in the worker's list of tasks.
 #[derive(Debug, Clone)]
 struct GangMember {
     /// Index of the task in its job.
@@ -140,7 +141,7 @@
         events
     }
 
-    /// Finds the tasks on machines that wait for their gang or run with it, by attempt. Records
+    /// Finds the tasks that wait for their gang or run with their gang, grouped by attempt. Records
     /// every attempt that has a task on a machine.
     fn find_members(
         &mut self,
@@ -151,8 +152,8 @@
             let name: Rc<str> = name.as_str().into();
             let tasks = worker.tasks.iter().enumerate();
             let tasks: Vec<_> = tasks.filter(|(_, task)| task.spec.kind == JobKind::Gang).collect();
-            // Tasks of one attempt are mostly adjacent in the list; adjacent ones are added
-            // together.
+            // Tasks of one attempt are mostly adjacent in the list. Adjacent tasks of an attempt
+            // are added in one step.
             for attempt in tasks.chunk_by(|(_, a), (_, b)| is_same_attempt(a, b)) {
                 let Some((_, first)) = attempt.first() else { continue };
                 let job = self.jobs.entry(first.task.job.clone()).or_default();
@@ -190,7 +191,8 @@
         let spec = first.task(workers).spec.clone();
         let job = self.jobs.entry(key.0.clone()).or_default();
         if job.done {
-            // The result is stored: a task that starts later has nothing left to do.
+            // The gang's result is stored, so a task that starts after the gang's completion has
+            // nothing left to do.
             for member in responsive {
                 exit(workers, member, ExitCause::Done, None, events);
             }
@@ -236,7 +238,9 @@
         let Some(run) = self.runs.get_mut(key) else { return };
         let job = self.jobs.entry(key.0.clone()).or_default();
         let Some(first) = running.first() else {
-            // The last task of the attempt has ended. Progress since the last checkpoint is lost.
+            // The last task of the attempt has ended. Progress since the last checkpoint is lost,
+            // unless the attempt wrote a checkpoint when it was stopped or has already recorded the
+            // loss.
             if let Some(run) = self.runs.remove(key)
                 && !run.saved
                 && run.failed_at.is_none()
@@ -269,8 +273,9 @@
 }
 
 impl GangRun {
-    /// Adds the progress since the last step. Progress ends with the first stop command. If a
-    /// task is lost, progress counts up to the last step at which all tasks were present.
+    /// Adds the progress that the attempt has made since the previous step. The attempt makes no
+    /// progress after the first stop command. If a task is lost, the attempt keeps its progress up
+    /// to the last step at which all tasks were present.
     fn make_progress(
         &mut self,
         now: f64,
@@ -344,8 +349,8 @@
     }
 }
 
-/// Ends the tasks of an attempt that has failed, each when it detects the failure: at different
-/// times, the last of them shortly before `exit_detection_s` has passed.
+/// Ends the tasks of an attempt that has failed, each task at the time at which it detects the
+/// failure. The times differ; the last task ends shortly before `exit_detection_s` has passed.
 fn exit_after_failure(
     now: f64,
     failed_at: f64,
@@ -365,8 +370,8 @@
     }
 }
 
-/// Records the latest checkpoint. The gang writes one at every multiple of
-/// `checkpoint_interval_s` of the job's progress, whichever attempt makes the progress.
+/// Records the progress at the latest checkpoint. A gang writes a checkpoint whenever the job's
+/// progress reaches a multiple of `checkpoint_interval_s`, whichever attempt makes the progress.
 fn record_checkpoint(job: &mut GangRecord, spec: &JobSpec, progress_s: f64) {
     if spec.checkpoint_interval_s > 0.0 {
         let reached = ((progress_s + ROUNDING_S) / spec.checkpoint_interval_s).floor()
@@ -375,7 +380,7 @@
     }
 }
 
-/// Ends a task on its machine and adds the event.
+/// Ends a task on its machine and adds the resulting event to `events`.
 fn exit(
     workers: &mut BTreeMap<String, FakeWorker>,
     member: &GangMember,
--- a/crates/gladekeel-testkit/src/stand_ins/resources.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/resources.rs
@@ -2,7 +2,7 @@
 
 use gladekeel_wire::job::JobSpec;
 
-/// CPUs, GPUs and memory of a machine, or the free part of them.
+/// CPUs, GPUs and memory: those of a whole machine, or only those that are free on a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Resources {
     /// CPUs.
--- a/crates/gladekeel-testkit/src/stand_ins/store.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/store.rs
@@ -39,7 +39,7 @@
     lease: Option<u64>,
 }
 
-/// A lease. When it ends, the keys that are bound to it are deleted.
+/// A lease. When the lease ends, the store deletes the keys that are bound to the lease.
 #[derive(Debug)]
 struct Lease {
     ttl_s: f64,
@@ -66,7 +66,7 @@
     write_bucket: TokenBucket,
     /// Whether there is an outage, during which the store refuses every request.
     pub down: bool,
-    /// Indices of the nodes whose requests the store refuses while it serves the others.
+    /// Indices of the nodes whose requests the store refuses, while it serves all other nodes.
     pub refused_nodes: Vec<usize>,
     /// Descriptions of requests that violate the protocol.
     pub protocol_errors: Vec<String>,
@@ -239,7 +239,7 @@
             && let Some(excess) = self.excess(transaction)
         {
             self.too_large.push(format!("{now:.2}: {excess}"));
-            // The client maps a 400 in response to a commit to this outcome.
+            // The client of the store maps the HTTP status 400 of a commit to `LeaseNotFound`.
             return StoreOutcome::LeaseNotFound;
         }
         let bytes = serde_json::to_vec(transaction).map_or(0, |body| body.len());
@@ -311,7 +311,7 @@
         failed.map(|expected| expected.key.clone()).collect()
     }
 
-    /// Applies the writes; returns the revision after them.
+    /// Applies the writes of a transaction; returns the revision of the store after the writes.
     fn apply(&mut self, transaction: &Transaction) -> u64 {
         if !transaction.writes.is_empty() {
             self.revision += 1;
--- a/crates/gladekeel-testkit/src/stand_ins/worker/commands.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/commands.rs
@@ -9,9 +9,9 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Positions of the tasks in a worker's list while the commands of one message are executed.
-/// The list is searched once for all commands: a response about a gang may contain hundreds of
-/// commands, for a machine with thousands of tasks.
+/// Positions of the tasks in a worker's list while the commands of one message are executed. The
+/// list of tasks is searched only once for all commands, because a response about a gang may
+/// contain hundreds of commands, for a machine with thousands of tasks.
 struct TaskPositions {
     positions: BTreeMap<TaskId, Vec<usize>>,
     /// Positions of the tasks that the worker forgets; `positions` no longer contains them.
@@ -172,8 +172,9 @@
         if self.cached_images.contains(&spec.image) { 0.0 } else { spec.image_gb }
     }
 
-    /// The specification of any task on the worker, as a placeholder for a task whose own
-    /// specification is unknown: heartbeats must contain the refused task.
+    /// The specification of an arbitrary task on the worker. It is the placeholder for a refused
+    /// task whose own specification is unknown, because heartbeats must contain the refused task
+    /// too.
     fn any_spec(&self, positions: &TaskPositions) -> Option<JobSpec> {
         let mut tasks = self.tasks.iter().enumerate();
         let kept = tasks.find(|(position, _)| !positions.forgotten.contains(position));
--- a/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
@@ -13,7 +13,7 @@
 };
 use std::collections::BTreeSet;
 
-/// How long a task that fails runs, in seconds.
+/// Run time of a task that fails, in seconds.
 pub(in crate::stand_ins) const FAILS_AFTER_S: f64 = 0.5;
 
 /// Looks up the specification of a task's job; returns `None` if there is no such task.
@@ -51,7 +51,7 @@
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Whether it is a spot machine, which the cloud may reclaim.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
 }
 
--- a/crates/gladekeel-testkit/src/stand_ins/worker/task.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/task.rs
@@ -18,15 +18,16 @@
     pub spec: JobSpec,
     /// Current state.
     pub state: TaskState,
-    /// When the current state ends by itself; `f64::MAX` if it does not.
+    /// When the current state ends, unless a command or the task's gang ends the state earlier;
+    /// `f64::MAX` if the state has no such time.
     pub state_ends_at: f64,
-    /// Why the task has exited, or will exit; `None` if that is not yet known.
+    /// Why the task has exited, or will exit; `None` if the cause is not yet known.
     pub cause: Option<ExitCause>,
-    /// Whether the task wrote a checkpoint when it was stopped; `None` if it did not
-    /// exit on a stop command.
+    /// Whether the task wrote a checkpoint when it was stopped; `None` if the task did not exit on
+    /// a stop command.
     pub saved: Option<bool>,
-    /// When a task of a gang received a stop command with a grace period that is long enough to
-    /// write a checkpoint.
+    /// When the task received a stop command with a grace period that is long enough to write a
+    /// checkpoint; `None` before, and for a task that is in no gang.
     pub stop_requested_at: Option<f64>,
 }
 
@@ -47,7 +48,7 @@
         matches!(self.state, TaskState::Waiting | TaskState::Running | TaskState::Checkpointing)
     }
 
-    /// Ends the task; returns the event.
+    /// Ends the task; returns the event that reports the end to the invariant checker.
     pub fn exit(&mut self, cause: ExitCause, saved: Option<bool>) -> WorkerEvent {
         self.state = TaskState::Exited;
         self.cause = Some(cause);
@@ -61,8 +62,8 @@
             && self.spec.checkpoint_interval_s > 0.0
             && grace_s >= self.spec.checkpoint_write_s;
         if can_save && self.spec.kind == JobKind::Gang {
-            // Heartbeats show the task as running until it exits. When it may exit depends on
-            // the other tasks of its gang.
+            // Heartbeats show the task as running until it exits. The time at which the task may
+            // exit depends on the other tasks of its gang.
             self.stop_requested_at = self.stop_requested_at.or(Some(now));
             return None;
         }
