--- a/crates/gladekeel-testkit/examples/playground.rs
+++ b/crates/gladekeel-testkit/examples/playground.rs
@@ -61,7 +61,7 @@
 const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.5;
 /// Length of a worker's lease.
 const LEASE_S: f64 = 30.0;
-/// Time within which the tasks of a gang detect the loss of one of them.
+/// Longest time until a task of a gang detects that another task of the gang was lost.
 const GANG_EXIT_DETECTION_S: f64 = 4.0;
 /// Time between two heartbeats of a worker, with more than `DEFAULT_MACHINES` machines.
 const LARGE_HEARTBEAT_INTERVAL_S: f64 = 10.0;
@@ -516,8 +516,8 @@
         }
     }
 
-    /// Executes a direct request of a controller, sent outside heartbeat responses, on a worker and
-    /// returns the response.
+    /// Executes a direct request, which a controller sends outside heartbeat responses, on a worker
+    /// and returns the response.
     fn handle_direct_request(&self, name: &str, addr: SocketAddr, request: &Request) -> Response {
         let mut workers = self.workers.borrow_mut();
         let Some(worker) = workers.get_mut(name) else { return Response::text(503, "gone\n") };
--- a/crates/gladekeel-testkit/tests/fake_store.rs
+++ b/crates/gladekeel-testkit/tests/fake_store.rs
@@ -21,7 +21,7 @@
     assert!(matches!(store.call(0.0, 0, &large), StoreOutcome::Committed(_)));
     assert!(matches!(store.call(0.0, 0, &many), StoreOutcome::Committed(_)));
     store.lower_limits(StoreLimits { rps: 1000.0, write_rps: 6.0, txn_ops: 4, value: 2048 });
-    // The client maps a 400 in response to a commit to this outcome.
+    // The client of the store maps the HTTP status 400 of a commit to `LeaseNotFound`.
     assert_eq!(store.call(10.0, 0, &large), StoreOutcome::LeaseNotFound);
     assert_eq!(store.call(10.0, 0, &many), StoreOutcome::LeaseNotFound);
     assert_eq!(store.too_large.len(), 2);
--- a/crates/gladekeel-testkit/tests/fake_worker.rs
+++ b/crates/gladekeel-testkit/tests/fake_worker.rs
@@ -16,8 +16,8 @@
     vec![Command::Start { task: task.clone(), attempt: 1 }]
 }
 
-/// A machine that hangs beyond the end of its lease keeps its tasks until it resumes. Commands
-/// that arrived meanwhile name an earlier incarnation by then and are refused.
+/// A machine that hangs beyond the end of its lease keeps its tasks until it resumes. Commands that
+/// arrived while the machine hung name an earlier incarnation of the worker and are refused.
 #[test]
 fn a_hung_machine_keeps_its_tasks_until_it_resumes() {
     let spec = example_job("job-1");
--- a/crates/gladekeel-testkit/tests/gangs/orderly_stop.rs
+++ b/crates/gladekeel-testkit/tests/gangs/orderly_stop.rs
@@ -59,7 +59,7 @@
         (0..2).for_each(|n| gang.stop(n, n, 10.0));
         gang.run_until(17.6);
         gang.stop(2, 2, 10.0);
-        // All tasks have saved at 19.6.
+        // At 19.6 s all tasks have written their checkpoints, which takes 2 s after a stop command.
         gang.run_until(lost_at);
         gang.worker(2).kill_all();
         gang.run_until(25.0);
--- a/crates/gladekeel-testkit/tests/gangs/running.rs
+++ b/crates/gladekeel-testkit/tests/gangs/running.rs
@@ -31,7 +31,8 @@
     let lost_progress_s = gang.gangs.record(&gang.spec.id.clone()).lost_progress_s;
     assert!(is_near(lost_progress_s, 4.0), "{lost_progress_s}");
 
-    // The next attempt continues from the job's last checkpoint, which is kept across attempts.
+    // The next attempt continues from the last checkpoint, which belongs to the job, not to an
+    // attempt.
     (0..3).for_each(|n| gang.start(n, n, 2));
     gang.run_until(31.0);
     assert!(gang.exit_of(1).is_none());
--- a/crates/gladekeel-testkit/tests/gangs/waiting.rs
+++ b/crates/gladekeel-testkit/tests/gangs/waiting.rs
@@ -66,7 +66,7 @@
     assert_eq!(
         ended,
         [WorkerEvent::TaskEnded { task: task(1), completed: false }],
-        "a waiting task counts as on its machine"
+        "a task that waits for its gang occupies its machine"
     );
     gang.run_until(10.0);
     assert_eq!(gang.state(0), TaskState::Waiting);
--- a/crates/gladekeel-testkit/tests/invariants/cancellation.rs
+++ b/crates/gladekeel-testkit/tests/invariants/cancellation.rs
@@ -38,8 +38,8 @@
 }
 
 /// The protocol permits a longer delay of a start command that was sent directly, outside heartbeat
-/// responses, before the cancellation was confirmed. It permits none if the command was sent later
-/// or if a heartbeat response repeated it.
+/// responses, before the cancellation was confirmed. It does not permit such a delay if the command
+/// was sent later, or if a heartbeat response repeated the command.
 #[test]
 fn only_a_direct_start_sent_before_the_cancellation_may_be_delayed() {
     let violated_by = |sent_at: f64, repeated_in_response: bool| {
--- a/crates/gladekeel-testkit/tests/invariants/gang_start.rs
+++ b/crates/gladekeel-testkit/tests/invariants/gang_start.rs
@@ -27,14 +27,14 @@
     checker.check_gang_starts(2.0);
     assert_eq!(violated(&checker), ["gang_start"]);
 
-    // All tasks run, but in two attempts.
+    // Both tasks of the gang run, but in different attempts.
     let mut checker = checker_with(&gang(2));
     (0..2).for_each(|n| checker.on_task_started(1.0, &task(n), &machine("n-1", "a", false)));
     (0..2).for_each(|n| checker.on_gang_task_running(2.0, &task(n), u64::from(n)));
     checker.check_gang_starts(2.0);
     assert_eq!(violated(&checker), ["gang_start", "gang_start"]);
 
-    // The task that runs is on no machine.
+    // The only task of the gang runs, but is on no machine.
     let mut checker = checker_with(&gang(1));
     checker.on_gang_task_running(2.0, &task(0), 1);
     checker.check_gang_starts(2.0);
@@ -42,8 +42,9 @@
 }
 
 #[test]
-fn a_waiting_task_counts_as_on_its_machine() {
-    // `on_task_started` is the only event that the checker observes for a waiting task.
+fn a_task_that_waits_for_its_gang_occupies_its_machine() {
+    // `on_task_started` is the only event that the checker observes for a task that waits for its
+    // gang.
     let mut checker = checker_with(&gang(2));
     checker.on_task_started(1.0, &task(0), &machine("n-1", "a", false));
     checker.on_task_started(2.0, &task(0), &machine("n-2", "a", false));
--- a/crates/gladekeel-testkit/tests/known_failures.rs
+++ b/crates/gladekeel-testkit/tests/known_failures.rs
@@ -85,7 +85,8 @@
 fn write_package(directory: &str) -> PathBuf {
     let package = Path::new(env!("CARGO_TARGET_TMPDIR")).join("known-failures").join(directory);
     let scenarios = package.join("crates/gladekeel-testkit/scenarios");
-    // Removes the scenario files of earlier runs, which would count as scenarios too.
+    // Removes the scenario files of earlier runs, because the script accepts every scenario that
+    // has a file.
     let _ = fs::remove_dir_all(&scenarios);
     for path in [package.join("src"), package.join("tests"), scenarios.join("weather")] {
         fs::create_dir_all(path).unwrap();
--- a/crates/gladekeel-testkit/tests/token_renewal.rs
+++ b/crates/gladekeel-testkit/tests/token_renewal.rs
@@ -18,9 +18,9 @@
 
 /// Guards against losing a response of the cloud during a token renewal. A commit with an unknown
 /// outcome makes the leader renew its fencing token, and the response arrives when the old token is
-/// no longer in use and the new one is not in use yet. Such a response was once dropped: the
-/// request to list or delete machines counted as in flight forever, and the leader never sent
-/// another one.
+/// no longer in use and the new one is not in use yet. Such a response was once dropped: the leader
+/// kept waiting for the response to its request to list or delete machines, and never sent another
+/// such request.
 #[test]
 #[allow(clippy::too_many_lines, reason = "a single sequence of events")]
 fn cloud_responses_during_a_token_renewal_are_not_lost() {
--- a/crates/gladekeel-testkit/tests/two_versions/peers.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/peers.rs
@@ -34,13 +34,13 @@
     mixed.advance(5);
     assert_eq!(mixed.submit_and_cancel("job-1"), [cancellation_frame(1, "job-1")]);
 
-    // Level 2 is higher than the level that introduced kind 6, and includes it.
+    // A peer with protocol level 2 also knows frame kind 6, which level 1 introduced.
     let mut newer = TestNode::with_peers(&[Some(2), None]);
     newer.advance(5);
     assert_eq!(
         newer.submit_and_cancel("job-1"),
         [cancellation_frame(0, "job-1")],
-        "a silent peer counts as level 0"
+        "a peer that sends no heartbeats is treated as a peer with level 0"
     );
 }
 
--- a/crates/gladekeel-testkit/tests/two_versions/stored_values.rs
+++ b/crates/gladekeel-testkit/tests/two_versions/stored_values.rs
@@ -28,7 +28,7 @@
 /// Guards against falling back to the default settings because another version has stored a setting
 /// that this version does not know: the other stored settings must stay in effect.
 #[test]
-fn an_unknown_setting_leaves_the_others_in_force() {
+fn an_unknown_setting_leaves_the_other_settings_in_effect() {
     let mut node = TestNode::with_peers(&[Some(0), Some(0)]);
     let value = json!({"beta": 1.5, "round_s": 2.0, "of_another_version": 7.5});
     let version = node.put(keys::RUNTIME_SETTINGS, value);
@@ -63,8 +63,9 @@
     assert_eq!(poll(&mut node, "job-7"), 200);
 }
 
-/// Guards against guessing a job's final state that cannot be read: the job may be done, so none of
-/// its tasks may be started, and responses to users must not state that the job is queued.
+/// Guards against assuming a final state for a job whose stored final state cannot be read: the job
+/// may be done, so none of its tasks may be started, and responses to users must not state that the
+/// job is queued.
 #[test]
 fn an_unreadable_final_state_suspends_scheduling() {
     let mut node = TestNode::with_peers(&[Some(1), Some(1)]);
