--- a/crates/gladekeel-testkit/src/invariants/mod.rs
+++ b/crates/gladekeel-testkit/src/invariants/mod.rs
@@ -185,7 +185,7 @@
         self.observed_jobs.get(job).and_then(|observed| observed.last_state)
     }
 
-    /// Number of a job's tasks on machines. A task on two machines counts twice.
+    /// Number of a job's tasks on machines. A task that is on two machines is counted twice.
     pub fn tasks_on_machines(&self, job: &JobId) -> usize {
         self.running.of_job(job).map(|(_, placements)| placements.len()).sum()
     }
--- a/crates/gladekeel-testkit/src/invariants/observed_job.rs
+++ b/crates/gladekeel-testkit/src/invariants/observed_job.rs
@@ -11,7 +11,7 @@
 pub enum JobRequest {
     /// Submission of the job.
     Submit,
-    /// Query of the job's state, or cancellation.
+    /// Query of the job's state, or cancellation of the job.
     Other,
 }
 
--- a/crates/gladekeel-testkit/src/invariants/starvation.rs
+++ b/crates/gladekeel-testkit/src/invariants/starvation.rs
@@ -16,9 +16,9 @@
 /// A healthy machine with its free resources.
 #[derive(Debug, Clone)]
 pub struct FreeCapacity {
-    /// Machine type.
+    /// Type of the machine.
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
     /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
--- a/crates/gladekeel-testkit/src/scenario/error.rs
+++ b/crates/gladekeel-testkit/src/scenario/error.rs
@@ -14,7 +14,7 @@
         /// The error in the line.
         error: LineError,
     },
-    /// The scenario ran to its end, and these checks failed.
+    /// The scenario ran to its end, and at least one check failed.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
     FailedChecks(Vec<FailedCheck>),
 }
--- a/crates/gladekeel-testkit/src/scenario/examples.rs
+++ b/crates/gladekeel-testkit/src/scenario/examples.rs
@@ -119,7 +119,7 @@
     }
 }
 
-/// Returns the example machine type, which is available in these zones.
+/// Returns the example machine type, which the cloud offers in `zones`.
 pub fn example_type(zones: Vec<String>) -> MachineType {
     MachineType {
         name: "m32".into(),
--- a/crates/gladekeel-testkit/src/scenario/steps/services.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/services.rs
@@ -43,7 +43,7 @@
     ))
 }
 
-/// `deny_store WHO for S`: the store refuses the requests of these nodes.
+/// `deny_store WHO for S`: the store refuses the requests of the nodes WHO for S seconds.
 pub(super) fn deny_store(line: &Line) -> Result<Step, LineError> {
     let who = line.token(1, "a node")?.to_owned();
     let refuse = move |sim: &mut Simulation| {
@@ -68,8 +68,8 @@
     Ok(Box::new(|sim| sim.store.compact_history()))
 }
 
-/// `lower_limits store value_kb=N txn_ops=N write_rps=N rps=N`: the store lowers these limits. The
-/// other limits stay as they are.
+/// `lower_limits store value_kb=N txn_ops=N write_rps=N rps=N`: the store lowers the limits that
+/// the step names. All other limits stay as they are.
 pub(super) fn lower_limits(line: &Line) -> Result<Step, LineError> {
     expect_target(line, "store")?;
     let (value, ops) = (line.options.number("value_kb")?, line.options.number("txn_ops")?);
--- a/crates/gladekeel-testkit/src/scenario/steps/users.rs
+++ b/crates/gladekeel-testkit/src/scenario/steps/users.rs
@@ -58,7 +58,8 @@
     move |sim| who.map_or_else(Vec::new, |who| node_indices(sim, &who))
 }
 
-/// `cancel JOBS via=WHO`: users cancel jobs through these nodes, or through any node without `via`.
+/// `cancel JOBS via=WHO`: users cancel jobs through the nodes WHO, or, without `via`, through any
+/// node.
 pub(super) fn cancel(line: &Line) -> Result<Step, LineError> {
     let ids = line.jobs(1)?;
     let via = resolve_via(line);
@@ -107,7 +108,8 @@
     })
 }
 
-/// `http METHOD PATH BODY = STATUS`: the leader must respond to this request with this status.
+/// `http METHOD PATH BODY = STATUS`: the leader must respond with STATUS to a request with this
+/// method, path and body.
 pub(super) fn http(line: &Line) -> Result<Step, LineError> {
     let (request, status) =
         line.text.rsplit_once(" = ").ok_or(LineError::Missing { expected: "= STATUS" })?;
@@ -127,8 +129,8 @@
     }))
 }
 
-/// `http_to WHO METHOD PATH = STATUS`: these nodes must respond to this request, which has no body,
-/// with this status.
+/// `http_to WHO METHOD PATH = STATUS`: the nodes WHO must respond with STATUS to a request with
+/// this method and path and without a body.
 pub(super) fn http_to(line: &Line) -> Result<Step, LineError> {
     let (who, path) = (line.token(1, "a node")?.to_owned(), line.token(3, "a path")?.to_owned());
     let method = if line.token(2, "GET or POST")? == "POST" { "POST" } else { "GET" };
--- a/crates/gladekeel-testkit/src/simulation/message_faults.rs
+++ b/crates/gladekeel-testkit/src/simulation/message_faults.rs
@@ -26,7 +26,7 @@
     /// Share of the transactions that are committed at once and whose response is lost.
     pub dropped_commit_response_share: f64,
     /// Share of the direct commands that get no response and are executed once, later, if the
-    /// worker still accepts their token and incarnation by then.
+    /// worker then still accepts the commands' token and incarnation.
     pub delayed_command_share: f64,
     /// Share of the heartbeats of which a copy is sent to every node when the next leader takes
     /// over.
@@ -49,8 +49,9 @@
         share > 0.0 && self.rng.random::<f64>() < share
     }
 
-    /// Executes direct commands later, without a response. A machine that hangs by then executes
-    /// the commands when it resumes; with an inbound partition, the commands are lost.
+    /// Executes direct commands later, without a response. If the machine hangs at that time, it
+    /// executes the commands when it resumes; if it has an inbound partition, the commands are
+    /// lost.
     pub(super) fn delay_command(&mut self, request: WorkerRequest) {
         let delay_s = self.rng.random_range(COMMAND_DELAY_S);
         self.after(delay_s, move |sim| {
--- a/crates/gladekeel-testkit/src/stand_ins/cloud.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/cloud.rs
@@ -13,9 +13,9 @@
 /// A machine that was rented, and that may have been deleted or reclaimed since.
 #[derive(Debug, Clone)]
 pub struct RentedMachine {
-    /// Machine type.
+    /// Type of the machine.
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
     /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
--- a/crates/gladekeel-testkit/src/stand_ins/gang.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/gang.rs
@@ -1,4 +1,5 @@
-//! What the tasks of a gang do together, across machines.
+//! The behaviour of the tasks of a gang, which start, make progress, stop and fail together on
+//! several machines.
 //!
 //! A [`FakeWorker`] alone brings a task of a gang up to the state `waiting` and executes
 //! commands for it. [`GangRuntime`] computes, step by step, everything that depends on the other
--- a/crates/gladekeel-testkit/src/stand_ins/resources.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/resources.rs
@@ -5,9 +5,9 @@
 /// CPUs, GPUs and memory: those of a whole machine, or only those that are free on a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Resources {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
@@ -19,7 +19,7 @@
         spec.cpus <= self.cpus && spec.gpus <= self.gpus && spec.memory_gb <= self.memory_gb
     }
 
-    /// These resources without those that a task of the job uses.
+    /// Returns the resources that are left when a task of the job uses its part of them.
     #[must_use]
     pub fn without(self, spec: &JobSpec) -> Resources {
         Resources {
--- a/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
@@ -47,9 +47,9 @@
 pub struct MachineIdentity {
     /// Name of the machine, which is also the address of its worker in the simulation.
     pub name: String,
-    /// Machine type.
+    /// Type of the machine.
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
     /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
--- a/crates/gladekeel-testkit/tests/documentation.rs
+++ b/crates/gladekeel-testkit/tests/documentation.rs
@@ -1,5 +1,5 @@
-//! Checks that the scenarios, source files, functions, types and log lines that the pages under
-//! `docs/` name exist. An on-call engineer searches for these log lines.
+//! Checks that the pages under `docs/` name only scenarios, source files, functions, types and log
+//! lines that exist. An on-call engineer searches for these log lines.
 
 use gladekeel_testkit::scenario::scenario_directory;
 use std::{
