--- a/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
+++ b/crates/gladekeel-testkit/src/stand_ins/worker/mod.rs
@@ -13,7 +13,7 @@
 };
 use std::collections::BTreeSet;
 
-/// How long a task that fails runs, in seconds.
+/// Run time of a task that fails, in seconds.
 pub(in crate::stand_ins) const FAILS_AFTER_S: f64 = 0.5;
 
 /// Looks up the specification of a task's job; returns `None` if there is no such task.
@@ -47,11 +47,11 @@
 pub struct MachineIdentity {
     /// Name of the machine, which is also the address of its worker in the simulation.
     pub name: String,
-    /// Machine type.
+    /// Type of the machine.
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot machine, which the cloud may reclaim.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
 }
 
