--- a/crates/gladekeel-controller/src/assignment_log/layout.rs
+++ b/crates/gladekeel-controller/src/assignment_log/layout.rs
@@ -20,7 +20,7 @@
     pub(super) assignments: U16,
     pub(super) releases: U16,
     pub(super) progress_pages: U16,
-    /// Written as 0 and ignored by readers.
+    /// An unused field of the header: writers set it to 0, and readers ignore it.
     pub(super) reserved: U16,
     pub(super) sequence: U64,
 }
@@ -41,7 +41,7 @@
     pub name_len: U16,
 }
 
-/// A row for an assignment: from this segment on, the attempt may be on the machine.
+/// A row for an assignment: from the segment with this row on, the attempt may be on the machine.
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
 pub(super) struct AssignmentRow {
--- a/crates/gladekeel-controller/src/assignment_log/records.rs
+++ b/crates/gladekeel-controller/src/assignment_log/records.rs
@@ -7,10 +7,10 @@
 pub enum AttemptOutcome {
     /// The task of the attempt is done.
     Done = 1,
-    /// The task of the attempt returns to the queue.
+    /// The task of the attempt returns to the queue of pending tasks.
     Requeued = 2,
-    /// The task of the attempt returns to the queue for a speculative restart, of which each task
-    /// gets at most one.
+    /// The task of the attempt returns to the queue of pending tasks for a speculative restart.
+    /// Each task is restarted in this way at most once.
     Restarted = 3,
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// The error for a stored number that is not the number of any [`AttemptOutcome`].
+/// The error for a stored number that stands for no [`AttemptOutcome`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("unknown attempt outcome: {0}")]
 pub struct UnknownOutcome(pub u16);
@@ -68,8 +68,8 @@
     pub outcome: AttemptOutcome,
 }
 
-/// The complete progress of the tasks on one page of a job. A progress page is written when
-/// releases that record parts of this progress are about to be overwritten.
+/// The progress of all tasks on one page, which covers a fixed range of a job's tasks. A page is
+/// written when releases that record parts of its progress are about to be overwritten in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgressPage {
     /// The job whose tasks are on the page.
@@ -89,10 +89,11 @@
     /// The position of the segment in the log. Segments are replayed in the order of their
     /// positions, regardless of the slots in which they are stored.
     pub sequence: u64,
-    /// New assignments, and older assignments copied from a segment about to be overwritten.
+    /// New assignments, and copies of older assignments from segments that are to be overwritten.
     pub assignments: Vec<Assignment>,
     /// Releases of attempts that were assigned in this segment or an earlier one.
     pub releases: Vec<Release>,
-    /// Progress pages that were copied from segments about to be overwritten.
+    /// Progress pages, which replace the records of the same progress in segments that are to be
+    /// overwritten.
     pub progress_pages: Vec<ProgressPage>,
 }
