--- a/crates/gladekeel-controller/src/leader/assignment_log/commit.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/commit.rs
@@ -1,9 +1,9 @@
-//! Building of the leader's transactions, and handling of their outcomes.
+//! Builds the leader's transactions, and applies their outcomes to the leader's state.
 //!
 //! The leader's state reflects only committed transactions, never a transaction that was merely
 //! sent. A transaction whose outcome is unknown may still be executed at any later time. The leader
-//! then requires a new token, which makes the transaction fail if it has not been executed yet, and
-//! replays the log.
+//! then requires a new fencing token, which makes the transaction fail if it has not been executed
+//! yet, and replays the log.
 
 use super::writer::{CommitMarker, InFlightSegment, InFlightTransaction, LeaderRecords};
 use crate::{
@@ -19,8 +19,8 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Returns the next transaction, if one is due. No transaction is due while a new token is
-    /// required.
+    /// Returns the next transaction, if one is due. No transaction is due while a new fencing token
+    /// is required.
     pub fn next_commit(&mut self, now: f64, budget: &mut TokenBucket) -> Option<Transaction> {
         if self.token_renewal.is_required() {
             return None;
@@ -34,8 +34,8 @@
         self.log_writer.next_transaction(now, self.token, records, budget)
     }
 
-    /// Makes the slots of the oldest segments reusable, up to the first segment that still holds
-    /// the newest record of an attempt or of a job's progress.
+    /// Makes the slots of old segments reusable, from the oldest segment up to, but not including,
+    /// the first one that still holds the newest record of an attempt or of a job's progress.
     pub(in crate::leader) fn reclaim_log_slots(&mut self) {
         let records = LeaderRecords {
             jobs: &self.jobs,
@@ -65,8 +65,9 @@
                 self.log_writer.roll_back(now, transaction);
                 false
             }
-            // A commit attaches no key to a lease, so this outcome means that the store refused the
-            // transaction as too large: the store's limits are lower than the settings say.
+            // A commit attaches no key to a lease, so `LeaseNotFound` here means that the store
+            // refused the transaction as too large: the store's limits are lower than the settings
+            // say.
             StoreOutcome::LeaseNotFound => {
                 self.log_writer.roll_back_oversized(now, transaction);
                 false
@@ -159,9 +160,10 @@
         }
     }
 
-    /// Withdraws those of the attempts that are only proposed and not in flight. A gang is placed
-    /// as a whole or not at all: if one of its attempts is to be withdrawn, its other proposals are
-    /// withdrawn too, and its committed attempts are stopped.
+    /// Withdraws the attempts in `ids` whose assignments are proposed but not part of the
+    /// transaction in flight. A gang is placed as a whole or not at all: if one of its attempts is
+    /// to be withdrawn, its other proposals are withdrawn too, and its committed attempts are
+    /// stopped.
     pub(in crate::leader) fn withdraw_proposals(&mut self, ids: &[AttemptId], now: f64) {
         let mut gangs = BTreeSet::new();
         for id in ids {
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Removes an attempt if it is only proposed and its proposal is not in flight.
+    /// Removes an attempt if its assignment is proposed but not part of the transaction in flight.
     fn withdraw_proposal(&mut self, id: AttemptId, now: f64) {
         let phase = self.attempts.get(id).map(|attempt| attempt.phase);
         if phase == Some(AssignmentPhase::Proposed) && !self.log_writer.is_in_flight(id) {
--- a/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/replay.rs
@@ -3,8 +3,8 @@
 //! The log must have been read under the leader's own token. No other node can change the log while
 //! the token is valid, so the result is a consistent snapshot even if several requests were needed
 //! to read the log. Segments are replayed in the order of their sequence numbers. An attempt that
-//! is assigned and not released counts as on its machine ("Reading" in `docs/safety.md`); a task
-//! without such an attempt is on no machine.
+//! the log assigns and does not release is treated as being on its machine ("Reading" in
+//! `docs/safety.md`); a task without such an attempt is on no machine.
 
 use super::writer::{LiveSegment, ProgressPageRef, Slot};
 use crate::{
@@ -147,12 +147,12 @@
         for (id, logged) in unreleased {
             let LoggedAssignment { assignment, segment } = logged;
             let Some((job_idx, _)) = self.job_by_id(&assignment.job) else {
-                // This should not occur: the key of a job is removed only after the release of its
-                // last attempt.
+                // An attempt without a job should not occur: the key of a job is removed only after
+                // the release of its last attempt.
                 tracing::error!(
                     job = %assignment.job,
                     machine = assignment.machine,
-                    "logged attempt belongs to no stored job"
+                    "attempt in the assignment log belongs to no job in the store"
                 );
                 continue;
             };
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/batch.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/batch.rs
@@ -26,7 +26,7 @@
 
 /// A transaction under construction, with limits on its operations and bytes.
 ///
-/// Slots are allocated to its segments only at the end, in [`WriteBatch::seal`].
+/// Slots are allocated to the segments of the transaction only at the end, in [`WriteBatch::seal`].
 #[derive(Debug)]
 pub(super) struct WriteBatch {
     /// The contents of the transaction so far, except the segments.
@@ -115,14 +115,15 @@
         self.segments.iter().any(|segment| segment.contents.whole_pages.contains(&page))
     }
 
-    /// Adds the precondition that `key` has this version; version 0 means that the key must not
-    /// exist.
+    /// Adds the precondition that the current version of `key` is `version`; 0 means that the key
+    /// must not exist.
     pub fn require(&mut self, key: String, version: u64) {
         self.bytes += key.len() + PRECONDITION_OVERHEAD_BYTES;
         self.transaction.preconditions.push(Precondition { key, version });
     }
 
-    /// Adds a write of a value to `key`, with the precondition that `key` has this version.
+    /// Adds a write of a value to `key`, with the precondition that the current version of `key` is
+    /// `version`.
     pub fn put<T: Serialize>(&mut self, key: String, version: u64, value: &T) {
         let value = serde_json::to_value(value).expect("stored types always serialise");
         self.bytes += key.len() + value.to_string().len() + PUT_OVERHEAD_BYTES;
@@ -130,7 +131,7 @@
         self.transaction.writes.push(Write::Put { key, value, lease: None });
     }
 
-    /// Adds the deletion of `key`, with the precondition that `key` has this version.
+    /// Adds the deletion of `key`, with the precondition that its current version is `version`.
     pub fn delete(&mut self, key: String, version: u64) {
         self.bytes += key.len() + DELETE_OVERHEAD_BYTES;
         self.require(key.clone(), version);
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/batch_builder.rs
@@ -19,8 +19,8 @@
 
 /// Number of live segments above which the log is compacted.
 const COMPACTION_THRESHOLD: usize = 256;
-/// The log is compacted only above this multiple of the number of segments that the live
-/// assignments need, if this limit is higher than [`COMPACTION_THRESHOLD`].
+/// The log is compacted only if it has more segments than this factor times the number that the
+/// live assignments need. The higher of this limit and [`COMPACTION_THRESHOLD`] applies.
 const COMPACTION_FACTOR: usize = 4;
 /// Maximum number of segments that one transaction compacts.
 const MAX_COMPACTED_SEGMENTS: usize = 3;
@@ -46,7 +46,7 @@
         true
     }
 
-    /// Adds the release of an attempt. Returns whether it fits.
+    /// Adds the release of an attempt. Returns whether the release fits into the batch.
     fn add_release(&mut self, id: AttemptId) -> bool {
         let Some(attempt) = self.records.attempts.get(id) else { return true };
         let AssignmentPhase::Releasing(outcome) = attempt.phase else { return true };
@@ -77,7 +77,7 @@
         true
     }
 
-    /// Adds the assignment of an attempt. Returns whether it fits.
+    /// Adds the assignment of an attempt. Returns whether the assignment fits into the batch.
     fn add_assignment(&mut self, id: AttemptId) -> bool {
         let Some(attempt) = self.records.attempts.get(id) else { return true };
         let job = self.records.job_names.name(attempt.job);
@@ -129,8 +129,9 @@
         ids.iter().filter(is_pending).all(|id| self.batch.contents.released.contains(id))
     }
 
-    /// Compacts the log if it is too long: copies those records of the oldest segments that no
-    /// newer segment replaces into new segments, so that the slots of the old ones become reusable.
+    /// Compacts the log if it has too many segments: copies records from the oldest segments into
+    /// new segments, unless a newer segment already replaces them. The slots of the old segments
+    /// then become reusable.
     pub fn compact(&mut self) {
         let writer = self.writer;
         for segment in writer.slots.live().iter().take(self.segments_to_compact()) {
@@ -149,8 +150,8 @@
         excess.min(MAX_COMPACTED_SEGMENTS)
     }
 
-    /// Copies the assignments of an old segment that no newer segment contains and whose attempts
-    /// are not about to be released. Returns whether all of these assignments fit.
+    /// Copies the assignments of an old segment, except those that a newer segment also contains
+    /// and those whose attempts are about to be released. Returns whether all of the copies fit.
     fn copy_assignments(&mut self, segment: &LiveSegment) -> bool {
         for id in &segment.attempts {
             let is_live = self.records.is_newest_assignment(segment.sequence, *id)
@@ -177,7 +178,7 @@
         true
     }
 
-    /// Adds a whole page of a job's progress. Returns whether it fits.
+    /// Adds a whole page of a job's progress. Returns whether the page fits into the batch.
     fn add_progress_page(&mut self, page: ProgressPageRef) -> bool {
         let Some(job) = self.records.jobs.get(&page.job) else { return true };
         let Some(segment) = self.batch.segment_with_capacity(MAX_PROGRESS_PAGE_BYTES) else {
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/in_flight.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/in_flight.rs
@@ -5,7 +5,7 @@
 use gladekeel_sched::JobIdx;
 use std::collections::BTreeSet;
 
-/// The contents of a transaction in flight.
+/// The contents of a transaction that was sent and whose outcome is not yet known.
 #[derive(Debug, Default)]
 pub(in crate::leader::assignment_log) struct InFlightTransaction {
     /// Segments that the transaction writes, in the order of their sequence numbers.
@@ -33,7 +33,8 @@
 /// A segment in flight.
 #[derive(Debug, Default)]
 pub(in crate::leader::assignment_log) struct InFlightSegment {
-    /// The segment. Its slot holds the version that the key had before the transaction.
+    /// The segment. The version in its `slot` is the one that the slot's key had before the
+    /// transaction.
     pub segment: LiveSegment,
     /// The progress pages that the segment records in whole, so that no older segment is needed for
     /// these pages.
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/mod.rs
@@ -52,11 +52,11 @@
 const HOUSEKEEPING_SPARE_TOKENS: f64 = 4.0;
 /// Expected share of the store's write rate that is available for assignments.
 const ASSIGNMENT_WRITE_SHARE: f64 = 0.6;
-/// The limit on the proposed assignments that are pending after a scheduling cycle is at least this
-/// number.
+/// However slow the store is, a scheduling cycle may propose assignments until this many are
+/// pending.
 const MIN_CYCLE_ASSIGNMENTS: usize = 200;
-/// The limit on the proposed assignments that are pending after a scheduling cycle is at most this
-/// number.
+/// However fast the store is, a scheduling cycle proposes no more assignments once this many are
+/// pending.
 const MAX_CYCLE_ASSIGNMENTS: usize = 4000;
 
 /// The parts of the leader's state that the log writer reads.
@@ -69,7 +69,8 @@
 }
 
 impl LeaderRecords<'_> {
-    /// Whether the segment with this sequence number is the newest one that assigns an attempt.
+    /// Whether the segment with sequence number `sequence` is the newest one that assigns attempt
+    /// `id`.
     fn is_newest_assignment(&self, sequence: u64, id: AttemptId) -> bool {
         self.attempts.get(id).is_some_and(|attempt| attempt.segment == sequence)
     }
@@ -150,8 +151,8 @@
         self.slots.restore(segment);
     }
 
-    /// Makes the slots of the oldest segments reusable, up to the first segment that still holds
-    /// the newest record of an attempt or progress page.
+    /// Makes the slots of old segments reusable, from the oldest segment up to, but not including,
+    /// the first one that still holds the newest record of an attempt or progress page.
     pub(super) fn reclaim_slots(&mut self, records: LeaderRecords<'_>) {
         self.slots.reclaim(records);
     }
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/pending.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/pending.rs
@@ -5,8 +5,8 @@
 use gladekeel_wire::cloud::MachineTypes;
 use std::collections::BTreeSet;
 
-/// Changes that the leader has decided on or of which it has proof, and that are not yet known to
-/// be committed.
+/// Changes that are not yet known to be committed: decisions of the leader, and releases of
+/// attempts that are proven to be off their machines.
 ///
 /// The contents of a transaction in flight remain pending, so that nothing is lost if the
 /// transaction fails. Other modules of the leader add entries. An entry is removed only by a
@@ -28,7 +28,7 @@
 }
 
 impl PendingWrites {
-    /// Adds an attempt that was bound to a machine and is to be assigned.
+    /// Adds an attempt that was bound to a machine and whose assignment is to be written.
     pub fn add_proposal(&mut self, id: AttemptId) {
         self.proposed.insert(id);
     }
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/slots.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/slots.rs
@@ -38,8 +38,8 @@
 }
 
 impl LiveSegment {
-    /// Drops entries from the end of each of the two lists while newer segments or releases have
-    /// made the last entry obsolete.
+    /// Drops entries from the end of `attempts` and of `progress_pages` as long as the last entry
+    /// is obsolete because of a newer segment or a release.
     fn drop_obsolete_tail(&mut self, records: LeaderRecords<'_>) {
         let sequence = self.sequence;
         let is_obsolete = |id: &mut AttemptId| !records.is_newest_assignment(sequence, *id);
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Makes the slots of the oldest segments reusable, up to the first segment that still holds
-    /// the newest record of an attempt or progress page.
+    /// Makes the slots of old segments reusable, from the oldest segment up to, but not including,
+    /// the first one that still holds the newest record of an attempt or progress page.
     pub fn reclaim(&mut self, records: LeaderRecords<'_>) {
         while let Some(mut oldest) = self.live.pop_front() {
             oldest.drop_obsolete_tail(records);
