--- a/crates/gladekeel-controller/src/leader/commands/mod.rs
+++ b/crates/gladekeel-controller/src/leader/commands/mod.rs
@@ -10,8 +10,9 @@
 //!
 //! This module upholds "Direct commands" of `docs/safety.md`: a start that received no response may
 //! be executed at any later time while its fencing token and incarnation match those of the worker.
-//! Until such a start is [settled](unsettled_starts), its attempt is not released when the task is
-//! absent from a heartbeat, and no forget command is sent for the attempt.
+//! Until such a start is [settled](unsettled_starts), that is, was executed or can no longer be
+//! executed, its attempt is not released when the task is absent from a heartbeat, and no forget
+//! command is sent for the attempt.
 
 mod outcome;
 mod queue;
--- a/crates/gladekeel-controller/src/leader/commands/outcome.rs
+++ b/crates/gladekeel-controller/src/leader/commands/outcome.rs
@@ -1,4 +1,4 @@
-//! Handling of the outcomes of requests to workers.
+//! Applies the outcomes of requests to workers to the leader's state.
 
 use super::WorkerRequest;
 use crate::leader::{
@@ -8,8 +8,8 @@
 use gladekeel_sched::MachineIdx;
 use gladekeel_wire::worker::{Heartbeat, TaskStatus};
 
-/// For this many seconds after this node has lagged, a missing response does not count against a
-/// machine.
+/// For this many seconds after a late tick of this node, a missing response does not count against
+/// a machine.
 const LAG_GRACE_S: f64 = 3.0;
 
 /// The outcome of a request to a worker.
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Whether a reported task is the one that the leader assigned to this machine and incarnation
-    /// under this attempt id.
+    /// Whether a reported task is the task of attempt `id`, and the leader assigned this attempt to
+    /// this machine and incarnation of its worker.
     fn is_assigned_to(
         &self,
         id: AttemptId,
--- a/crates/gladekeel-controller/src/leader/commands/queue.rs
+++ b/crates/gladekeel-controller/src/leader/commands/queue.rs
@@ -1,5 +1,6 @@
-//! The queue of machines to which commands or a probe are to be sent, and the machines that have
-//! unsettled starts or undelivered stops from earlier requests.
+//! The queue of machines to which commands or a probe are to be sent. The queue also records on
+//! which machines an earlier start may still be executed, or an earlier stop possibly did not
+//! arrive.
 
 use gladekeel_sched::{JobIdx, MachineIdx};
 use std::collections::BTreeSet;
@@ -15,8 +16,7 @@
     probes: BTreeSet<MachineIdx>,
     probes_in_flight: usize,
     max_probes_in_flight: usize,
-    /// Machines that may have an unsettled start: one that received no response and may still be
-    /// executed.
+    /// Machines to which a start was sent that received no response and may still be executed.
     with_unsettled_starts: BTreeSet<MachineIdx>,
     /// Machines to which a stop was sent that possibly did not arrive.
     with_undelivered_stops: BTreeSet<MachineIdx>,
@@ -31,8 +31,8 @@
             gangs: BTreeSet::new(),
             probes: BTreeSet::new(),
             probes_in_flight: 0,
-            // A probe of a silent machine hangs until it times out. Probes must leave capacity for
-            // commands to other machines.
+            // A probe of an unreachable machine hangs until it times out. Half of the requests are
+            // kept free of probes for commands to other machines.
             max_probes_in_flight: max_requests / 2,
             with_unsettled_starts: BTreeSet::new(),
             with_undelivered_stops: BTreeSet::new(),
@@ -104,8 +104,7 @@
         self.with_unsettled_starts.insert(machine);
     }
 
-    /// Drops the machines for which `has_unsettled_start` returns false from the machines with
-    /// unsettled starts.
+    /// Removes from `with_unsettled_starts` each machine for which `has_unsettled_start` is false.
     pub(super) fn retain_unsettled_starts(
         &mut self,
         mut has_unsettled_start: impl FnMut(MachineIdx) -> bool,
--- a/crates/gladekeel-controller/src/leader/commands/request.rs
+++ b/crates/gladekeel-controller/src/leader/commands/request.rs
@@ -76,8 +76,9 @@
     }
 
     /// Builds the request with the commands that are due for a machine. Returns `None` if no
-    /// command is due or no request can be sent to the machine now. A silent machine is left to the
-    /// failure detector, since a request to it would hang.
+    /// command is due or no request can be sent to the machine now. A request to a machine that has
+    /// not been seen for longer than the heartbeat timeout would hang, so such a machine is left to
+    /// the failure detector.
     fn command_request(
         &mut self,
         now: f64,
@@ -150,7 +151,7 @@
     }
 
     /// Returns the start for a committed attempt, unless a direct start was sent before or an
-    /// earlier leader made the attempt. A gang task is started only once all assignments of its
+    /// earlier leader assigned the attempt. A gang task is started only once all assignments of its
     /// gang are committed. Counts the start as sent.
     fn due_start(&mut self, id: AttemptId, incarnation: u64) -> Option<Command> {
         let attempt =
@@ -191,7 +192,8 @@
         // image on the machine.
         TaskState::Fetching => reason != StopReason::GangIncomplete,
         TaskState::Waiting | TaskState::Running => true,
-        // The task is already saving its progress. Only a cancellation does not wait for that.
+        // The task is already saving its progress. Only a cancellation stops the task before its
+        // progress is saved.
         TaskState::Checkpointing => reason == StopReason::Cancelled,
         TaskState::Exited | TaskState::Other => false,
     }
--- a/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
+++ b/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
@@ -2,28 +2,30 @@
 //! be executed.
 //!
 //! A worker may execute such a start at any later time while the fencing token and incarnation of
-//! the start match its own. The start is settled by a newer incarnation of the worker, by the
-//! deletion of the machine, or by a new token once the machine has sent a heartbeat under that
-//! token.
+//! the start match those of the worker. The start is settled, which means that it can no longer be
+//! executed, once the worker has a newer incarnation, the machine is deleted, or the machine has
+//! sent a heartbeat under a new token of the leader.
 
 use super::{WorkerOutcome, WorkerRequest};
 use crate::leader::{Leader, Machine};
 
-/// How long a start may remain unanswered before a new token is required to settle it, in seconds.
+/// How long a start may remain without a response before the leader requires a new fencing token,
+/// in seconds. A worker that knows the new token refuses the start.
 const UNSETTLED_START_S: f64 = 15.0;
-/// How long a start of a cancelled job may remain unanswered before a new token is required, in
-/// seconds. The limit is shorter because the task must never start.
+/// How long a start of a cancelled job may remain without a response before the leader requires a
+/// new fencing token, in seconds. The limit is shorter because the task must never start.
 const UNSETTLED_CANCELLED_START_S: f64 = 1.0;
-/// For this many seconds after a start was found to have no response, a requested deletion of the
-/// machine is expected to settle the start. No new token is required during this time.
+/// If the deletion of a machine is requested, the leader requires no new fencing token for this
+/// many seconds after a start received no response: the deletion, once confirmed, proves that the
+/// start can no longer be executed.
 const DELETION_TIMEOUT_S: f64 = 2.0 * UNSETTLED_START_S;
 
 impl Machine {
-    /// Whether a new token is required to settle a start that has been unanswered since `since`.
-    /// `is_wanted` is false if the task must never start.
+    /// Whether the leader needs a new fencing token, so that the worker refuses a start that has
+    /// been without a response since `since`. `is_wanted` is false if the task must never start.
     fn needs_new_token(&self, now: f64, since: f64, is_wanted: bool) -> bool {
-        // Only a heartbeat under the new token settles the start, so a new token has no use while
-        // the machine sends no heartbeats.
+        // Only a heartbeat under the new token proves that the worker refuses the start, so a new
+        // token has no use while the machine sends no heartbeats.
         let sends_heartbeats = self.liveness.silent_since() > since;
         let deletion_may_settle = self.deletion.is_requested() && now - since < DELETION_TIMEOUT_S;
         let limit_s = if is_wanted { UNSETTLED_START_S } else { UNSETTLED_CANCELLED_START_S };
@@ -32,8 +34,8 @@
 }
 
 impl Leader {
-    /// Settles the starts of a request whose outcome is known, or records that the starts received
-    /// no response.
+    /// Records that the starts of a request can no longer be executed later or, if the outcome of
+    /// the request is unknown, that they received no response.
     pub(super) fn settle_starts(
         &mut self,
         now: f64,
@@ -51,8 +53,9 @@
         }
     }
 
-    /// Whether any unanswered start requires a new token: the start has been unanswered for a long
-    /// time, or for a short time if its job is cancelled and the start must never be executed.
+    /// Whether the leader needs a new fencing token because a start has been without a response for
+    /// too long. The limit is shorter if the job is cancelled, since the task must then never
+    /// start.
     pub(in crate::leader) fn unsettled_start_needs_new_token(&mut self, now: f64) -> bool {
         let mut needs_new_token = false;
         self.commands.retain_unsettled_starts(|machine_idx| {
