--- a/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/attempts.rs
@@ -47,8 +47,8 @@
     /// Whether an attempt whose task is not on its machine may be started there now.
     fn can_start(&self, id: AttemptId) -> bool {
         let Some(attempt) = self.attempts.get(id) else { return false };
-        // Committing a gang may take several transactions. No task of the gang may start before
-        // the last of them is committed.
+        // Committing a gang may take several transactions. No task of the gang may start before all
+        // of these transactions are committed.
         let is_gang = self.jobs.get(&attempt.job).is_some_and(Job::is_gang);
         let is_uncommitted = is_gang && self.attempts.of_job(attempt.job).uncommitted() > 0;
         !self.token_renewal.is_required()
@@ -59,7 +59,7 @@
     }
 
     /// Whether an attempt whose task is not on its machine can be released: the attempt must not be
-    /// started any more, and no unsettled direct start of the attempt can still be executed.
+    /// started any more, and no direct start of the attempt can still be executed.
     fn can_release_absent(&self, id: AttemptId) -> bool {
         let Some(attempt) = self.attempts.get(id) else { return false };
         let must_not_start = attempt.stop_reason.is_some()
@@ -132,7 +132,7 @@
     }
 
     /// Stops the remaining tasks of a gang that an earlier leader began to stop. The progress that
-    /// the tasks save counts only if all of them are stopped in time.
+    /// the tasks save can be used only if all tasks of the gang are stopped in time.
     fn continue_gang_stop(&mut self, job_idx: JobIdx) {
         if self.jobs.get(&job_idx).is_some_and(Job::is_gang) {
             self.stop_gang(job_idx, StopReason::Drained);
--- a/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Handling of worker heartbeats: updates the leader's state and builds the responses.
+//! Applies the heartbeats of workers to the leader's state, and builds the responses to them.
 //!
 //! Heartbeats may reach the leader by any path and in any order. The leader applies a heartbeat
 //! only if it is newer than every message received from that worker so far. A task that is
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeartbeatToken {
     /// The token of this leader. The worker has seen the token and refuses commands under older
-    /// ones. A worker has only one heartbeat in flight and applies responses in order, so the
+    /// tokens. A worker has only one heartbeat in flight and applies responses in order, so the
     /// heartbeat also reflects every earlier response of this leader.
     Current,
     /// Another token. Commands or responses whose effects the heartbeat does not show may still be
@@ -41,9 +41,9 @@
 
 /// What a heartbeat reports about an attempt that is assigned to the sender's machine.
 enum AttemptReport<'a> {
-    /// The heartbeat gives no evidence about the attempt. Either the attempt belongs to an earlier
-    /// incarnation than the heartbeat and is being released, or the heartbeat was delayed and
-    /// belongs to an earlier incarnation than the attempt.
+    /// The heartbeat gives no evidence about the attempt, since the two belong to different
+    /// incarnations of the worker. Either the attempt's incarnation is the earlier one and the
+    /// attempt is being released, or the heartbeat's is, because the heartbeat was delayed.
     NotCovered,
     /// The task is not on the machine.
     Absent,
@@ -115,8 +115,9 @@
             let knows_token = token == HeartbeatToken::Current;
             machine.acknowledgements.expect(ExpectedEffects::of_response(commands, knows_token));
         }
-        // Direct commands that were withheld may be sendable now. If none are due, a machine that
-        // missed acknowledgements is probed to see whether messages reach it.
+        // It may now be possible to send direct commands that were withheld. If no command is due,
+        // a machine that missed acknowledgements is probed to see whether messages reach the
+        // machine.
         self.commands.request_commands(machine_idx);
         response
     }
--- a/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/job_changes.rs
@@ -26,8 +26,8 @@
         if is_final {
             self.log_writer.pending().add_removable_job(job_idx);
         }
-        // An earlier leader has counted the arrival of a job that existed before this term. Gangs
-        // are counted again, so that their warm pool is rebuilt at once.
+        // If a job existed before this term, an earlier leader has counted its arrival. Gangs are
+        // counted again, so that this leader rebuilds the warm pool for gangs at once.
         let is_new_in_term = now > self.term_started_at;
         let counts_as_arrival = !is_final && (is_new_in_term || job.is_gang());
         self.jobs.insert(job_idx, job);
@@ -81,7 +81,8 @@
     /// Applies a cancellation that this node or another controller has committed and that the store
     /// view does not contain yet. `not_before` is the time, on the node's clock, from which the
     /// cancellation deadline counts: if another controller committed the cancellation, a time at
-    /// which the job was not cancelled yet; if this node did, the time of the store's response.
+    /// which the job was not cancelled yet; if this node committed it, the time of the store's
+    /// response.
     pub fn apply_pending_cancellation(&mut self, id: &JobId, not_before: f64) {
         let Some(job_idx) = self.job_names.get(id) else { return };
         let job = self.jobs.get_mut(&job_idx).filter(|job| !job.is_finished());
--- a/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/task_exit.rs
@@ -1,14 +1,14 @@
-//! Handling of task exits: the effects on the job, the machine and the gang.
+//! Applies the exit of a task to its job, its machine and its gang.
 //!
-//! Reconciliation calls this module when a worker reports that a task has exited. That report is
-//! the proof that the attempt is off the machine.
+//! Reconciliation calls this module when a worker reports that a task has exited. This report
+//! proves that the attempt is off the machine.
 
 use crate::leader::{AttemptId, AttemptOutcome, Leader, StopReason, machine::DeletionReason};
 use gladekeel_sched::{JobIdx, MachineIdx};
 use gladekeel_wire::job::JobKind;
 use gladekeel_wire::worker::{ExitCause, TaskStatus};
 
-/// Delay in seconds before a service that exited by itself is restarted.
+/// Delay in seconds before a service whose task completed, instead of being stopped, is restarted.
 const SERVICE_RESTART_PAUSE_S: f64 = 1.0;
 /// Weight of a new run in the moving average that corrects the run time estimates of a job class.
 const RUN_TIME_RATIO_WEIGHT: f64 = 0.1;
@@ -61,7 +61,8 @@
         self.release(id, outcome);
     }
 
-    /// Handles an exit according to its cause. Returns the outcome of the attempt.
+    /// Applies the effects of an exit, which depend on the cause of the exit. Returns the outcome
+    /// of the attempt.
     fn handle_exit(
         &mut self,
         now: f64,
@@ -120,8 +121,9 @@
         *average += (ratio - *average) * RUN_TIME_RATIO_WEIGHT;
     }
 
-    /// Handles the failure of a task. The job is considered faulty if its tasks fail on every
-    /// machine; otherwise the failure counts against the machine.
+    /// Records the failure of a task. If the job's tasks have failed on several machines and more
+    /// often than the job has unfinished attempts, the job is considered faulty; otherwise the
+    /// failure counts against the machine.
     fn handle_failure(&mut self, now: f64, exited: ExitedAttempt) {
         self.cluster.counters.task_failures += 1;
         let other_attempts = self.attempts.of_job(exited.job).unfinished();
@@ -139,8 +141,8 @@
         }
     }
 
-    /// Backs off a job that fails on every machine, and clears the failures of the machines on
-    /// which it failed.
+    /// Delays further attempts of a faulty job, and resets the failure counts of the machines on
+    /// which the job failed.
     fn back_off_faulty_job(&mut self, now: f64, job_idx: JobIdx) {
         let Some(job) = self.jobs.get_mut(&job_idx) else { return };
         job.backoff.back_off(now);
