--- a/crates/gladekeel-controller/src/leader/failure_detection/cancellation_deadline.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/cancellation_deadline.rs
@@ -8,14 +8,15 @@
 use crate::leader::{AssignmentPhase, Leader, machine::DeletionReason};
 use gladekeel_sched::{JobIdx, MachineIdx};
 
-/// Margin that is added to the heartbeat timeout, in seconds. A new leader that does not know when
-/// a job was cancelled waits for the sum of the two before it deletes machines, so that heartbeats
+/// How much longer than the heartbeat timeout a new leader that does not know when a job was
+/// cancelled waits before it deletes machines, in seconds. Heartbeats that arrive during this wait
 /// can show that the job's tasks are gone.
 const TAKEOVER_MARGIN_S: f64 = 2.0;
 
 impl Leader {
-    /// Marks the machines for deletion that may run tasks of a cancelled job past its cancellation
-    /// deadline. The leader calls this function after each pass of the failure detector.
+    /// Marks for deletion the machines that may run tasks of a cancelled job past the job's
+    /// cancellation deadline. The leader calls this function after each pass of the failure
+    /// detector.
     pub(in crate::leader) fn enforce_cancellation_deadlines(&mut self, now: f64) {
         let mut overdue_machines = Vec::new();
         for job_idx in &self.cancelled_jobs_on_machines {
--- a/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
@@ -1,11 +1,11 @@
 //! The failure detector, which decides which machines to probe, and which to delete as failed.
 //!
-//! A silent machine may be healthy: it may send its heartbeats to another controller, its whole
-//! zone may be partitioned, or this leader may be partitioned. A machine therefore counts as failed
-//! only if it does not respond to probes either, while other machines on the same network path to
-//! a controller do. Without that proof, a machine is deleted only after a silence of several
-//! leases, or when a cancellation deadline requires it ("Machines" and "Cancelled work ends in
-//! time" in `docs/safety.md`).
+//! A machine from which no message arrives may be healthy: it may send its heartbeats to another
+//! controller, its whole zone may be partitioned, or this leader may be partitioned. A machine
+//! therefore counts as failed only if it does not respond to probes either, while other machines on
+//! the same network path to a controller do. Without that proof, a machine is deleted only after a
+//! longer time without messages (`silent_zone_s`, `max_silence_s`), or when a cancellation deadline
+//! requires it ("Machines" and "Cancelled work ends in time" in `docs/safety.md`).
 
 use super::{
     observation::ClusterObservation,
@@ -40,8 +40,9 @@
 }
 
 impl FailureDetector {
-    /// Creates a detector for a new token. The silence of zones counts from now. Zones that were
-    /// reachable under the previous token count as reachable without interruption.
+    /// Creates a detector for a new fencing token. Each zone is treated as last seen at `now`.
+    /// Zones that were reachable under the previous token are treated as reachable without
+    /// interruption.
     pub fn new(
         now: f64,
         workers: &WorkerTimings,
@@ -71,7 +72,8 @@
         self.zones.unreachable_zones(now)
     }
 
-    /// Returns how long no machine at all has been seen, and how many should send heartbeats.
+    /// Returns the time since any machine was last seen, and how many machines should send
+    /// heartbeats.
     pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
         self.zones.heartbeat_silence(now)
     }
@@ -151,16 +153,17 @@
     }
 
     /// Whether a machine that was never seen has failed to boot in time. A machine that was up
-    /// before this term may be about to send its first heartbeat to this leader, so its silence in
-    /// this term must also exceed the unreachable timeout.
+    /// before this term may be about to send its first heartbeat to this leader, so the time
+    /// without a message from the machine in this term must also exceed the unreachable timeout.
     fn has_boot_timed_out(&self, machine: &Machine, boot_s: f64) -> bool {
         let timeout_s = boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN_S;
         machine.liveness.silent_s(self.now) > self.thresholds.unreachable_after_s
             && machine.provisioned_at.age_s(self.now) > timeout_s
     }
 
-    /// Marks a machine as suspect if others have responded since it became unresponsive. Their
-    /// responses distinguish a failed machine from a partition between the machine and this leader.
+    /// Marks a machine as suspect if other machines have responded since it became unresponsive.
+    /// Such responses distinguish a failed machine from a partition between the machine and this
+    /// leader.
     fn update_suspicion(&self, machine: &mut Machine) {
         let unresponsive_since = machine.liveness.unresponsive_since();
         if unresponsive_since
@@ -170,10 +173,10 @@
         }
     }
 
-    /// Whether the silence of a machine means that the machine has failed. The silence of its
-    /// whole zone may be due to a partition behind which tasks continue to run: the machine then
-    /// counts as failed only after a long silence, or earlier if it may run tasks whose
-    /// cancellation this leader has not learned of.
+    /// Whether a machine has sent no message for so long that it counts as failed. If no message
+    /// arrives from its whole zone, the cause may be a partition behind which tasks continue to
+    /// run: the machine then counts as failed only after a longer time, or earlier if it may run
+    /// tasks whose cancellation this leader has not learned of.
     fn has_heartbeat_timed_out(&self, machine: &Machine) -> bool {
         let thresholds = self.thresholds;
         let silent_s = machine.liveness.silent_s(self.now);
@@ -186,9 +189,9 @@
             || silent_s > thresholds.max_silence_s
     }
 
-    /// Whether a machine is silent while its zone is reachable and others respond to probes. Only
-    /// silence while the zone is reachable counts: right after a partition, all machines of the
-    /// zone have been silent for a long time and are about to be seen again.
+    /// Whether a machine sends no messages while its zone is reachable and other machines respond
+    /// to probes. Only time during which the zone is reachable counts: right after a partition, no
+    /// machine of the zone has been seen for a long time, and all are about to be seen again.
     fn has_failed_alone(&self, machine: &Machine) -> bool {
         let silent_s = machine.liveness.silent_s(self.now);
         let reachable_s = self.reachable_zones.reachable_s(machine.zone, self.now);
--- a/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -8,8 +8,8 @@
 use gladekeel_sched::{JobIdx, MachineIdx};
 use std::collections::BTreeMap;
 
-/// A task may continue if it is expected to complete at least this long before its machine is
-/// reclaimed, in seconds.
+/// A task may continue if it is expected to complete at least this many seconds before its machine
+/// is reclaimed.
 const TERMINATION_MARGIN_S: f64 = 0.5;
 
 /// Caches for each gang whether all of its machines are reachable at one point in time.
@@ -144,8 +144,9 @@
         if !job.is_gang() || job.spec.checkpoint_interval_s == 0.0 {
             return exceeds_termination;
         }
-        // If there is too little time to save, the gang falls back to its last checkpoint, whether
-        // it is stopped or loses the machine. If it continues, it may reach another checkpoint.
+        // If there is too little time to save progress, the gang falls back to its last checkpoint,
+        // whether it is stopped now or loses the machine later. If the gang continues, it may reach
+        // another checkpoint.
         exceeds_termination
             && remaining_s > job.grace_period_s(StopReason::Drained)
             && self.is_gang_reachable(attempt.job, now, gangs)
--- a/crates/gladekeel-controller/src/leader/failure_detection/mod.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! The leader runs the [`detector::FailureDetector`] once per cycle interval. From the machines
 //! that were seen and those that respond to probes, the detector decides which machines to probe
-//! and which to delete. The silence of a machine never releases its tasks; only the confirmed
-//! deletion of the machine does ("Machines" in `docs/safety.md`). The module [`evacuation`]
-//! releases the tasks of deleted machines, and stops tasks in time on machines that are about to
-//! be reclaimed or deleted.
+//! and which to delete. A lack of messages from a machine never causes its tasks to be released;
+//! only the confirmed deletion of the machine does ("Machines" in `docs/safety.md`). The module
+//! [`evacuation`] releases the tasks of deleted machines, and stops tasks in time on machines that
+//! are about to be reclaimed or deleted.
 
 mod cancellation_deadline;
 pub(in crate::leader) mod detector;
--- a/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
@@ -85,8 +85,8 @@
 
     /// Whether machines that share the network path of a machine in `zone` have responded to probes
     /// or other direct commands after `time`, so that a machine that has not responded has probably
-    /// failed itself. Machines of the same zone count, and machines of any zone if a controller is
-    /// in `zone`.
+    /// failed, rather than the network. The path is shared by the machines of `zone` and, if a
+    /// controller is in `zone`, by all machines.
     pub fn others_responded_after(&self, zone: Option<ZoneIdx>, time: f64) -> bool {
         let in_zone = self.zones.get(&zone).is_some_and(|observed| observed.responded_after(time));
         in_zone
--- a/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
@@ -7,7 +7,8 @@
 
 /// A zone counts as unreachable once this many consecutive heartbeats from it are missing.
 const MAX_MISSING_HEARTBEATS: f64 = 30.0;
-/// The shortest silence after which a zone may count as unreachable, in seconds.
+/// The minimum time without heartbeats from a zone before the zone counts as unreachable, in
+/// seconds.
 const MIN_ZONE_TIMEOUT_S: f64 = 1.5;
 
 /// When machines were last seen, overall and by zone.
@@ -33,17 +34,18 @@
     last_seen: f64,
 }
 
-/// How long no machine at all has been seen, and how many machines should send heartbeats.
+/// The time since any machine was last seen, and how many machines should send heartbeats.
 #[derive(Debug, Clone, Copy)]
 pub struct HeartbeatSilence {
     /// The number of machines from which heartbeats are expected.
     pub expected_machines: usize,
-    /// How long no machine at all has been seen, in seconds.
+    /// The time since any machine was last seen, in seconds.
     pub silent_s: f64,
 }
 
 impl ZoneReachability {
-    /// Creates the state in which no machine has been seen; silence counts from now.
+    /// Creates the state in which no machine has been seen yet. The time without heartbeats is
+    /// counted from `now`.
     pub fn new(now: f64, workers: &WorkerTimings) -> ZoneReachability {
         ZoneReachability {
             last_seen: now,
@@ -65,8 +67,8 @@
         self.expected = machines;
     }
 
-    /// Sets the number of machines in a zone from which heartbeats are expected. The silence of a
-    /// new zone counts from now.
+    /// Sets the number of machines in a zone from which heartbeats are expected. For a new zone,
+    /// the time without heartbeats is counted from `now`.
     pub fn set_expected_in(&mut self, zone: ZoneIdx, machines: usize, now: f64) {
         let new_zone = ZoneHeartbeats { expected: 0, last_seen: now };
         self.zones.entry(zone).or_insert(new_zone).expected = machines;
@@ -87,7 +89,8 @@
         self.zones.keys().copied().filter(move |zone| self.is_unreachable(*zone, now))
     }
 
-    /// Returns how long no machine at all has been seen, and how many should send heartbeats.
+    /// Returns the time since any machine was last seen, and how many machines should send
+    /// heartbeats.
     pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
         HeartbeatSilence { expected_machines: self.expected, silent_s: now - self.last_seen }
     }
--- a/crates/gladekeel-controller/src/leader/failure_detection/thresholds.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/thresholds.rs
@@ -1,4 +1,4 @@
-//! The durations of silence after which the failure detector draws its conclusions.
+//! The time limits by which the failure detector decides whether to probe or to delete a machine.
 
 use gladekeel_wire::settings::Deployment;
 
@@ -9,42 +9,46 @@
 const OUTBOUND_PARTITION_TIMEOUTS: f64 = 2.0;
 /// Margin in seconds that is added to [`OUTBOUND_PARTITION_TIMEOUTS`] heartbeat timeouts.
 const OUTBOUND_PARTITION_MARGIN_S: f64 = 4.0;
-/// The machines of a silent zone count as failed at least this many seconds before the end of a
-/// cancellation deadline that starts at the beginning of their silence.
+/// If no messages arrive from a whole zone, its machines count as failed at least this many seconds
+/// before the cancellation deadline of a job that is cancelled when the messages cease.
 const ZONE_DEADLINE_MARGIN_S: f64 = 8.0;
-/// A machine counts as recently seen while its silence is shorter than this fraction of the
-/// unreachable timeout, so that the silence of a zone is noticed well before the machines of the
-/// zone count as failed.
+/// A machine counts as recently seen while the time since its last message is below this fraction
+/// of the unreachable timeout. That a whole zone is unreachable is therefore noticed well before
+/// its machines count as failed.
 const RECENTLY_SEEN_FRACTION: f64 = 0.6;
 /// The highest number of machines per processor core at which a new leader probes all machines at
 /// once. The responses of more machines would take longer to process than their next heartbeats
 /// take to arrive.
 const MAX_PROBED_MACHINES_PER_CORE: f64 = 500.0;
-/// The number of lease durations without a message after which a machine counts as failed in any
-/// case.
+/// The number of lease durations without a message from a machine after which the machine counts as
+/// failed, whatever the state of its zone.
 const MAX_SILENT_LEASES: f64 = 3.0;
 
 /// The thresholds of one pass of the failure detector. All fields except the flags are in seconds.
 pub(super) struct DetectionThresholds {
-    /// Silence after which a machine is probed.
+    /// Time since the last message from a machine after which the machine is probed.
     pub probe_after_s: f64,
     /// Whether machines that this leader has not yet seen are probed immediately.
     pub probes_unseen_machines: bool,
-    /// Silence after which a heartbeat is overdue.
+    /// Time since the last message from a machine after which its heartbeat is overdue.
     pub heartbeat_timeout_s: f64,
-    /// Silence below which a machine counts as recently seen.
+    /// Time since the last message from a machine below which the machine counts as recently seen.
     pub recently_seen_s: f64,
-    /// Silence after which an unresponsive machine may count as failed.
+    /// Time since the last message from an unresponsive machine after which the machine may count
+    /// as failed.
     pub unreachable_after_s: f64,
     /// Time after which a machine that responds to probes, but from which no heartbeats arrive,
     /// counts as partitioned from all controllers.
     pub outbound_partition_s: f64,
-    /// Silence after which a machine counts as failed although its whole zone is silent.
+    /// Time since the last message from a machine after which the machine counts as failed, even if
+    /// no messages arrive from its whole zone.
     pub silent_zone_s: f64,
-    /// Silence after which a machine counts as failed in any case.
+    /// Time since the last message from a machine after which the machine counts as failed,
+    /// whatever the state of its zone and of other machines.
     pub max_silence_s: f64,
-    /// Whether the tasks of a job that was cancelled right after the last contact with the store
-    /// must soon be off every machine. This leader may not know of such a cancellation.
+    /// Whether machines must be deleted now to meet the cancellation deadline of a job that was
+    /// cancelled right after the last contact with the store. This leader may not know of such a
+    /// cancellation.
     pub unknown_cancellations_due: bool,
 }
 
@@ -52,7 +56,8 @@
 pub(super) struct DetectionContext {
     /// The current time, in seconds on the node's clock.
     pub now: f64,
-    /// The configured silence after which a machine may count as failed, in seconds.
+    /// The configured time since the last message from a machine after which the machine may count
+    /// as failed, in seconds.
     pub unreachable_after_s: f64,
     /// The number of machines in the cluster.
     pub machines: usize,
