--- a/crates/gladekeel-controller/src/leader/machine/acknowledgements.rs
+++ b/crates/gladekeel-controller/src/leader/machine/acknowledgements.rs
@@ -43,7 +43,7 @@
         !self.token_seen && self.starts.is_empty() && self.forgets.is_empty()
     }
 
-    /// Whether a heartbeat that reports these attempts shows any of the effects.
+    /// Whether a heartbeat that reports the attempts `reported_attempts` shows any of the effects.
     fn any_shown(&self, reported_attempts: &BTreeSet<u64>, knows_token: bool) -> bool {
         self.starts.iter().any(|attempt| reported_attempts.contains(attempt))
             || self.forgets.iter().any(|attempt| !reported_attempts.contains(attempt))
@@ -81,7 +81,7 @@
     }
 
     /// Records that the worker's lease has expired although its heartbeats arrived. The expiry
-    /// counts like several responses without effect.
+    /// counts as [`MAX_MISSED_ACKS`] responses without effect.
     pub fn record_expired_lease(&mut self) {
         self.missed = self.missed.max(MAX_MISSED_ACKS);
     }
--- a/crates/gladekeel-controller/src/leader/machine/deletion.rs
+++ b/crates/gladekeel-controller/src/leader/machine/deletion.rs
@@ -66,7 +66,8 @@
 }
 
 impl Deletion {
-    /// Plans the deletion. Returns false if it was already planned; the first reason then stays.
+    /// Plans the deletion. Returns false if the deletion was already planned; the first reason is
+    /// then kept.
     pub fn plan(&mut self, reason: DeletionReason) -> bool {
         let is_new = *self == Deletion::NotPlanned;
         if is_new {
--- a/crates/gladekeel-controller/src/leader/machine/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/machine/liveness.rs
@@ -41,7 +41,7 @@
     responsive_without_heartbeats_since: Option<f64>,
     /// The number of consecutive direct commands without a response.
     unanswered_commands: u32,
-    /// Since when the worker has counted as unresponsive; `None` if it does not.
+    /// Since when the worker has counted as unresponsive; `None` while it counts as responsive.
     unresponsive_since: Option<f64>,
     /// Since when the machine has been suspect, because other machines responded while this one was
     /// unresponsive; `None` if it is not suspect.
@@ -108,7 +108,7 @@
     }
 
     /// Records that other machines have responded while this one was unresponsive. Repeated calls
-    /// keep the time of the first one.
+    /// keep the time of the first call.
     pub fn record_suspicion(&mut self, now: f64) {
         self.suspect_since.get_or_insert(now);
     }
@@ -123,19 +123,19 @@
         self.last_seen
     }
 
-    /// When the worker's silence began: when it was last seen or, if it was never seen, when the
-    /// machine became known.
+    /// When the worker was last seen or, if it was never seen, when the machine became known.
     pub fn silent_since(&self) -> f64 {
         self.last_seen.unwrap_or(self.known_since)
     }
 
-    /// For how long the worker has not been seen, in seconds.
+    /// The time since the worker was last seen or, if it was never seen, since the machine became
+    /// known, in seconds.
     pub fn silent_s(&self, now: f64) -> f64 {
         now - self.silent_since()
     }
 
-    /// The age of the last heartbeat or the duration of the silence, in seconds, whichever is
-    /// longer.
+    /// The time since the last heartbeat or since the worker was last seen, in seconds, whichever
+    /// is longer.
     pub fn heartbeat_age_s(&self, now: f64) -> f64 {
         now - self.silent_since().min(self.last_heartbeat.at)
     }
@@ -157,7 +157,7 @@
         self.last_direct_response
     }
 
-    /// Since when the worker has counted as unresponsive; `None` if it does not.
+    /// Since when the worker has counted as unresponsive; `None` while it counts as responsive.
     pub fn unresponsive_since(&self) -> Option<f64> {
         self.unresponsive_since
     }
--- a/crates/gladekeel-controller/src/leader/machine/mod.rs
+++ b/crates/gladekeel-controller/src/leader/machine/mod.rs
@@ -243,7 +243,7 @@
         self.deletion.is_planned() || self.draining || self.termination_at.is_some()
     }
 
-    /// Plans the deletion of the machine. Returns false if it was already planned.
+    /// Plans the deletion of the machine. Returns false if the deletion was already planned.
     pub(super) fn mark_for_deletion(&mut self, now: f64, reason: DeletionReason) -> bool {
         let is_new = self.deletion.plan(reason);
         if is_new {
--- a/crates/gladekeel-controller/src/leader/machine/workload.rs
+++ b/crates/gladekeel-controller/src/leader/machine/workload.rs
@@ -50,7 +50,8 @@
         self.requested
     }
 
-    /// Since when the machine has had no attempts. The value is meaningful only while it has none.
+    /// Since when the machine has had no attempts. The value is meaningful only while the machine
+    /// has no attempts.
     pub fn idle_since(&self) -> f64 {
         self.idle_since
     }
