--- a/crates/gladekeel-controller/src/leader/cluster_state.rs
+++ b/crates/gladekeel-controller/src/leader/cluster_state.rs
@@ -35,9 +35,9 @@
 }
 
 impl ClusterState {
-    /// Prepares the state for a new token on the same node. The duration of each machine's silence
-    /// is kept, since heartbeats arrived without interruption. Attempts are dropped, and are then
-    /// replayed from the assignment log.
+    /// Prepares the state for a new token on the same node. The time at which each machine was last
+    /// seen is kept, since this node has received heartbeats without interruption. Attempts are
+    /// dropped, and are then replayed from the assignment log.
     pub(super) fn renew(&mut self) {
         for machine in self.machines.values_mut() {
             machine.reset_for_new_token();
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -1,10 +1,10 @@
 //! The leading controller.
 //!
 //! The store holds the desired state: jobs and the assignments of their tasks. Workers' heartbeats
-//! and the cloud's machine lists give the observed state. Each module below handles one concern:
-//! it compares the two states and decides what to do about the differences. The node passes
-//! incoming messages and the current time to the leader and fetches the transactions and requests
-//! that are to be sent; the leader does no I/O and reads no clock.
+//! and the cloud's machine lists give the observed state. Each module in the table has one concern,
+//! for which it compares the two states and decides what to do about their differences. The node
+//! passes incoming messages and the current time to the leader and fetches the transactions and
+//! requests that are to be sent; the leader does no I/O and reads no clock.
 //!
 //! | concern | module |
 //! | --- | --- |
@@ -331,7 +331,8 @@
         &self.cluster.counters
     }
 
-    /// Returns how long no machine at all has been seen, and how many should send heartbeats.
+    /// Returns the time since any machine was last seen, and how many machines should send
+    /// heartbeats.
     pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
         self.failure_detector.heartbeat_silence(now)
     }
--- a/crates/gladekeel-controller/src/leader/token_renewal.rs
+++ b/crates/gladekeel-controller/src/leader/token_renewal.rs
@@ -3,8 +3,8 @@
 //! This module enforces "Who may decide" and "Direct commands" of `docs/safety.md`. A request whose
 //! outcome is unknown may still be executed under the old token; once there is a new token, the
 //! request can only fail. The node checks
-//! [`Leader::needs_new_token`](super::Leader::needs_new_token) and, if it returns true, writes the
-//! leader key again.
+//! [`Leader::needs_new_token`](super::Leader::needs_new_token) and, if it returns true, obtains a
+//! new token by writing the leader key again.
 
 use std::fmt;
 
@@ -30,15 +30,16 @@
     }
 }
 
-/// The requirement of a new token, with the first reason for it. Each term begins without this
-/// requirement.
+/// Whether a new fencing token is required, and the first reason that required it. Each term begins
+/// without this requirement.
 #[derive(Debug, Default)]
 pub(super) struct TokenRenewal {
     reason: Option<TokenRenewalReason>,
 }
 
 impl TokenRenewal {
-    /// Requires a new token. The leader commits, binds and starts nothing until it has one.
+    /// Requires a new token. The leader commits, binds and starts nothing until it has the new
+    /// token.
     pub fn require(&mut self, reason: TokenRenewalReason) {
         if self.reason.is_none() {
             tracing::warn!(%reason, "new fencing token required");
