--- a/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
@@ -7,7 +7,7 @@
 
 /// A zone counts as unreachable once this many consecutive heartbeats from it are missing.
 const MAX_MISSING_HEARTBEATS: f64 = 30.0;
-/// The minimum time without heartbeats from a zone before the zone counts as unreachable, in
+/// The minimum time without a message from a zone before the zone counts as unreachable, in
 /// seconds.
 const MIN_ZONE_TIMEOUT_S: f64 = 1.5;
 
@@ -44,7 +44,7 @@
 }
 
 impl ZoneReachability {
-    /// Creates the state in which no machine has been seen yet. The time without heartbeats is
+    /// Creates the state in which no machine has been seen yet. The time without messages is
     /// counted from `now`.
     pub fn new(now: f64, workers: &WorkerTimings) -> ZoneReachability {
         ZoneReachability {
@@ -68,7 +68,7 @@
     }
 
     /// Sets the number of machines in a zone from which heartbeats are expected. For a new zone,
-    /// the time without heartbeats is counted from `now`.
+    /// the time without messages is counted from `now`.
     pub fn set_expected_in(&mut self, zone: ZoneIdx, machines: usize, now: f64) {
         let new_zone = ZoneHeartbeats { expected: 0, last_seen: now };
         self.zones.entry(zone).or_insert(new_zone).expected = machines;
