--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/batch.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/batch.rs
@@ -61,12 +61,12 @@
         self.reserved_ops = ops;
     }
 
-    /// Returns how many more operations may be added, not counting the reserved ones.
+    /// Returns how many more operations may be added, not counting the reserved operations.
     pub fn ops_left(&self) -> usize {
         self.max_ops.saturating_sub(self.ops() + self.reserved_ops)
     }
 
-    /// Whether `ops` more operations may be added, not counting the reserved ones.
+    /// Whether `ops` more operations may be added, not counting the reserved operations.
     pub fn allows_ops(&self, ops: usize) -> bool {
         ops <= self.ops_left()
     }
--- a/crates/gladekeel-controller/src/leader/assignment_log/writer/pending.rs
+++ b/crates/gladekeel-controller/src/leader/assignment_log/writer/pending.rs
@@ -33,7 +33,7 @@
         self.proposed.insert(id);
     }
 
-    /// Drops a proposal. The proposal must not be in flight.
+    /// Drops a proposed attempt. Its assignment must not be part of the transaction in flight.
     pub(in crate::leader::assignment_log) fn drop_proposal(&mut self, id: AttemptId) {
         self.proposed.remove(&id);
     }
--- a/crates/gladekeel-controller/src/leader/commands/outcome.rs
+++ b/crates/gladekeel-controller/src/leader/commands/outcome.rs
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Counts a missing response against the machine, unless this node has lagged and may itself
-    /// have caused the timeout.
+    /// Counts a missing response against the machine, unless a recent tick of this node was late,
+    /// so that the node itself may have caused the timeout.
     fn on_no_response(&mut self, now: f64, machine_idx: MachineIdx) {
         if self.timers.lagged_within(LAG_GRACE_S, now) {
             return;
--- a/crates/gladekeel-controller/src/leader/commands/queue.rs
+++ b/crates/gladekeel-controller/src/leader/commands/queue.rs
@@ -84,7 +84,7 @@
         self.probes.pop_first()
     }
 
-    /// Counts a probe that is being sent.
+    /// Records that a probe is being sent, which is in flight from now on.
     pub(super) fn record_probe_sent(&mut self) {
         self.probes_in_flight += 1;
     }
--- a/crates/gladekeel-controller/src/leader/machine/acknowledgements.rs
+++ b/crates/gladekeel-controller/src/leader/machine/acknowledgements.rs
@@ -86,7 +86,7 @@
         self.missed = self.missed.max(MAX_MISSED_ACKS);
     }
 
-    /// The number of consecutive responses without effect.
+    /// The number of consecutive responses to heartbeats that had no effect on the worker.
     pub fn missed(&self) -> u32 {
         self.missed
     }
--- a/crates/gladekeel-controller/src/leader/machine/cloud_listing.rs
+++ b/crates/gladekeel-controller/src/leader/machine/cloud_listing.rs
@@ -14,13 +14,14 @@
 }
 
 impl CloudListing {
-    /// Records that a list includes the machine.
+    /// Records that a list from the cloud includes the machine in this state.
     pub fn record_listed(&mut self, state: MachineState) {
         self.state = Some(state);
         self.missing_lists = 0;
     }
 
-    /// Records that a list lacks the machine. Returns whether the machine now counts as gone.
+    /// Records that a list from the cloud lacks the machine. Returns whether the machine counts as
+    /// gone because several consecutive lists lack it.
     pub fn record_missing(&mut self) -> bool {
         self.missing_lists += 1;
         self.missing_lists >= MAX_MISSING_LISTS
--- a/crates/gladekeel-controller/src/leader/timers.rs
+++ b/crates/gladekeel-controller/src/leader/timers.rs
@@ -39,8 +39,8 @@
         self.last_tick_at = now;
     }
 
-    /// Whether this node has lagged within the last `seconds`. A node whose term has just begun
-    /// counts as having lagged.
+    /// Whether a tick of this node was late within the last `seconds` seconds. The beginning of the
+    /// term counts as a late tick.
     pub fn lagged_within(&self, seconds: f64, now: f64) -> bool {
         now - self.last_lag_at < seconds
     }
