--- a/crates/gladekeel-controller/src/node/admin_requests.rs
+++ b/crates/gladekeel-controller/src/node/admin_requests.rs
@@ -1,7 +1,8 @@
 //! Operators' requests to the administration API: runtime settings, status and draining.
 //!
-//! Each change is committed on the precondition that the key still has the version on which the
-//! change is based, so that operators cannot overwrite each other's changes unnoticed.
+//! Each change is a write to one key of the store, on the precondition that this key still has the
+//! version on which the change is based, so that operators cannot overwrite each other's changes
+//! unnoticed.
 
 use super::{Node, RequestId, outgoing_calls::StoreCallPurpose, user_requests::Continuation};
 use crate::{
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Handles a request for the runtime settings. The reply waits for a read, so that it includes
-    /// changes that another node has just made.
+    /// Handles a request for the runtime settings. The reply waits for a read of the store, so that
+    /// the reply includes changes that another node has just made.
     fn on_get_settings(&mut self, now: f64, request: RequestId) {
         if !self.reject_if_overloaded(now, request) {
             self.enqueue_for_read(now, request, Continuation::ReplySettings);
@@ -108,8 +109,8 @@
             Ok(changed) => changed,
             Err(error) => return self.reply(now, request, Reply::error(400, error.to_string())),
         };
-        // Settings that the change does not name keep the values of this node's view, so the view
-        // must have the version that the operator has read.
+        // Settings that the change does not name keep the values of this node's view, so the
+        // settings in the view must have the version that the operator has read.
         if change.version != self.store.view.runtime_settings_version {
             self.store.request_read();
             return self.reply(now, request, Reply::error(409, CONFLICT_MESSAGE));
@@ -159,8 +160,8 @@
         if self.reject_if_overloaded(now, request) {
             return;
         }
-        // Operators' changes are few: each takes a token of the rate limit if one is available, but
-        // never waits for one.
+        // Operators' changes are few: each takes a token of the rate limit if a token is available,
+        // and is sent without a token otherwise.
         self.rate_limits.user_writes.try_take(now, 1.0);
         let purpose = StoreCallPurpose::AdminWrite { request, change };
         self.call_store(now, purpose, StoreRequest::Commit(transaction));
--- a/crates/gladekeel-controller/src/node/health.rs
+++ b/crates/gladekeel-controller/src/node/health.rs
@@ -6,9 +6,10 @@
 /// Age of the last contact with the store below which a node is healthy, whatever its peers report.
 const HEALTHY_CONTACT_S: f64 = 3.0;
 /// Age of a peer's last heartbeat below which a node without recent contact with the store compares
-/// itself with the peer.
+/// its own contact with the contact of the peer.
 const PEER_SEEN_WITHIN_S: f64 = 2.5;
-/// Age of a peer's last contact with the store from which the peer counts as having lost contact.
+/// Age of a peer's last contact with the store from which the peer counts as having lost contact
+/// with the store.
 const STALE_PEER_CONTACT_MS: u32 = 2500;
 
 impl Node {
@@ -23,9 +24,9 @@
     }
 
     /// Whether this node should receive users' requests. A node without recent contact with the
-    /// store is healthy only if every reachable peer has lost contact too. If no peer is
-    /// reachable, the node cannot know whether the store or its own network has failed, and counts
-    /// as unhealthy; a deployment's only node counts as healthy.
+    /// store is healthy only if every reachable peer has lost contact with the store too. If no
+    /// peer is reachable, the node cannot know whether the store or its own network has failed, and
+    /// counts as unhealthy; a deployment's only node counts as healthy.
     fn is_healthy(&self, now: f64) -> bool {
         if !self.store.is_loaded() {
             return false;
--- a/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/balancing.rs
@@ -15,8 +15,8 @@
 const MAX_LEADER_LOAD: f64 = 0.5;
 /// The leader's share of the workers if only one other controller can relay heartbeats.
 const LEADER_SHARE_WITH_ONE_PEER: f64 = 0.3;
-/// Minimum time between two redirections of a worker: a worker that returns earlier may have been
-/// unable to reach the other controller.
+/// Minimum time between two redirections of a worker: a worker that returns sooner to the previous
+/// controller may have been unable to reach the new one.
 const MIN_REDIRECT_INTERVAL_S: f64 = 45.0;
 /// A controller is overloaded if it has more than this multiple of its share of the workers, plus
 /// [`OVERLOAD_ALLOWANCE`].
@@ -44,15 +44,16 @@
     redirected_at: f64,
 }
 
-/// Counts workers by receiver and decides which workers are redirected.
+/// Counts the workers by the controller that receives their heartbeats, and decides which workers
+/// are redirected to another controller.
 #[derive(Debug)]
 pub struct HeartbeatBalancer {
     /// The counted workers by machine name.
     workers: HashMap<String, ReportingWorker>,
-    /// The number of workers that send their heartbeats to each peer, followed by the leader's
-    /// number.
+    /// The number of workers that send their heartbeats to each peer, followed by the number of
+    /// workers that send them to the leader.
     workers_per_receiver: Vec<usize>,
-    /// Number of workers in the cluster up to which the leader redirects none.
+    /// Number of workers in the cluster up to which the leader redirects no worker.
     max_leader_workers: f64,
     expire_after_s: f64,
     last_expiry_at: f64,
@@ -96,14 +97,14 @@
         Some(target)
     }
 
-    /// The number of workers that send their heartbeats to each peer, followed by the leader's
-    /// number.
+    /// The number of workers that send their heartbeats to each peer, followed by the number of
+    /// workers that send them to the leader.
     pub fn workers_per_receiver(&self) -> &[usize] {
         &self.workers_per_receiver
     }
 
-    /// Returns the receiver that lacks the largest fraction of its share of the workers; `None` if
-    /// `receiver` is not overloaded or no worker needs to be redirected.
+    /// Returns the controller that is furthest below its share of the workers, as a fraction of
+    /// this share; `None` if `receiver` is not overloaded or no worker needs to be redirected.
     fn underloaded_receiver(
         &self,
         receiver: HeartbeatReceiver,
@@ -185,8 +186,8 @@
     }
 }
 
-/// Returns each peer's share of all workers, followed by the leader's. The leader is also busy
-/// with scheduling, so it takes a share only if a single peer can relay heartbeats.
+/// Returns each peer's share of all workers, followed by the leader's share. The leader is also
+/// busy with scheduling, so it takes a share only if a single peer can relay heartbeats.
 fn target_shares(can_relay: &[bool]) -> Vec<f64> {
     let relaying_peers = can_relay.iter().filter(|can_relay| **can_relay).count().max(1);
     let leader_share = if relaying_peers == 1 { LEADER_SHARE_WITH_ONE_PEER } else { 0.0 };
--- a/crates/gladekeel-controller/src/node/heartbeats/mod.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/mod.rs
@@ -169,7 +169,8 @@
     }
 
     /// Handles a heartbeat that a peer has relayed. This node responds only if it leads: a peer
-    /// that receives no response renews the worker's lease itself if it may.
+    /// that receives no response renews the worker's lease itself, provided that the peer may renew
+    /// leases.
     pub(super) fn on_relayed_heartbeat(
         &mut self,
         now: f64,
--- a/crates/gladekeel-controller/src/node/heartbeats/routing.rs
+++ b/crates/gladekeel-controller/src/node/heartbeats/routing.rs
@@ -8,8 +8,8 @@
 /// Time after a redirection to the leader within which a worker is not redirected again: a worker
 /// that returns to this node so soon could not reach the leader.
 const REDIRECT_AGAIN_AFTER_S: f64 = 12.0;
-/// Replaces [`REDIRECT_AGAIN_AFTER_S`] while heartbeats can be relayed to the leader. This time is
-/// longer because the leader receives the heartbeats anyway.
+/// Replaces [`REDIRECT_AGAIN_AFTER_S`] while heartbeats can be relayed to the leader. The time is
+/// longer because the leader receives relayed heartbeats even if the worker is not redirected.
 const REDIRECT_AGAIN_WITH_RELAY_AFTER_S: f64 = 45.0;
 /// How long a redirection is remembered.
 const REDIRECTION_TTL_S: f64 = 10.0 * REDIRECT_AGAIN_AFTER_S;
@@ -55,7 +55,7 @@
     /// Whether this node may renew leases: its last contact with the store is so recent that a
     /// cancellation it has not seen still takes effect in time.
     pub may_renew_leases: bool,
-    /// Whether the view of the store is fresh.
+    /// Whether the last contact with the store is recent enough to act on the view of the store.
     pub has_fresh_store_contact: bool,
     /// The peer that leads, if heartbeats can be relayed to it.
     pub leader_peer: Option<LeaderPeer>,
--- a/crates/gladekeel-controller/src/node/leadership/commits.rs
+++ b/crates/gladekeel-controller/src/node/leadership/commits.rs
@@ -1,8 +1,8 @@
 //! The leader's commits, and the handling of commits whose response is slow.
 //!
-//! A commit in doubt is looked up in the store rather than assumed to have failed
-//! (`docs/safety.md`, "Who may decide"). If a commit remains in doubt until it times out, the
-//! leader requests a new token, under which the old commit can only fail.
+//! A commit is in doubt while its outcome is unknown. It is then looked up in the store rather than
+//! assumed to have failed (`docs/safety.md`, "Who may decide"). If a commit remains in doubt until
+//! it times out, the leader requests a new token, under which the old commit can only fail.
 
 use crate::node::{Node, outgoing_calls::StoreCallPurpose};
 use gladekeel_store::{StoreOutcome, StoreRequest};
--- a/crates/gladekeel-controller/src/node/leadership/election.rs
+++ b/crates/gladekeel-controller/src/node/leadership/election.rs
@@ -16,7 +16,7 @@
 const RENEWAL_INTERVAL_S: f64 = 0.8;
 /// Pause after an election request that changed the leader key or was refused.
 const RETRY_S: f64 = 0.2;
-/// Pause after an election request whose outcome is in doubt, and after a request for a new token.
+/// Pause after an election request whose outcome is unknown, and after a request for a new token.
 const RETRY_IN_DOUBT_S: f64 = 0.3;
 
 /// The state of this node in the election.
--- a/crates/gladekeel-controller/src/node/leadership/mod.rs
+++ b/crates/gladekeel-controller/src/node/leadership/mod.rs
@@ -1,7 +1,7 @@
 //! Leadership: how this node acquires it, takes over, leads and steps down.
 //!
-//! Leadership is decided by the store alone: a node leads when a read shows its own incarnation
-//! in the leader key, and stops leading when a read does not (see `docs/safety.md`,
+//! Leadership is decided by the store alone: a node leads when a read shows its own incarnation in
+//! the leader key, and stops leading when a read no longer shows it there (see `docs/safety.md`,
 //! "Who may decide"). The version of the key is the fencing token. The responses to a node's own
 //! election requests decide nothing. A peer that reports leading under a higher token makes this
 //! node step down early, which is always safe.
@@ -43,7 +43,7 @@
     last_used_token: u64,
     acquisition_count: u64,
     resignations: ResignationBackoff,
-    /// When a commit in doubt was last looked up.
+    /// When a commit in doubt was last looked up in the store.
     confirmation_sent_at: f64,
 }
 
--- a/crates/gladekeel-controller/src/node/leadership/resignation.rs
+++ b/crates/gladekeel-controller/src/node/leadership/resignation.rs
@@ -1,9 +1,9 @@
 //! Resignation of a leader that no worker can reach.
 //!
 //! Such a leader cannot manage its workers, and workers may be able to reach another node. Each
-//! consecutive resignation doubles both the silence that the next one requires and the time for
-//! which this node is not a candidate. Otherwise nodes would keep passing leadership around when
-//! the workers, not the leader, have failed.
+//! consecutive resignation doubles both the time without heartbeats after which this node resigns
+//! again and the time for which this node is not a candidate. Otherwise nodes would keep passing
+//! leadership around when the workers, not the leader, have failed.
 
 use super::{Leadership, Role};
 use crate::{
@@ -18,11 +18,12 @@
 const ISOLATED_AFTER_HEARTBEATS: f64 = 30.0;
 /// Minimum time without heartbeats before a leader counts as isolated.
 const MIN_ISOLATED_AFTER_S: f64 = 4.0;
-/// Maximum amount by which the silence limit exceeds a worker's heartbeat timeout.
+/// Maximum amount by which the result of [`isolated_after_s`] exceeds a worker's heartbeat timeout.
 const HEARTBEAT_TIMEOUT_SLACK_S: f64 = 2.0;
-/// Time after its first resignation for which a node is not a candidate for leadership.
+/// Time for which a node is not a candidate for leadership after its first resignation.
 const CANDIDACY_PAUSE_S: f64 = 6.0;
-/// Maximum number of times that the silence limit and the candidacy pause double.
+/// Maximum number of times that the time without heartbeats before a resignation and the pause in
+/// candidacy after a resignation double.
 const MAX_DOUBLINGS: u32 = 4;
 
 /// Counts this node's resignations since it last received heartbeats as the leader.
@@ -37,9 +38,9 @@
     }
 }
 
-/// Time without any heartbeat after which a leader of `machines` machines counts as isolated (the
-/// silence limit). The more machines there are, the shorter the time between heartbeats and the
-/// lower the limit.
+/// Time without any heartbeat after which a leader of `machines` machines counts as isolated. This
+/// time is shorter if there are more machines, because the time between two heartbeats is shorter
+/// then.
 fn isolated_after_s(workers: &WorkerTimings, machines: usize) -> f64 {
     let expected_s =
         ISOLATED_AFTER_HEARTBEATS * workers.heartbeat_interval_s / machines.max(1) as f64;
--- a/crates/gladekeel-controller/src/node/leadership/takeover.rs
+++ b/crates/gladekeel-controller/src/node/leadership/takeover.rs
@@ -1,7 +1,7 @@
 //! Takeover: a node that the leader key names reads the assignment log before it schedules.
 //!
-//! The log is read under the new token, so no other node can change it in the meantime. An
-//! attempt that the log does not record as released counts as running on its machine.
+//! The log is read under the new token, so no other node can change it in the meantime. An attempt
+//! that the log does not record as released is treated as running on its machine.
 
 use super::Role;
 use crate::{
@@ -42,7 +42,8 @@
     }
 }
 
-/// The state from leading under a lower token, which the takeover carries over.
+/// What this node knew as the leader under a lower token, and keeps during a takeover under a
+/// higher one.
 #[derive(Debug)]
 pub(super) struct PreviousTerm {
     cluster: ClusterState,
@@ -75,7 +76,8 @@
     in_flight: bool,
     /// No page is read before this time.
     not_before: f64,
-    /// The state from leading under a lower token; `None` if this node did not lead before.
+    /// What this node knew as the leader under a lower token; `None` if it did not lead before the
+    /// takeover.
     previous: Option<PreviousTerm>,
 }
 
--- a/crates/gladekeel-controller/src/node/mod.rs
+++ b/crates/gladekeel-controller/src/node/mod.rs
@@ -60,7 +60,8 @@
 /// A controller node.
 pub struct Node {
     settings: Rc<Settings>,
-    /// The deployment's settings, with the lower of the store's current and announced limits.
+    /// The deployment's settings. Each limit of the store is the lower of its current value and the
+    /// value that the store has announced.
     deployment: Rc<Deployment>,
     /// The Unix time at which the node's clock was 0, in seconds.
     epoch: f64,
--- a/crates/gladekeel-controller/src/node/peers/cancellations.rs
+++ b/crates/gladekeel-controller/src/node/peers/cancellations.rs
@@ -1,8 +1,9 @@
-//! Cancellations that one controller has committed and the others may not have read yet.
+//! Cancellations that one controller has committed and the other controllers may not have read yet.
 //!
 //! A node that commits a cancellation sends it to its peers, so that a leader whose requests the
-//! store refuses learns of the cancellation. A pending cancellation only stops tasks; it starts
-//! none, and replies to users depend on the store alone.
+//! store refuses learns of the cancellation. Until a read returns the cancellation, it is pending:
+//! a pending cancellation stops tasks but starts none, and replies to users depend on the store
+//! alone.
 
 use super::PeerMessage;
 use crate::node::Node;
@@ -11,9 +12,9 @@
     mesh::{self, CANCELLATIONS_LEVEL, FrameKind},
 };
 
-/// How long a pending cancellation is kept. By then the job's tasks have stopped, or a read has
-/// returned the cancellation; if no read ever returns it, the job does not belong to this
-/// deployment.
+/// How long a pending cancellation is kept. By the end of this time the job's tasks have stopped,
+/// or a read has returned the cancellation; if no read ever returns it, the job does not belong to
+/// this deployment.
 const PENDING_CANCELLATION_TTL_S: f64 = 300.0;
 
 impl Node {
@@ -29,7 +30,8 @@
     }
 
     /// Records a job's cancellation that this node or a peer has committed. The cancellation
-    /// deadline counts from `not_before`. A read may not return the cancellation for a long time.
+    /// deadline counts from `not_before`. The record does not wait for a read, which may not return
+    /// the cancellation for a long time.
     pub(in crate::node) fn apply_pending_cancellation(&mut self, id: &JobId, not_before: f64) {
         let view = &mut self.store.view;
         if view.final_states.contains_key(id) {
--- a/crates/gladekeel-controller/src/node/peers/job_progress.rs
+++ b/crates/gladekeel-controller/src/node/peers/job_progress.rs
@@ -12,8 +12,8 @@
 
 impl Node {
     /// Sends job progress to all peers for display, if this node leads and a publication is due:
-    /// all progress if a peer has restarted, else the changes. Only the leader knows the progress
-    /// of jobs.
+    /// the progress of all jobs if a peer has restarted, else only the progress that has changed
+    /// since the last publication. Only the leader knows the progress of jobs.
     pub(in crate::node) fn publish_job_progress(&mut self, now: f64) {
         if now - self.peers.last_progress_at < PROGRESS_INTERVAL_S {
             return;
--- a/crates/gladekeel-controller/src/node/peers/mod.rs
+++ b/crates/gladekeel-controller/src/node/peers/mod.rs
@@ -70,7 +70,7 @@
 pub(super) struct Peers {
     peers: Vec<Peer>,
     /// The sorted names of all nodes, including this one. A frame identifies its sender by the
-    /// index in this list.
+    /// sender's index in this list.
     node_names: Vec<String>,
     /// This node's index in `node_names`.
     node_index: u32,
--- a/crates/gladekeel-controller/src/node/rate_limits.rs
+++ b/crates/gladekeel-controller/src/node/rate_limits.rs
@@ -30,8 +30,9 @@
 }
 
 impl RateLimits {
-    /// Creates the limits from the settings of a deployment, which must have the lower of the
-    /// store's current and announced limits. `current` holds the store's current limits.
+    /// Creates the limits from the settings of a deployment, in which each limit of the store must
+    /// be the lower of its current and its announced value. `current` holds the store's current
+    /// limits.
     pub fn new(deployment: &Deployment, current: &StoreLimits) -> RateLimits {
         let requests = deployment.store.rps / f64::from(deployment.controllers.max(1));
         let user_writes = deployment.store.write_rps * USER_WRITE_SHARE;
@@ -51,7 +52,8 @@
     }
 }
 
-/// The rate limit of the leader's writes, across an announced change of the store's limit.
+/// The rate limit of the leader's writes, before and after an announced change of the store's
+/// limits.
 ///
 /// A write that exceeds a lowered size limit is refused on every retry, so write sizes respect the
 /// announced limits from the start. Writes that exceed the rate limit are only delayed, so the
@@ -59,13 +61,13 @@
 #[derive(Debug)]
 pub(super) struct LeaderWrites {
     bucket: TokenBucket,
-    /// The announced rate if it is lower than the current one, else the current rate; in writes
+    /// The lower of the store's current rate and the rate that the store has announced, in writes
     /// per second.
-    announced_rate: f64,
+    lowest_rate: f64,
     /// The store's current rate, in writes per second.
     current_rate: f64,
-    /// When the leader returns to the current rate after a refusal; `None` while the current rate
-    /// is in use.
+    /// When the leader returns to the current rate after the store has refused a write; `None`
+    /// while the current rate is in use.
     retry_at: Option<f64>,
 }
 
@@ -75,12 +77,13 @@
     const RATE_SHARE: f64 = 0.75;
     /// Maximum burst of the leader's writes, as a fraction of the store's write limit per second.
     const BURST_SHARE: f64 = 0.5;
-    /// How long the announced rate is used after a refusal.
+    /// How long the lower rate is used after the store has refused a write because of its rate
+    /// limit.
     const RETRY_AFTER_S: f64 = 30.0;
 
-    fn new(announced_rate: f64, current_rate: f64) -> LeaderWrites {
+    fn new(lowest_rate: f64, current_rate: f64) -> LeaderWrites {
         let bucket = LeaderWrites::bucket_for(current_rate);
-        LeaderWrites { bucket, announced_rate, current_rate, retry_at: None }
+        LeaderWrites { bucket, lowest_rate, current_rate, retry_at: None }
     }
 
     fn bucket_for(rate: f64) -> TokenBucket {
@@ -96,11 +99,11 @@
         &mut self.bucket
     }
 
-    /// Switches to the announced rate after the store has refused a write because of its rate
-    /// limit.
+    /// Switches to the lower of the current and the announced rate after the store has refused a
+    /// write because of its rate limit.
     pub fn on_rate_limited(&mut self, now: f64) {
         self.retry_at = Some(now + LeaderWrites::RETRY_AFTER_S);
-        self.use_rate(now, self.announced_rate);
+        self.use_rate(now, self.lowest_rate);
     }
 
     /// Replaces the bucket with an empty one for another rate.
--- a/crates/gladekeel-controller/src/node/store_reads/mod.rs
+++ b/crates/gladekeel-controller/src/node/store_reads/mod.rs
@@ -30,8 +30,8 @@
 const FOLLOWER_READ_INTERVAL_S: f64 = 0.4;
 /// Age of the last contact with the store from which the view of the store counts as stale.
 const FRESH_CONTACT_S: f64 = 2.5;
-/// Subtracted from the cancellation deadline to allow for clock drift and for responses in
-/// flight.
+/// Safety margin in seconds that is subtracted from the cancellation deadline to allow for clock
+/// drift and for responses in flight.
 const LEASE_SAFETY_MARGIN_S: f64 = 3.0;
 /// Pause after a failed read that makes the store count as unreachable.
 const FAILURE_BACKOFF_S: f64 = 0.25;
--- a/crates/gladekeel-controller/src/node/store_reads/scheduler.rs
+++ b/crates/gladekeel-controller/src/node/store_reads/scheduler.rs
@@ -23,9 +23,9 @@
 pub(super) struct ReadScheduler {
     /// Number of reads in flight.
     in_flight: u32,
-    /// Number of failed reads since the last successful one.
+    /// Number of failed reads since the last successful read.
     consecutive_failures: u32,
-    /// Whether a read has been requested since the last one was sent.
+    /// Whether a read has been requested since the last read was sent.
     is_requested: bool,
     last_sent_at: f64,
     /// No read is sent before this time.
@@ -67,7 +67,8 @@
                     || demand.has_pending_requests
                     || since_last_s >= demand.idle_interval_s
             }
-            // Each page of a full load depends on the one before, so pages are read one by one.
+            // Each page of a full load starts after the last key of the previous page, so pages are
+            // read one by one.
             1 => demand.is_loaded && since_last_s >= SLOW_RESPONSE_S,
             _ => false,
         }
--- a/crates/gladekeel-controller/src/node/user_requests/writes.rs
+++ b/crates/gladekeel-controller/src/node/user_requests/writes.rs
@@ -109,8 +109,9 @@
                 self.on_user_writes_conflict(now, writes, &failed_keys);
             }
             StoreOutcome::RateLimited => self.on_user_writes_rate_limited(now, writes),
-            // The transaction names no lease, so it was refused as too large. Nothing was written;
-            // a transaction of half the size may be accepted.
+            // The store uses this status for invalid transactions too. The transaction names no
+            // lease, so the store refused it as too large. Nothing was written; a transaction of
+            // half the size may be accepted.
             StoreOutcome::LeaseNotFound if writes.len() > 1 => {
                 self.user_requests.halve_max_batch(writes.len());
                 self.user_requests.requeue(writes);
@@ -168,8 +169,8 @@
         self.store.request_read();
     }
 
-    /// Handles a transaction in doubt: it may have been committed or may still be. A read shows
-    /// which changes are visible; no change is sent again.
+    /// Handles a transaction in doubt: the transaction may have been committed already, or may be
+    /// committed later. A read shows which changes are visible; no change is sent again.
     fn on_user_writes_in_doubt(&mut self, now: f64, writes: Vec<UserWrite>) {
         for write in writes {
             let next = match write.change {
