--- a/crates/gladekeel-controller/src/http_api/admission.rs
+++ b/crates/gladekeel-controller/src/http_api/admission.rs
@@ -25,7 +25,7 @@
 
 /// Checks that a job fits its team's limit and at least one machine type.
 ///
-/// Machine types that are currently sold out count as well: a temporary lack of capacity is no
+/// Machine types that are currently sold out are considered too: a temporary lack of capacity is no
 /// reason to reject a job.
 pub(crate) fn check_admission(
     deployment: &Deployment,
@@ -38,7 +38,8 @@
     // Tasks of an array can run one at a time; a gang or a service needs all its tasks at the same
     // time.
     let concurrent_tasks = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
-    // Computed in the scheduler's units, so that every accepted job can be placed.
+    // The resources are computed in the scheduler's units, so that the scheduler can place every
+    // accepted job.
     let task = Resources::requested(spec.cpus, spec.gpus, spec.memory_gb);
     let requested = task * i64::from(concurrent_tasks);
     let limit = Resources::allocatable(team.cpus_max, team.gpus_max, 0.0);
--- a/crates/gladekeel-controller/src/shell/peer_connections.rs
+++ b/crates/gladekeel-controller/src/shell/peer_connections.rs
@@ -23,7 +23,7 @@
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// Delay before the next attempt to connect to a peer.
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
-/// Size of a write, in bytes, at which no more queued frames are added to it.
+/// Size of a write, in bytes, at which no more queued frames are added to the write.
 const MAX_WRITE_BYTES: usize = 64 * 1024;
 /// Size of the read buffer of a connection, in bytes.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
@@ -31,7 +31,8 @@
 /// that exceeds this time is dead, because peers send a heartbeat every second.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 /// Maximum number of open connections that this controller has accepted from peers. Each peer needs
-/// one; the others allow for connections whose peer has disappeared without closing them.
+/// one connection; the remaining connections allow for those whose peer has disappeared without
+/// closing them.
 const MAX_ACCEPTED_CONNECTIONS: usize = 32;
 /// Delay before the next attempt after accepting a connection has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/crates/gladekeel-controller/src/socket_budget.rs
+++ b/crates/gladekeel-controller/src/socket_budget.rs
@@ -1,7 +1,8 @@
 //! The division of a process's sockets by use.
 //!
 //! The budget is derived from `max_connections`. Users' requests, workers' heartbeats and the
-//! leader's calls each have their own share, so that no use can starve another.
+//! leader's calls each have their own share, so that none of these three can use up the sockets of
+//! another.
 
 use gladekeel_wire::settings::ProcessLimits;
 
--- a/crates/gladekeel-controller/src/store_view.rs
+++ b/crates/gladekeel-controller/src/store_view.rs
@@ -53,8 +53,8 @@
     /// Whether the store holds, or has held, assignments in the layout of the first version, which
     /// this version cannot read.
     pub has_legacy_assignments: bool,
-    /// Keys of jobs and final states whose values cannot be read. While there are any, nothing is
-    /// scheduled, and users who poll one of these jobs get no state.
+    /// Keys of jobs and final states whose values cannot be read. While there are such keys,
+    /// nothing is scheduled, and users who poll a job with such a key get no state.
     pub unreadable: BTreeSet<String>,
     /// The leader and its fencing token, which is the version of [`keys::LEADER`]. `None` if the
     /// key does not exist or its value cannot be read.
@@ -92,7 +92,7 @@
     RuntimeSettings,
     /// The drain order of the machine with this name was added or removed.
     Drain(String),
-    /// Any other change. It needs no further handling.
+    /// A change of any other kind, which requires no action beyond the update of the view.
     Other,
 }
 
--- a/crates/gladekeel-controller/tests/formats_37c5e95.rs
+++ b/crates/gladekeel-controller/tests/formats_37c5e95.rs
@@ -98,8 +98,8 @@
     assert_eq!(encode(&expected), text);
 }
 
-/// Guards against a new leader that looks for the log under other keys or cannot read the log.
-/// These segments cover a job from start to end, as production's leader committed them.
+/// Guards against a new leader that looks for the log under other keys or cannot read the log. The
+/// segments in the fixture cover a job from start to end, as production's leader committed them.
 #[test]
 fn a_committed_log_is_read() {
     let log = |slot| {
@@ -237,7 +237,8 @@
     assert_eq!(store.final_states[&a], JobState::Done);
     assert_eq!(store.final_states[&b], JobState::Cancelled);
     assert!(store.is_cancelled(&b) && !store.is_cancelled(&a));
-    // This time is on the node's own clock: production stores no time of a cancellation.
+    // The time in `cancelled_no_earlier_than` is on the node's own clock: production stores no time
+    // of a cancellation.
     assert_eq!(store.cancelled_no_earlier_than.get(&b), Some(&5.0));
     assert_eq!(store.cancelled_no_earlier_than.get(&a), None);
 
--- a/crates/gladekeel-controller/tests/socket_budget.rs
+++ b/crates/gladekeel-controller/tests/socket_budget.rs
@@ -3,8 +3,8 @@
 use gladekeel_controller::socket_budget::SocketBudget;
 use gladekeel_wire::settings::ProcessLimits;
 
-/// Guards against workers whose connections use up the sockets of users: a leader of 3,375
-/// machines once refused connections of both at random.
+/// Guards against workers whose connections use up the sockets of users: a leader of 3,375 machines
+/// once refused connections of workers and users at random.
 #[test]
 fn every_use_has_its_own_share_of_sockets() {
     for max_connections in [32, 100, 2900, 4545, 100_000] {
