--- a/crates/gladekeel-wire/src/job/mod.rs
+++ b/crates/gladekeel-wire/src/job/mod.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// The relation between the tasks of a job.
+/// Whether the tasks of a job run independently, as a gang or as a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
@@ -52,13 +52,14 @@
     /// Id that the user has chosen. Submitting the same id again is idempotent.
     #[serde(rename = "name_id")]
     pub id: JobId,
-    /// Class of similar jobs, for objectives and run-time estimates.
+    /// Class of similar jobs to which the job belongs; service-level objectives and run-time
+    /// estimates apply to a class.
     #[serde(rename = "rig")]
     pub class: String,
     /// Team whose quota (guarantee and limit) applies.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Relation between the job's tasks.
+    /// Whether the job's tasks run independently, as a gang or as a service.
     #[serde(rename = "build")]
     pub kind: JobKind,
     /// Scheduling priority.
--- a/crates/gladekeel-wire/src/mesh/mod.rs
+++ b/crates/gladekeel-wire/src/mesh/mod.rs
@@ -8,10 +8,10 @@
 //! # Versions
 //!
 //! Controllers of different versions run side by side during an upgrade. Each announces its
-//! [`PROTOCOL_LEVEL`] in the [`PeerHeartbeat`] frames that it sends about once a second. A
-//! frame kind, or a new use of one, that needs a certain level is not sent to peers of a lower
-//! level. A peer counts as level 0 until its first heartbeat is received. [`MAGIC`] changes
-//! only if the layout of the header changes.
+//! [`PROTOCOL_LEVEL`] in the [`PeerHeartbeat`] frames that it sends about once a second. A frame
+//! whose kind or content requires a certain level is not sent to peers of a lower level. A peer
+//! counts as level 0 until its first heartbeat is received. [`MAGIC`] changes only if the layout of
+//! the header changes.
 
 mod frame;
 mod payload;
--- a/crates/gladekeel-wire/src/mesh/payload.rs
+++ b/crates/gladekeel-wire/src/mesh/payload.rs
@@ -8,7 +8,7 @@
 };
 
 /// Upper bound of the size of an encoded [`JobProgressEntry`], in bytes. A payload with less free
-/// space than this is full.
+/// space than this bound is full: the next entry starts a new payload.
 const MAX_PROGRESS_ENTRY_LEN: usize = 200;
 
 /// The payload of [`FrameKind::PeerHeartbeat`](super::FrameKind::PeerHeartbeat), which every
--- a/crates/gladekeel-wire/src/settings/mod.rs
+++ b/crates/gladekeel-wire/src/settings/mod.rs
@@ -78,7 +78,7 @@
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Timings that workers adhere to.
+    /// Intervals and time limits that all workers observe.
     pub workers: WorkerTimings,
     /// Limits of the key-value store.
     #[serde(rename = "state")]
@@ -108,7 +108,7 @@
     pub gpus_max: f64,
 }
 
-/// Timings that workers adhere to, in seconds.
+/// Intervals and time limits that all workers observe, in seconds.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct WorkerTimings {
     /// Time between two heartbeats of a worker.
@@ -214,7 +214,8 @@
 pub struct CloudLimits {
     /// Maximum number of requests per second, for all controllers together.
     pub rps: f64,
-    /// Age of the state that the machine list describes when the list is served, in seconds.
+    /// Delay of the machine list in seconds: the list shows the state that the cloud had this long
+    /// before the response.
     pub list_lag_s: f64,
 }
 
--- a/crates/gladekeel-wire/src/settings/objective.rs
+++ b/crates/gladekeel-wire/src/settings/objective.rs
@@ -9,11 +9,12 @@
     pub kind: ObjectiveKind,
     /// Class of jobs that the objective applies to; all jobs if `None`.
     pub class: Option<String>,
-    /// Target in seconds; `None` if the objective has no such target.
+    /// Target in seconds; `None` if the objective has no target in seconds.
     pub within_s: Option<f64>,
     /// Fraction of the jobs that must meet the target, from 0 to 1; `None` if not stated.
     pub share: Option<f64>,
-    /// Target as a multiple of the job's deadline; `None` if the objective has no such target.
+    /// Target as a multiple of the job's deadline; `None` if the objective has no target relative
+    /// to the deadline.
     #[serde(rename = "times")]
     pub deadline_multiple: Option<f64>,
 }
--- a/crates/gladekeel-wire/src/worker.rs
+++ b/crates/gladekeel-wire/src/worker.rs
@@ -128,7 +128,7 @@
         /// Id of the task.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// Number of the attempt to start.
+        /// Number of the attempt that the worker is to start.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -138,19 +138,20 @@
         /// Id of the task.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// Number of the attempt to stop.
+        /// Number of the attempt that the worker is to stop.
         #[serde(rename = "try")]
         attempt: u64,
         /// Grace period in seconds: time to write a checkpoint.
         #[serde(rename = "slack_s")]
         grace_s: f64,
     },
-    /// Remove an exited attempt from the heartbeats, because its exit has been committed.
+    /// Remove an exited attempt from the heartbeats, because the leader has committed the exit to
+    /// the store.
     Forget {
         /// Id of the task.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// Number of the attempt to forget.
+        /// Number of the exited attempt that the worker is to remove from its heartbeats.
         #[serde(rename = "try")]
         attempt: u64,
     },
