--- a/crates/gladekeel-http/src/admission/idle.rs
+++ b/crates/gladekeel-http/src/admission/idle.rs
@@ -7,7 +7,7 @@
 /// Idle connections: one list for connections that have not sent a request yet, and one list for
 /// each class.
 pub(super) struct IdleConnections {
-    /// The lists of connections, indexed by [`list_index`]. Each maps sequence numbers to
+    /// The lists of connections, indexed by [`list_index`]. Each list maps sequence numbers to
     /// connections, the longest idle first.
     lists: Vec<BTreeMap<u64, IdleConnection>>,
     next_sequence: u64,
@@ -61,7 +61,8 @@
     }
 
     /// Evicts the connection that has been idle for longest, by notifying it to close; connections
-    /// that have not sent a request yet go first. Returns `false` if no connection may be evicted.
+    /// that have not sent a request yet are evicted first. Returns `false` if no connection may be
+    /// evicted.
     pub(super) fn evict_longest_idle(
         &mut self,
         from: EvictFrom,
--- a/crates/gladekeel-http/src/admission/mod.rs
+++ b/crates/gladekeel-http/src/admission/mod.rs
@@ -44,8 +44,8 @@
         Admission { limits, classes, counts, idle }
     }
 
-    /// Decides on a new connection. At the maximum number of connections, an idle one is evicted if
-    /// possible.
+    /// Decides on a new connection. If the maximum number of connections is open, an idle
+    /// connection is evicted if possible.
     pub(crate) fn decide(&self) -> Decision {
         let open = self.counts.open();
         if open < self.limits.max_connections || self.evict(EvictFrom::AnyClass) {
@@ -60,7 +60,7 @@
     /// Whether one more connection of a class may stay open.
     fn has_capacity_for(&self, class: usize) -> bool {
         let (counts, reserved) = (self.counts.by_class(), &self.classes.reserved);
-        // A reserved connection counts as in use whether or not it is open.
+        // Connections that are reserved for a class count as in use even while they are not open.
         let in_use: usize =
             counts.iter().zip(reserved).map(|(open, reserved)| open.max(reserved)).sum();
         counts[class] < reserved[class] || in_use < self.limits.max_connections
--- a/crates/gladekeel-http/src/client/exchange.rs
+++ b/crates/gladekeel-http/src/client/exchange.rs
@@ -98,8 +98,8 @@
     if size > MAX_RESPONSE {
         return Err(ResponseError::TooLarge { size, limit: MAX_RESPONSE }.into());
     }
-    // Reserves one byte more than is missing: a read that does not fill the buffer shows that
-    // nothing else has arrived, which saves a second read.
+    // Reserves one byte more than the response still lacks: a read that does not fill the buffer
+    // shows that nothing else has arrived, which saves a second read.
     buf.reserve(size.saturating_sub(buf.len()) + 1);
     while buf.len() < size {
         read_some(stream, &mut buf).await?;
--- a/crates/gladekeel-http/src/connection.rs
+++ b/crates/gladekeel-http/src/connection.rs
@@ -100,7 +100,7 @@
         self.write(&too_many_connections(), true).await
     }
 
-    /// Waits for the first bytes of a request, unless the buffer already holds some. Returns
+    /// Waits for the first bytes of a request, unless the buffer already holds bytes. Returns
     /// `false` if the connection ends instead, because it was closed by the client, was idle for
     /// too long, or was evicted.
     async fn wait_for_request(&mut self) -> io::Result<bool> {
@@ -148,8 +148,8 @@
                     self.stream.write_all(CONTINUE).await?;
                     sent_continue = true;
                 }
-                // Reserves one byte more than is missing: a read that does not fill the buffer
-                // shows that nothing else has arrived, which saves a second read.
+                // Reserves one byte more than the request still lacks: a read that does not fill
+                // the buffer shows that nothing else has arrived, which saves a second read.
                 self.buf.reserve(head.total_len() - self.buf.len() + 1);
             }
             self.slot.count_read();
--- a/crates/gladekeel-http/src/limits.rs
+++ b/crates/gladekeel-http/src/limits.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-/// Time that a client has to send its first request before its connection may be evicted. A
-/// refused client has the same time to send a request before the server responds anyway.
+/// Time that a client has to send its first request before its connection may be evicted. A refused
+/// client has the same time to send a request, after which the server responds even without one.
 pub(crate) const FIRST_REQUEST_GRACE: Duration = Duration::from_secs(1);
 
 /// The limits of a server. Each field documents what happens to a client that exceeds the limit.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Maximum number of open connections. For a new connection beyond this number, the
-    /// connection that has been idle for longest is evicted; if no connection may be evicted, the
-    /// new one gets a 503 response and is closed.
+    /// Maximum number of open connections. For a new connection beyond this number, the connection
+    /// that has been idle for longest is evicted; if no connection may be evicted, the new
+    /// connection gets a 503 response and is closed.
     pub max_connections: usize,
     /// Maximum number of connections that are being refused, in addition to `max_connections`. A
     /// further connection is closed without a response.
--- a/crates/gladekeel-http/src/server.rs
+++ b/crates/gladekeel-http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server, which accepts connections and serves each in a task of its own.
+//! The server, which accepts connections and serves each connection in a task of its own.
 
 use crate::{
     admission::{Admission, ConnectionClasses, ConnectionCounts, Decision, Slot},
@@ -46,8 +46,8 @@
     /// Accepts and serves connections until the future is dropped. Must run inside a `LocalSet` or
     /// a local runtime.
     ///
-    /// Connections that are open when the future is dropped continue until they end by themselves
-    /// or by a timeout of [`Limits`].
+    /// Connections that are open when the future is dropped stay open until the client or the
+    /// server closes them, or a timeout of [`Limits`] ends them.
     pub async fn run<F, R>(self, handler: F)
     where
         F: Fn(Request) -> R + 'static,
--- a/crates/gladekeel-http/tests/loopback.rs
+++ b/crates/gladekeel-http/tests/loopback.rs
@@ -202,8 +202,8 @@
             let response = client.send("GET", "/a", b"", REQUEST_TIMEOUT).await.unwrap();
             assert_eq!(response.status, 200);
         }
-        // The third client evicted the connection of the first. The first reconnects now, which
-        // evicts the connection of the second.
+        // The third client evicted the connection of the first client. The first client reconnects
+        // now, which evicts the connection of the second client.
         for client in [&clients[2], &clients[0], &clients[2]] {
             let response = client.send("GET", "/a", b"", REQUEST_TIMEOUT).await.unwrap();
             assert_eq!(response.status, 200);
--- a/crates/gladekeel-store/src/token_bucket.rs
+++ b/crates/gladekeel-store/src/token_bucket.rs
@@ -12,7 +12,7 @@
 //!
 //! In any period of `t` seconds at most `burst + rate × t` tokens are taken, plus the excess of the
 //! last amount over the burst. The caller passes in the time in seconds; a time earlier than the
-//! latest one so far counts as the latest.
+//! latest time passed in so far is replaced by the latest time.
 //!
 //! The node uses token buckets to stay within its share of the store's request and write limits
 //! (`rate_limits` of `gladekeel-controller`).
