--- a/crates/gladekeel/tests/command_line.rs
+++ b/crates/gladekeel/tests/command_line.rs
@@ -118,7 +118,7 @@
 
 #[test]
 fn a_command_to_an_unreachable_server_exits_with_3() {
-    // The listener is closed again, so that nothing listens on its port.
+    // The listener is closed before the test calls its port, so that nothing listens there.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = listener.local_addr().unwrap();
     drop(listener);
