--- a/crates/gladekeel-controller/src/node/health.rs
+++ b/crates/gladekeel-controller/src/node/health.rs
@@ -5,8 +5,8 @@
 
 /// Age of the last contact with the store below which a node is healthy, whatever its peers report.
 const HEALTHY_CONTACT_S: f64 = 3.0;
-/// Age of a peer's last heartbeat below which a node without recent contact with the store compares
-/// its own contact with the contact of the peer.
+/// Age of a peer's last heartbeat below which the peer counts as reachable in the health check of a
+/// node without recent contact with the store.
 const PEER_SEEN_WITHIN_S: f64 = 2.5;
 /// Age of a peer's last contact with the store from which the peer counts as having lost contact
 /// with the store.
--- a/crates/gladekeel-controller/src/node/outgoing_calls.rs
+++ b/crates/gladekeel-controller/src/node/outgoing_calls.rs
@@ -1,8 +1,8 @@
 //! Calls to the store, the cloud and workers that are in flight.
 //!
 //! The event with the outcome of a call identifies the call by its id. If the tables of calls in
-//! flight no longer contain the id, the call has been resolved by other means, and the outcome is
-//! dropped.
+//! flight no longer contain the id, the call has already been resolved, for example by a read of
+//! the store, and the outcome is dropped.
 
 use super::{Action, RequestId, admin_requests::AdminChange, user_requests::UserWrite};
 use crate::{cloud_api::CloudRequest, leader::WorkerRequest};
--- a/crates/gladekeel-controller/src/node/peers/cancellations.rs
+++ b/crates/gladekeel-controller/src/node/peers/cancellations.rs
@@ -13,8 +13,8 @@
 };
 
 /// How long a pending cancellation is kept. By the end of this time the job's tasks have stopped,
-/// or a read has returned the cancellation; if no read ever returns it, the job does not belong to
-/// this deployment.
+/// or a read has returned the cancellation; if no read ever returns the cancellation, the job does
+/// not belong to this deployment.
 const PENDING_CANCELLATION_TTL_S: f64 = 300.0;
 
 impl Node {
@@ -30,8 +30,8 @@
     }
 
     /// Records a job's cancellation that this node or a peer has committed. The cancellation
-    /// deadline counts from `not_before`. The record does not wait for a read, which may not return
-    /// the cancellation for a long time.
+    /// deadline counts from `not_before`. This function does not wait until a read returns the
+    /// cancellation, which may take a long time.
     pub(in crate::node) fn apply_pending_cancellation(&mut self, id: &JobId, not_before: f64) {
         let view = &mut self.store.view;
         if view.final_states.contains_key(id) {
--- a/crates/gladekeel-controller/src/runtime_settings.rs
+++ b/crates/gladekeel-controller/src/runtime_settings.rs
@@ -23,7 +23,7 @@
     /// Multiple of the median run time of a job's tasks from which a running task counts as a
     /// straggler.
     pub straggler_multiple: f64,
-    /// Time in seconds for which a machine is kept that is idle and not needed for the current
+    /// Time in seconds that a machine is kept while it is idle and not needed for the current
     /// demand.
     pub idle_timeout_s: f64,
     /// Time in seconds without a heartbeat after which a machine is deleted, provided that it does
--- a/crates/gladekeel-controller/tests/assignment_log.rs
+++ b/crates/gladekeel-controller/tests/assignment_log.rs
@@ -85,8 +85,8 @@
     }
 }
 
-/// Guards against a value that is decoded although it is not a segment in this layout, and against
-/// full segments that do not fit into a value of 4096 bytes.
+/// Guards against a value that is decoded although it does not have the layout of a segment, and
+/// against full segments that do not fit into a value of 4096 bytes.
 #[test]
 fn values_in_another_layout_are_rejected() {
     let text = writer_with_rows(&Segment::default()).encode(1);
@@ -101,7 +101,7 @@
     assert!(segment_capacity(4096) * 4 / 3 + 2 <= 4096);
 }
 
-/// Guards against corruption inside a segment that passes for a valid row: a changed byte may
+/// Guards against corrupt bytes in a segment that are decoded as a valid row: a changed byte may
 /// refer to a job that is not in the segment, or be an unknown outcome or an invalid job id.
 #[test]
 fn rows_with_invalid_references_outcomes_or_names_are_rejected() {
