--- a/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/inventory.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/cloud_requests/inventory.rs
@@ -54,7 +54,7 @@
         for (machine_idx, machine) in &mut self.cluster.machines {
             let is_missing = machine.was_listed()
                 && !listed.contains(machine_idx)
-                && machine.liveness.silent_s(now) > timeout_s;
+                && machine.liveness.since_last_seen_s(now) > timeout_s;
             if is_missing && machine.listing.record_missing() {
                 to_delete.push(*machine_idx);
             }
--- a/crates/gladekeel-controller/src/leader/autoscaling/supply.rs
+++ b/crates/gladekeel-controller/src/leader/autoscaling/supply.rs
@@ -74,6 +74,7 @@
         let zone_unreachable = || machine.zone.is_some_and(is_unreachable);
         machine.liveness.was_seen()
             || (machine.has_booted()
-                && (machine.liveness.silent_s(now) < unreachable_after_s || zone_unreachable()))
+                && (machine.liveness.since_last_seen_s(now) < unreachable_after_s
+                    || zone_unreachable()))
     }
 }
--- a/crates/gladekeel-controller/src/leader/commands/outcome.rs
+++ b/crates/gladekeel-controller/src/leader/commands/outcome.rs
@@ -76,7 +76,7 @@
     /// Counts a missing response against the machine, unless a recent tick of this node was late,
     /// so that the node itself may have caused the timeout.
     fn on_no_response(&mut self, now: f64, machine_idx: MachineIdx) {
-        if self.timers.lagged_within(LAG_GRACE_S, now) {
+        if self.timers.had_late_tick_within(LAG_GRACE_S, now) {
             return;
         }
         let Some(machine) = self.cluster.machines.get_mut(&machine_idx) else { return };
--- a/crates/gladekeel-controller/src/leader/commands/request.rs
+++ b/crates/gladekeel-controller/src/leader/commands/request.rs
@@ -89,7 +89,7 @@
         let machine = self.cluster.machines.get(&machine_idx)?;
         if machine.commands.is_in_flight()
             || machine.deletion.is_confirmed()
-            || machine.liveness.silent_s(now) > timeout_s
+            || machine.liveness.since_last_seen_s(now) > timeout_s
         {
             return None;
         }
--- a/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
+++ b/crates/gladekeel-controller/src/leader/commands/unsettled_starts.rs
@@ -26,7 +26,7 @@
     fn needs_new_token(&self, now: f64, since: f64, is_wanted: bool) -> bool {
         // Only a heartbeat under the new token proves that the worker refuses the start, so a new
         // token has no use while the machine sends no heartbeats.
-        let sends_heartbeats = self.liveness.silent_since() > since;
+        let sends_heartbeats = self.liveness.last_seen_or_known_since() > since;
         let deletion_may_settle = self.deletion.is_requested() && now - since < DELETION_TIMEOUT_S;
         let limit_s = if is_wanted { UNSETTLED_START_S } else { UNSETTLED_CANCELLED_START_S };
         sends_heartbeats && !deletion_may_settle && now - since > limit_s
--- a/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/detector.rs
@@ -9,7 +9,7 @@
 
 use super::{
     observation::ClusterObservation,
-    reachability::{HeartbeatSilence, ReachableZones, ZoneReachability},
+    reachability::{ReachableZones, TimeWithoutMessages, ZoneReachability},
     thresholds::{DetectionContext, DetectionThresholds},
 };
 use crate::{
@@ -56,9 +56,10 @@
         self.reachable_zones
     }
 
-    /// Records that a machine in a zone was seen.
-    pub fn record_heartbeat(&mut self, zone: ZoneIdx, now: f64) {
-        self.zones.record_heartbeat(zone, now);
+    /// Records a new message from a machine in a zone: either a heartbeat or the response to a
+    /// direct command.
+    pub fn record_message(&mut self, zone: ZoneIdx, now: f64) {
+        self.zones.record_message(zone, now);
     }
 
     /// Whether a zone counts as unreachable: heartbeats from the zone are overdue, and none of its
@@ -74,8 +75,8 @@
 
     /// Returns the time since any machine was last seen, and how many machines should send
     /// heartbeats.
-    pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
-        self.zones.heartbeat_silence(now)
+    pub fn time_without_messages(&self, now: f64) -> TimeWithoutMessages {
+        self.zones.time_without_messages(now)
     }
 
     /// Updates the reachability of zones from a new observation of the cluster.
@@ -122,7 +123,8 @@
     /// this term and the leader should learn its tasks before its next heartbeat arrives.
     fn needs_probe(&self, machine: &Machine) -> bool {
         let is_unseen = !machine.liveness.was_seen() && machine.has_booted();
-        let is_overdue = machine.liveness.silent_s(self.now) > self.thresholds.probe_after_s;
+        let is_overdue =
+            machine.liveness.since_last_seen_s(self.now) > self.thresholds.probe_after_s;
         machine.should_send_heartbeats()
             && !is_drained(machine)
             && !self.is_outbound_partitioned(machine)
@@ -148,7 +150,7 @@
     fn is_outbound_partitioned(&self, machine: &Machine) -> bool {
         let liveness = &machine.liveness;
         liveness.responsive_without_heartbeats_s(self.now) > self.thresholds.outbound_partition_s
-            && liveness.silent_s(self.now) < self.thresholds.heartbeat_timeout_s
+            && liveness.since_last_seen_s(self.now) < self.thresholds.heartbeat_timeout_s
             && machine.newest_message.incarnation > liveness.last_heartbeat_incarnation()
     }
 
@@ -157,7 +159,7 @@
     /// without a message from the machine in this term must also exceed the unreachable timeout.
     fn has_boot_timed_out(&self, machine: &Machine, boot_s: f64) -> bool {
         let timeout_s = boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN_S;
-        machine.liveness.silent_s(self.now) > self.thresholds.unreachable_after_s
+        machine.liveness.since_last_seen_s(self.now) > self.thresholds.unreachable_after_s
             && machine.provisioned_at.age_s(self.now) > timeout_s
     }
 
@@ -179,24 +181,24 @@
     /// tasks whose cancellation this leader has not learned of.
     fn has_heartbeat_timed_out(&self, machine: &Machine) -> bool {
         let thresholds = self.thresholds;
-        let silent_s = machine.liveness.silent_s(self.now);
+        let since_last_seen_s = machine.liveness.since_last_seen_s(self.now);
         let any_seen = self.observation.any_machine_seen();
         self.has_failed_alone(machine)
-            || (any_seen && silent_s > thresholds.silent_zone_s)
+            || (any_seen && since_last_seen_s > thresholds.silent_zone_s)
             || (any_seen
                 && thresholds.unknown_cancellations_due
-                && silent_s > thresholds.unreachable_after_s)
-            || silent_s > thresholds.max_silence_s
+                && since_last_seen_s > thresholds.unreachable_after_s)
+            || since_last_seen_s > thresholds.max_silence_s
     }
 
     /// Whether a machine sends no messages while its zone is reachable and other machines respond
     /// to probes. Only time during which the zone is reachable counts: right after a partition, no
     /// machine of the zone has been seen for a long time, and all are about to be seen again.
     fn has_failed_alone(&self, machine: &Machine) -> bool {
-        let silent_s = machine.liveness.silent_s(self.now);
+        let since_last_seen_s = machine.liveness.since_last_seen_s(self.now);
         let reachable_s = self.reachable_zones.reachable_s(machine.zone, self.now);
         reachable_s.is_some_and(|reachable_s| {
-            silent_s.min(reachable_s) > self.thresholds.unreachable_after_s
+            since_last_seen_s.min(reachable_s) > self.thresholds.unreachable_after_s
         }) && machine.liveness.is_suspect_for(MIN_SUSPECT_S, self.now)
     }
 }
--- a/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/evacuation.rs
@@ -164,7 +164,7 @@
         *cache.0.entry(job_idx).or_insert_with(|| {
             self.attempts.of_job(job_idx).machines().all(|machine_idx| {
                 self.cluster.machines.get(&machine_idx).is_some_and(|machine| {
-                    machine.liveness.silent_s(now) < heartbeat_timeout_s
+                    machine.liveness.since_last_seen_s(now) < heartbeat_timeout_s
                         && machine.acknowledgements.missed() == 0
                 })
             })
--- a/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/observation.rs
@@ -29,7 +29,7 @@
 impl ZoneObservation {
     fn add(&mut self, machine: &Machine, now: f64, thresholds: &DetectionThresholds) {
         self.expected += 1;
-        if machine.liveness.silent_s(now) < thresholds.recently_seen_s {
+        if machine.liveness.since_last_seen_s(now) < thresholds.recently_seen_s {
             self.seen_recently += 1;
         }
         let responses = [self.last_direct_response, machine.liveness.last_direct_response()];
--- a/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
+++ b/crates/gladekeel-controller/src/leader/failure_detection/reachability.rs
@@ -1,4 +1,4 @@
-//! Which zones the leader can reach, according to the heartbeats that arrive from them.
+//! Which zones the leader can reach, according to the messages that arrive from their machines.
 
 use super::observation::ClusterObservation;
 use gladekeel_sched::ZoneIdx;
@@ -36,11 +36,11 @@
 
 /// The time since any machine was last seen, and how many machines should send heartbeats.
 #[derive(Debug, Clone, Copy)]
-pub struct HeartbeatSilence {
+pub struct TimeWithoutMessages {
     /// The number of machines from which heartbeats are expected.
     pub expected_machines: usize,
     /// The time since any machine was last seen, in seconds.
-    pub silent_s: f64,
+    pub since_last_seen_s: f64,
 }
 
 impl ZoneReachability {
@@ -56,8 +56,9 @@
         }
     }
 
-    /// Records that a machine in a zone was seen.
-    pub fn record_heartbeat(&mut self, zone: ZoneIdx, now: f64) {
+    /// Records a new message from a machine in a zone: either a heartbeat or the response to a
+    /// direct command.
+    pub fn record_message(&mut self, zone: ZoneIdx, now: f64) {
         self.last_seen = now;
         self.zones.entry(zone).or_default().last_seen = now;
     }
@@ -91,8 +92,11 @@
 
     /// Returns the time since any machine was last seen, and how many machines should send
     /// heartbeats.
-    pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
-        HeartbeatSilence { expected_machines: self.expected, silent_s: now - self.last_seen }
+    pub fn time_without_messages(&self, now: f64) -> TimeWithoutMessages {
+        TimeWithoutMessages {
+            expected_machines: self.expected,
+            since_last_seen_s: now - self.last_seen,
+        }
     }
 }
 
--- a/crates/gladekeel-controller/src/leader/machine/liveness.rs
+++ b/crates/gladekeel-controller/src/leader/machine/liveness.rs
@@ -124,20 +124,20 @@
     }
 
     /// When the worker was last seen or, if it was never seen, when the machine became known.
-    pub fn silent_since(&self) -> f64 {
+    pub fn last_seen_or_known_since(&self) -> f64 {
         self.last_seen.unwrap_or(self.known_since)
     }
 
     /// The time since the worker was last seen or, if it was never seen, since the machine became
     /// known, in seconds.
-    pub fn silent_s(&self, now: f64) -> f64 {
-        now - self.silent_since()
+    pub fn since_last_seen_s(&self, now: f64) -> f64 {
+        now - self.last_seen_or_known_since()
     }
 
     /// The time since the last heartbeat or since the worker was last seen, in seconds, whichever
     /// is longer.
     pub fn heartbeat_age_s(&self, now: f64) -> f64 {
-        now - self.silent_since().min(self.last_heartbeat.at)
+        now - self.last_seen_or_known_since().min(self.last_heartbeat.at)
     }
 
     /// The newest incarnation from which a heartbeat has reached a controller. If there was no
--- a/crates/gladekeel-controller/src/leader/machine/mod.rs
+++ b/crates/gladekeel-controller/src/leader/machine/mod.rs
@@ -250,7 +250,7 @@
             tracing::info!(
                 machine = self.name,
                 %reason,
-                silent_s = self.liveness.silent_s(now),
+                silent_s = self.liveness.since_last_seen_s(now),
                 attempts = self.attempts().len(),
                 "machine marked for deletion"
             );
--- a/crates/gladekeel-controller/src/leader/mod.rs
+++ b/crates/gladekeel-controller/src/leader/mod.rs
@@ -43,7 +43,7 @@
 pub use cluster_state::ClusterState;
 pub use commands::{WorkerOutcome, WorkerRequest};
 pub use counters::LeaderCounters;
-pub use failure_detection::reachability::HeartbeatSilence;
+pub use failure_detection::reachability::TimeWithoutMessages;
 pub use job::{FailureBackoff, Job, RunTimeHistory, TaskQueue, ZonePlacement};
 pub use machine::{Machine, MachineCondition};
 pub use status::Backlog;
@@ -333,8 +333,8 @@
 
     /// Returns the time since any machine was last seen, and how many machines should send
     /// heartbeats.
-    pub fn heartbeat_silence(&self, now: f64) -> HeartbeatSilence {
-        self.failure_detector.heartbeat_silence(now)
+    pub fn time_without_messages(&self, now: f64) -> TimeWithoutMessages {
+        self.failure_detector.time_without_messages(now)
     }
 
     /// When the leader's term began, in seconds on the node's clock.
--- a/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
+++ b/crates/gladekeel-controller/src/leader/reconciliation/heartbeat.rs
@@ -157,7 +157,7 @@
         }
         machine.apply_message(now, heartbeat, machine_type);
         machine.existence_confirmed |= heartbeat.token == self.token;
-        self.failure_detector.record_heartbeat(zone, now);
+        self.failure_detector.record_message(zone, now);
         if let Some(notice_s) = heartbeat.termination_notice_s {
             if machine.record_termination_notice(now, notice_s) {
                 self.timers.request_cycle();
--- a/crates/gladekeel-controller/src/leader/timers.rs
+++ b/crates/gladekeel-controller/src/leader/timers.rs
@@ -2,8 +2,8 @@
 
 use crate::runtime_settings::RuntimeSettings;
 
-/// The longest time between two ticks, in seconds, that does not count as a lag of this node. Ticks
-/// are due many times a second.
+/// A tick counts as late if it comes more than this many seconds after the previous tick. Ticks are
+/// due many times a second.
 const MAX_TICK_GAP_S: f64 = 0.5;
 /// A requested scheduling cycle runs early, but not before this fraction of the cycle interval has
 /// passed since the previous cycle.
@@ -16,7 +16,7 @@
     cycle_requested: bool,
     last_maintenance_at: f64,
     last_tick_at: f64,
-    last_lag_at: f64,
+    last_late_tick_at: f64,
 }
 
 impl Timers {
@@ -27,22 +27,22 @@
             cycle_requested: true,
             last_maintenance_at: now,
             last_tick_at: now,
-            last_lag_at: now,
+            last_late_tick_at: now,
         }
     }
 
-    /// Records a tick, and records a lag if the tick is late.
+    /// Records a tick, and whether the tick is late.
     pub fn tick(&mut self, now: f64) {
         if now - self.last_tick_at > MAX_TICK_GAP_S {
-            self.last_lag_at = now;
+            self.last_late_tick_at = now;
         }
         self.last_tick_at = now;
     }
 
     /// Whether a tick of this node was late within the last `seconds` seconds. The beginning of the
     /// term counts as a late tick.
-    pub fn lagged_within(&self, seconds: f64, now: f64) -> bool {
-        now - self.last_lag_at < seconds
+    pub fn had_late_tick_within(&self, seconds: f64, now: f64) -> bool {
+        now - self.last_late_tick_at < seconds
     }
 
     /// Requests an early scheduling cycle, after a change on which the scheduler may act.
--- a/crates/gladekeel-controller/src/node/leadership/resignation.rs
+++ b/crates/gladekeel-controller/src/node/leadership/resignation.rs
@@ -1,13 +1,13 @@
 //! Resignation of a leader that no worker can reach.
 //!
 //! Such a leader cannot manage its workers, and workers may be able to reach another node. Each
-//! consecutive resignation doubles both the time without heartbeats after which this node resigns
+//! consecutive resignation doubles both the time without messages after which this node resigns
 //! again and the time for which this node is not a candidate. Otherwise nodes would keep passing
 //! leadership around when the workers, not the leader, have failed.
 
 use super::{Leadership, Role};
 use crate::{
-    leader::HeartbeatSilence,
+    leader::TimeWithoutMessages,
     node::{Node, outgoing_calls::StoreCallPurpose},
 };
 use gladekeel_store::StoreRequest;
@@ -16,17 +16,17 @@
 /// Number of consecutive expected heartbeats, from all machines together, that a leader misses
 /// before it counts as isolated.
 const ISOLATED_AFTER_HEARTBEATS: f64 = 30.0;
-/// Minimum time without heartbeats before a leader counts as isolated.
+/// Minimum time without messages from any machine before a leader counts as isolated.
 const MIN_ISOLATED_AFTER_S: f64 = 4.0;
 /// Maximum amount by which the result of [`isolated_after_s`] exceeds a worker's heartbeat timeout.
 const HEARTBEAT_TIMEOUT_SLACK_S: f64 = 2.0;
 /// Time for which a node is not a candidate for leadership after its first resignation.
 const CANDIDACY_PAUSE_S: f64 = 6.0;
-/// Maximum number of times that the time without heartbeats before a resignation and the pause in
+/// Maximum number of times that the time without messages before a resignation and the pause in
 /// candidacy after a resignation double.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Counts this node's resignations since it last received heartbeats as the leader.
+/// Counts this node's resignations since it last received messages from workers as the leader.
 #[derive(Debug, Default)]
 pub(super) struct ResignationBackoff {
     consecutive: u32,
@@ -38,9 +38,9 @@
     }
 }
 
-/// Time without any heartbeat after which a leader of `machines` machines counts as isolated. This
-/// time is shorter if there are more machines, because the time between two heartbeats is shorter
-/// then.
+/// Time without messages from any machine after which a leader of `machines` machines counts as
+/// isolated. This time is shorter if there are more machines, because the time between two
+/// heartbeats is shorter then.
 fn isolated_after_s(workers: &WorkerTimings, machines: usize) -> f64 {
     let expected_s =
         ISOLATED_AFTER_HEARTBEATS * workers.heartbeat_interval_s / machines.max(1) as f64;
@@ -49,7 +49,7 @@
 }
 
 impl Leadership {
-    /// Resigns if this node leads and no longer receives heartbeats from any machine. Returns the
+    /// Resigns if this node leads and no longer receives messages from any machine. Returns the
     /// request that revokes the lease of the leader key, or `None` if this node does not resign.
     fn resign_if_isolated(
         &mut self,
@@ -58,23 +58,27 @@
         has_peers: bool,
     ) -> Option<StoreRequest> {
         let leader = self.leader()?;
-        let HeartbeatSilence { expected_machines: machines, silent_s } =
-            leader.heartbeat_silence(now);
+        let TimeWithoutMessages { expected_machines: machines, since_last_seen_s } =
+            leader.time_without_messages(now);
         let leading_s = now - leader.term_started_at();
         let limit_s = isolated_after_s(workers, machines);
-        if silent_s < limit_s {
+        if since_last_seen_s < limit_s {
             self.resignations.consecutive = 0;
         }
         let extended_limit_s = limit_s * self.resignations.factor();
         if machines == 0
-            || silent_s < extended_limit_s
+            || since_last_seen_s < extended_limit_s
             || leading_s < extended_limit_s
             || !has_peers
         {
             return None;
         }
         let request = self.election.resign(now, CANDIDACY_PAUSE_S * self.resignations.factor())?;
-        tracing::warn!(machines, silent_s, "resigned: no heartbeat of any worker arrives");
+        tracing::warn!(
+            machines,
+            silent_s = since_last_seen_s,
+            "resigned: no heartbeat of any worker arrives"
+        );
         self.resignations.consecutive += 1;
         self.role = Role::Follower;
         Some(request)
