--- a/crates/gladekeel-controller/src/leader/job/task_queue.rs
+++ b/crates/gladekeel-controller/src/leader/job/task_queue.rs
@@ -43,7 +43,8 @@
         self.waiting_since
     }
 
-    /// Returns how long tasks have waited, in seconds; 0 if no task has had to wait.
+    /// Returns for how many seconds the queue has continuously had waiting tasks. No task in the
+    /// queue has waited longer. 0 if [`TaskQueue::waiting_since`] returns `None`.
     pub fn waited_s(&self, now: f64) -> f64 {
         self.waiting_since.map_or(0.0, |since| now - since)
     }
--- a/crates/gladekeel-controller/tests/formats_fe9a16c.rs
+++ b/crates/gladekeel-controller/tests/formats_fe9a16c.rs
@@ -62,8 +62,8 @@
     assert_eq!(encode(&expected), text);
 }
 
-/// Guards against a decoder that rejects full segments: fe9a16c fills segments up to the capacity
-/// of a value of 2 KB.
+/// Guards against a decoder that rejects full segments: version fe9a16c fills a segment until the
+/// stored value, the segment's text in quotes, is almost 2 KB (2048 bytes) long.
 #[test]
 fn full_segments_are_read_and_written() {
     let text = include_str!("fixtures/fe9a16c_segment_full.txt").trim_end();
--- a/crates/gladekeel-wire/tests/id.rs
+++ b/crates/gladekeel-wire/tests/id.rs
@@ -1,4 +1,4 @@
-//! Ids of jobs and tasks have exactly one form each.
+//! Each job id and each task id has exactly one valid spelling.
 
 use gladekeel_wire::{JobId, TaskId};
 
