--- a/crates/gladekeel-controller/src/shell/mod.rs
+++ b/crates/gladekeel-controller/src/shell/mod.rs
@@ -65,7 +65,7 @@
     let peer_listener = listeners::bind_peer_listener(settings.peer_listen).await?;
     let mut tasks = JoinSet::new();
     let shell = Rc::new(Shell::new(&settings, &sockets, seed, &mut tasks));
-    tracing::info!(node = settings.node, listen = %settings.listen, "controller started");
+    tracing::info!(node = settings.node, listen = %settings.listen, "started");
     let server = listeners::user_server(user_listener, &settings, &sockets);
     tasks.spawn_local(peer_connections::accept_loop(peer_listener, Rc::clone(&shell)));
     tasks.spawn_local(tick_loop::run(Rc::clone(&shell), sockets, server.counts()));
